--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -2,6 +2,7 @@
 
 mod added;
 mod answers;
+mod decision_trace;
 mod fleet;
 mod gap;
 mod meetings;
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -12,7 +12,7 @@
 /// When troubles begin: the first leader has led for long, and most machines are up.
 const TROUBLE_MS: u64 = 75_000;
 
-fn plan() -> Plan {
+pub fn plan() -> Plan {
     Plan {
         nodes: NODES,
         machines: 40,
--- a/crates/core/tests/sim/world.rs
+++ b/crates/core/tests/sim/world.rs
@@ -3,6 +3,7 @@
 //! rules of the protocol are checked as it goes.
 
 mod costs;
+mod decision_digest;
 mod pipelines;
 mod plan;
 mod rules;
@@ -178,6 +179,7 @@
     upgraded: bool,
     /// What steps and messages cost, if that is measured.
     pub costs: costs::Costs,
+    decisions: decision_digest::DecisionDigest,
 }
 
 /// From more machines on, rules are checked now and then only.
@@ -262,6 +264,7 @@
             broken: BTreeSet::new(),
             upgraded: false,
             costs: costs::Costs::default(),
+            decisions: decision_digest::DecisionDigest::default(),
             plan,
         };
         if world.plan.spread {
@@ -549,6 +552,7 @@
         let now = self.clock(node);
         let life = self.nodes[node].life;
         for output in self.measured_step(node, input, now) {
+            self.decisions.record(self.now, node, &output);
             let hop = self.hop();
             match output {
                 Output::Answer {
