--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -155,3 +155,48 @@
     assert!(LIMITS.fits(&cancelled));
     assert_eq!(cancelled.spec.expect("a submission").tasks, 16);
 }
+
+/// The text of stored keys is fixed: other versions read and write the same ones.
+#[test]
+fn stored_keys_keep_their_text() {
+    let id: JobId = "wk-000412".parse().expect("an id");
+    assert_eq!(job_key(&id), "pub/job/wk-000412");
+    assert_eq!(page_key(PageId(0x2900_0001)), "book/0000000029000001");
+    assert_eq!(
+        PageId::of_name("0000000029000001"),
+        Some(PageId(0x2900_0001))
+    );
+    let keys = [SHARED, JOBS, LEADER, SEAT, ADMIN, EPOCH];
+    let recorded = [
+        "pub/",
+        "pub/job/",
+        "pub/leader",
+        "pub/seat",
+        "pub/admin",
+        "epoch",
+    ];
+    assert_eq!(keys, recorded);
+    let keys = [KNOWN, PLACEMENTS, CATALOG, MACHINE_TYPES];
+    assert_eq!(
+        keys,
+        ["pub/known/", "book/", "pub/catalog", "pub/machine-types"]
+    );
+    assert_eq!(LeaderKey::ALL.map(LeaderKey::name), [LEADER, SEAT]);
+}
+
+/// Fields that came after production, as this version writes them.
+#[test]
+fn records_of_this_version_keep_their_fields() {
+    let mut dependent = submission();
+    dependent["awaits"] = json!(["wk-000398"]);
+    round::<JobRecord>(json!({"state":"dependent","submitted":5,"tasks":16,
+        "names_dependencies":true,"spec":dependent}));
+    round::<JobRecord>(json!({"state":"aborted","submitted":5,"cancelled":9,
+        "cancelled_by":"wk-000398","tasks":16,"names_dependencies":true}));
+    round::<JobRecord>(json!({"state":"done","submitted":5,"finished":8,"tasks":16}));
+    round::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7,"format":2}));
+    round::<LeaderRecord>(
+        json!({"node":"deckhand-1","epoch":41,"lease":7,"format":2,"superseded":true}),
+    );
+    round::<KnownRecord>(json!({"known_to":412,"asks":433}));
+}
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -1,6 +1,7 @@
 //! Whole days in a small simulated world, with the protocol's rules as assertions.
 
 mod added;
+mod admin_forms;
 mod answers;
 mod decision_trace;
 mod fleet;
