--- a/crates/controller/src/clients.rs
+++ b/crates/controller/src/clients.rs
@@ -1,11 +1,12 @@
 //! Calls to the outside: the state service, the cloud, workers and peers. Every call has time
 //! limits, and whatever goes wrong becomes an answer that the core can deal with.
 
-use rudderreel_core::{CloudAnswer, CloudCall, DirectOutcome, StateAnswer, StateCall, Value};
+use rudderreel_core::{CloudAnswer, CloudCall, DirectOutcome, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::cloud::MACHINES_PER_PAGE;
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::peer::{
-    Announcement, AnnouncementReply, Forward, Heartbeat, HeartbeatReply, Reports, ReportsReply,
+    Forward, ForwardedReports, ForwardedReportsReply, Heartbeat, HeartbeatReply,
+    ReplicateCancellations, ReplicateCancellationsReply,
 };
 use rudderreel_wire::state::{Committed, Events, Item, Lease, LeaseRequest, Page};
 use rudderreel_wire::worker::DirectCommands;
@@ -102,33 +103,33 @@
 }
 
 /// Calls the state service.
-pub fn call_state(agent: &Agent, addr: SocketAddrV4, call: &StateCall) -> StateAnswer {
+pub fn call_state(agent: &Agent, addr: SocketAddrV4, call: &StoreCall) -> StoreAnswer {
     let reply = match call {
-        StateCall::Get(key) => get(agent, &format!("http://{addr}/keys/{key}")),
-        StateCall::List(prefix, after) => {
+        StoreCall::Get(key) => get(agent, &format!("http://{addr}/keys/{key}")),
+        StoreCall::List(prefix, after) => {
             let after = after
                 .as_ref()
                 .map(|k| format!("&after={k}"))
                 .unwrap_or_default();
             list(agent, &format!("http://{addr}/keys?prefix={prefix}{after}"))
         }
-        StateCall::Commit(transaction) => {
+        StoreCall::Commit(transaction) => {
             post_json(agent, &format!("http://{addr}/commit"), transaction)
         }
-        StateCall::NewLease(ttl_ms) => {
+        StoreCall::NewLease(ttl_ms) => {
             let body = LeaseRequest { ttl_ms: *ttl_ms };
             post_json(agent, &format!("http://{addr}/holds"), &body)
         }
-        StateCall::Renew(id) => post(agent, &format!("http://{addr}/holds/{id}/renew"), b"{}"),
-        StateCall::EndLease(id) => {
+        StoreCall::Renew(id) => post(agent, &format!("http://{addr}/holds/{id}/renew"), b"{}"),
+        StoreCall::EndLease(id) => {
             finish(agent.delete(&format!("http://{addr}/holds/{id}")).call())
         }
     };
     match reply {
         Reply::Status(status, body) => state_answer(call, status, &body),
         // Nothing was sent, so nothing can have been executed.
-        Reply::NotSent => StateAnswer::Refused,
-        Reply::Nothing | Reply::TooLong => StateAnswer::Unknown,
+        Reply::NotSent => StoreAnswer::Refused,
+        Reply::Nothing | Reply::TooLong => StoreAnswer::Unknown,
     }
 }
 
@@ -136,35 +137,35 @@
 /// transaction itself.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-fn state_answer(call: &StateCall, status: u16, body: &[u8]) -> StateAnswer {
+fn state_answer(call: &StoreCall, status: u16, body: &[u8]) -> StoreAnswer {
     match (status, call) {
-        (200, StateCall::Get(_)) => parsed(body, StateAnswer::Unknown, |i: Item<Value>| {
-            StateAnswer::Found(i)
+        (200, StoreCall::Get(_)) => parsed(body, StoreAnswer::Unknown, |i: Item<Value>| {
+            StoreAnswer::Found(i)
         }),
-        (200, StateCall::List(..)) => parsed(body, StateAnswer::Unknown, |p: Page<Value>| {
-            StateAnswer::Page(p)
+        (200, StoreCall::List(..)) => parsed(body, StoreAnswer::Unknown, |p: Page<Value>| {
+            StoreAnswer::Page(p)
         }),
-        (200, StateCall::Commit(_)) => parsed(body, StateAnswer::Unknown, |c: Committed| {
-            StateAnswer::Committed(c.revision)
+        (200, StoreCall::Commit(_)) => parsed(body, StoreAnswer::Unknown, |c: Committed| {
+            StoreAnswer::Committed(c.revision)
         }),
-        (200, StateCall::NewLease(_)) => parsed(body, StateAnswer::Unknown, |l: Lease| {
-            StateAnswer::Lease(l.lease)
+        (200, StoreCall::NewLease(_)) => parsed(body, StoreAnswer::Unknown, |l: Lease| {
+            StoreAnswer::Lease(l.lease)
         }),
-        (200..=204, StateCall::Renew(_) | StateCall::EndLease(_)) => StateAnswer::Done,
-        (404, _) => StateAnswer::Missing,
-        (409, _) => parsed(body, StateAnswer::Unknown, |c: Committed| {
-            StateAnswer::Conflict(c.failed)
+        (200..=204, StoreCall::Renew(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
+        (404, _) => StoreAnswer::Missing,
+        (409, _) => parsed(body, StoreAnswer::Unknown, |c: Committed| {
+            StoreAnswer::Conflict(c.failed)
         }),
-        (400, StateCall::Commit(_)) => {
+        (400, StoreCall::Commit(_)) => {
             let text = String::from_utf8_lossy(body);
             log::warn!("the state service says {text}");
             if text.contains(NO_SUCH_LEASE) {
-                StateAnswer::NoSuchLease
+                StoreAnswer::NoSuchLease
             } else {
-                StateAnswer::Rejected
+                StoreAnswer::Rejected
             }
         }
-        _ => StateAnswer::Refused,
+        _ => StoreAnswer::Refused,
     }
 }
 
@@ -242,7 +243,11 @@
 }
 
 /// Passes workers' reports on to the leader.
-pub fn pass_reports(agent: &Agent, addr: SocketAddrV4, reports: &Reports) -> Option<ReportsReply> {
+pub fn pass_reports(
+    agent: &Agent,
+    addr: SocketAddrV4,
+    reports: &ForwardedReports,
+) -> Option<ForwardedReportsReply> {
     let url = format!("http://{addr}/peer/reports");
     match post(agent, &url, &bitcode::encode(reports)) {
         Reply::Status(200, bytes) => bitcode::decode(&bytes).ok(),
@@ -251,9 +256,13 @@
 }
 
 /// Sends a heartbeat to a peer.
-pub fn heartbeat(agent: &Agent, addr: SocketAddrV4, beat: &Heartbeat) -> Option<HeartbeatReply> {
+pub fn heartbeat(
+    agent: &Agent,
+    addr: SocketAddrV4,
+    heartbeat: &Heartbeat,
+) -> Option<HeartbeatReply> {
     let url = format!("http://{addr}/peer/heartbeat");
-    match post(agent, &url, &bitcode::encode(beat)) {
+    match post(agent, &url, &bitcode::encode(heartbeat)) {
         Reply::Status(200, bytes) => bitcode::decode(&bytes).ok(),
         _ => None,
     }
@@ -263,8 +272,8 @@
 pub fn announce(
     agent: &Agent,
     addr: SocketAddrV4,
-    told: &Announcement,
-) -> Option<AnnouncementReply> {
+    told: &ReplicateCancellations,
+) -> Option<ReplicateCancellationsReply> {
     let url = format!("http://{addr}/peer/announce");
     match post(agent, &url, &bitcode::encode(told)) {
         Reply::Status(200, bytes) => bitcode::decode(&bytes).ok(),
--- a/crates/controller/src/clients/tests.rs
+++ b/crates/controller/src/clients/tests.rs
@@ -11,31 +11,31 @@
         changes: Vec::new(),
     };
     let calls = [
-        StateCall::Get("pub/job/wk-1".into()),
-        StateCall::List("pub/".into(), None),
-        StateCall::Commit(transaction),
-        StateCall::NewLease(3_000),
+        StoreCall::Get("pub/job/wk-1".into()),
+        StoreCall::List("pub/".into(), None),
+        StoreCall::Commit(transaction),
+        StoreCall::NewLease(3_000),
     ];
     for call in &calls {
         for body in [&b""[..], b"{", b"[]", b"{\"entries\":7}", &[0xff, 0xfe]] {
             let answer = state_answer(call, 200, body);
-            assert!(matches!(answer, StateAnswer::Unknown), "{call:?} {body:?}");
+            assert!(matches!(answer, StoreAnswer::Unknown), "{call:?} {body:?}");
         }
         // Not executed, whatever the body says.
         for status in [429, 503] {
             assert!(matches!(
                 state_answer(call, status, b"x"),
-                StateAnswer::Refused
+                StoreAnswer::Refused
             ));
         }
     }
     // A lease that has ended is told from a transaction that is too large.
     let ended = state_answer(&calls[2], 400, b"{\"error\":\"no such lease\"}");
-    assert!(matches!(ended, StateAnswer::NoSuchLease));
+    assert!(matches!(ended, StoreAnswer::NoSuchLease));
     let large = state_answer(&calls[2], 400, b"{\"error\":\"value too large\"}");
-    assert!(matches!(large, StateAnswer::Rejected));
+    assert!(matches!(large, StoreAnswer::Rejected));
     let conflict = state_answer(&calls[2], 409, b"<html>");
-    assert!(matches!(conflict, StateAnswer::Unknown));
+    assert!(matches!(conflict, StoreAnswer::Unknown));
     assert!(!is_full(b"no capacity") && is_full(b"{\"error\":\"no capacity\"}"));
 }
 
@@ -60,9 +60,9 @@
         });
     });
     let agent = agent(CallLimits::of_service(2_000, 20_000));
-    let call = StateCall::List("pub/".into(), None);
+    let call = StoreCall::List("pub/".into(), None);
     match call_state(&agent, addr, &call) {
-        StateAnswer::Page(page) => assert!(page.more && page.revision == Version(7)),
+        StoreAnswer::Page(page) => assert!(page.more && page.revision == Version(7)),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/controller/src/front.rs
+++ b/crates/controller/src/front.rs
@@ -8,7 +8,8 @@
 use crate::requests::{self, Incoming, MAX_BODY};
 use rudderreel_core::{AdminRequest, Input, ReqId, UserRequest};
 use rudderreel_wire::peer::{
-    Announcement, Forward, Heartbeat, PassedSubmission, Reports, SenderVersion, MAX_MESSAGE_BYTES,
+    Forward, ForwardedReports, ForwardedSubmission, Heartbeat, ReplicateCancellations,
+    SenderVersion, MAX_MESSAGE_BYTES,
 };
 use rudderreel_wire::settings::Settings;
 use std::sync::Arc;
@@ -128,7 +129,7 @@
     server.serve(
         |id, request| match requests::front(request.method, request.url, request.body) {
             Ok(Incoming::User(user)) => intake.hand_over(Input::User(id, user)),
-            Ok(Incoming::Report(report)) => intake.hand_over(Input::Report(id, report)),
+            Ok(Incoming::StatusReport(report)) => intake.hand_over(Input::StatusReport(id, report)),
             Ok(Incoming::Health) => intake.hand_over(Input::Health(id)),
             Err(rejected) => {
                 if rejected.status == 400 && request.body.is_some() {
@@ -156,18 +157,18 @@
         return Some(Answer::error(400, "the body is too long"));
     };
     match (request.method, request.url) {
-        ("POST", "/peer/heartbeat") => {
-            intake.message(bytes, |beat: Heartbeat| Input::Heartbeat(id, beat))
-        }
-        ("POST", "/peer/announce") => {
-            intake.message(bytes, |told: Announcement| Input::Announced(id, told))
-        }
-        ("POST", "/peer/reports") => {
-            intake.message(bytes, |reports: Reports| Input::Reports(id, reports))
-        }
+        ("POST", "/peer/heartbeat") => intake.message(bytes, |heartbeat: Heartbeat| {
+            Input::Heartbeat(id, heartbeat)
+        }),
+        ("POST", "/peer/announce") => intake.message(bytes, |told: ReplicateCancellations| {
+            Input::ReplicateCancellations(id, told)
+        }),
+        ("POST", "/peer/reports") => intake.message(bytes, |reports: ForwardedReports| {
+            Input::ForwardedReports(id, reports)
+        }),
         ("POST", "/peer/forward") => match forwarded(bytes) {
             Some(ForwardedTo::User(user, sender)) => {
-                intake.hand_over(Input::Forwarded(id, user, sender))
+                intake.hand_over(Input::ForwardedRequest(id, user, sender))
             }
             Some(ForwardedTo::Admin(ask)) => intake.hand_over(Input::Admin(id, ask, false)),
             None => intake.unreadable("unreadable"),
@@ -215,11 +216,11 @@
     Some(match bitcode::decode::<Forward>(bytes).ok()? {
         Forward::Admin(path) => ForwardedTo::Admin(AdminRequest::of_path(&path)?),
         Forward::Submit(text) => {
-            let PassedSubmission { spec, sender } = PassedSubmission::parse(&text)?;
+            let ForwardedSubmission { spec, sender } = ForwardedSubmission::parse(&text)?;
             ForwardedTo::User(UserRequest::Submit(Box::new(spec)), sender)
         }
         Forward::Status(id) => ForwardedTo::User(UserRequest::Status(id.parse().ok()?), any),
-        Forward::Withdraw(id) => ForwardedTo::User(UserRequest::Withdraw(id.parse().ok()?), any),
+        Forward::Cancel(id) => ForwardedTo::User(UserRequest::Cancel(id.parse().ok()?), any),
     })
 }
 
--- a/crates/controller/src/front/tests.rs
+++ b/crates/controller/src/front/tests.rs
@@ -33,9 +33,9 @@
 #[test]
 fn garbled_messages_of_peers_are_refused() {
     let (core, waiting) = queues();
-    let told = Announcement {
+    let told = ReplicateCancellations {
         from: "n1".into(),
-        known_to: Version(3),
+        cancellation_watermark: Version(3),
         cancelled: Vec::new(),
     };
     let good = bitcode::encode(&told);
@@ -60,7 +60,7 @@
     assert_eq!(ask(&core, "POST", "/peer/announce", Some(&good)), None);
     assert!(matches!(
         waiting[0].try_recv().map(|queued| queued.input),
-        Ok(Input::Announced(ReqId(1), _))
+        Ok(Input::ReplicateCancellations(ReqId(1), _))
     ));
 }
 
@@ -70,7 +70,7 @@
     let (core, waiting) = queues();
     let forward = |f: &Forward| ask(&core, "POST", "/peer/forward", Some(&bitcode::encode(f)));
     assert_eq!(forward(&Forward::Status("wk-".into())), Some(400));
-    assert_eq!(forward(&Forward::Withdraw("../x".into())), Some(400));
+    assert_eq!(forward(&Forward::Cancel("../x".into())), Some(400));
     assert_eq!(
         forward(&Forward::Submit("{\"id\":\"wk-1\"}".into())),
         Some(400)
@@ -80,7 +80,7 @@
     assert_eq!(forward(&Forward::Status("wk-000001".into())), None);
     assert!(matches!(
         waiting[1].try_recv().map(|queued| queued.input),
-        Ok(Input::Forwarded(..))
+        Ok(Input::ForwardedRequest(..))
     ));
 }
 
@@ -88,9 +88,9 @@
 #[test]
 fn what_finds_the_core_full_is_refused() {
     let (core, _waiting) = queues();
-    let reply = Announcement {
+    let reply = ReplicateCancellations {
         from: Epoch(1).to_string(),
-        known_to: Version(3),
+        cancellation_watermark: Version(3),
         cancelled: Vec::new(),
     };
     let bytes = bitcode::encode(&reply);
--- a/crates/controller/src/inputs.rs
+++ b/crates/controller/src/inputs.rs
@@ -87,15 +87,15 @@
     /// See [`InputQueues::users`].
     Users,
     /// See [`InputQueues::reports`].
-    Reports,
+    ForwardedReports,
 }
 
 impl Queue {
     /// The queue for an input.
     fn of(input: &Input) -> Self {
         match input {
-            Input::User(..) | Input::Forwarded(..) | Input::Admin(..) => Self::Users,
-            Input::Report(..) | Input::Reports(..) => Self::Reports,
+            Input::User(..) | Input::ForwardedRequest(..) | Input::Admin(..) => Self::Users,
+            Input::StatusReport(..) | Input::ForwardedReports(..) => Self::ForwardedReports,
             _ => Self::Control,
         }
     }
@@ -107,7 +107,7 @@
         let queue = match Queue::of(&input) {
             Queue::Control => &self.control,
             Queue::Users => &self.users,
-            Queue::Reports => &self.reports,
+            Queue::ForwardedReports => &self.reports,
         };
         queue.offer(input)
     }
@@ -132,8 +132,10 @@
     /// The request whose sender no longer waits for its answer, if that is so.
     pub fn given_up(&self) -> Option<ReqId> {
         let (request, sender_waits) = match &self.input {
-            Input::Report(request, _) => (*request, WORKER_WAITS),
-            Input::Reports(request, _) => (*request, Duration::from_millis(BATCH_WAITS_MS)),
+            Input::StatusReport(request, _) => (*request, WORKER_WAITS),
+            Input::ForwardedReports(request, _) => {
+                (*request, Duration::from_millis(BATCH_WAITS_MS))
+            }
             Input::User(request, UserRequest::Status(_)) => (*request, USER_WAITS),
             _ => return None,
         };
--- a/crates/controller/src/inputs/tests.rs
+++ b/crates/controller/src/inputs/tests.rs
@@ -8,7 +8,10 @@
 
 fn batch(n: u64) -> Input {
     let reports = Vec::new();
-    Input::Reports(ReqId(n), rudderreel_wire::peer::Reports { reports })
+    Input::ForwardedReports(
+        ReqId(n),
+        rudderreel_wire::peer::ForwardedReports { reports },
+    )
 }
 
 /// Heartbeats and answers of the state service shared a queue with users' requests: a storm of those
@@ -32,7 +35,7 @@
     assert_eq!(count(Queue::Control), 100);
     // Neither users nor reports wait for the other.
     assert!(
-        count(Queue::Users) >= 40 && count(Queue::Reports) >= 40,
+        count(Queue::Users) >= 40 && count(Queue::ForwardedReports) >= 40,
         "{taken:?}"
     );
 }
@@ -71,7 +74,7 @@
         assert_eq!(arrived(input, 60_000).given_up(), None);
     }
     let id = "wk-000001".parse().expect("an id");
-    let withdrawal = Input::User(ReqId(1), UserRequest::Withdraw(id));
+    let withdrawal = Input::User(ReqId(1), UserRequest::Cancel(id));
     assert_eq!(arrived(withdrawal, 60_000).given_up(), None);
 }
 
--- a/crates/controller/src/outgoing.rs
+++ b/crates/controller/src/outgoing.rs
@@ -13,7 +13,7 @@
 use peers::{PeerMessage, PeerQueues};
 use rudderreel_core::units::Time;
 use rudderreel_core::{
-    CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StateAnswer, StateCall,
+    CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer, StoreCall,
 };
 use rudderreel_wire::ids::{MachineId, NodeName, Version};
 use rudderreel_wire::settings::Settings;
@@ -53,8 +53,8 @@
 /// Where the core's outputs go.
 pub struct Outgoing {
     open: Open,
-    state: Sender<(CallId, StateCall)>,
-    leases: Sender<(CallId, StateCall)>,
+    state: Sender<(CallId, StoreCall)>,
+    leases: Sender<(CallId, StoreCall)>,
     watch: Sender<Version>,
     cloud: Sender<(CallId, CloudCall)>,
     commands: Sender<WorkerCall>,
@@ -72,10 +72,10 @@
 }
 
 /// Whether a call concerns a lease of this node.
-fn is_about_lease(call: &StateCall) -> bool {
+fn is_about_lease(call: &StoreCall) -> bool {
     matches!(
         call,
-        StateCall::NewLease(_) | StateCall::Renew(_) | StateCall::EndLease(_)
+        StoreCall::NewLease(_) | StoreCall::Renew(_) | StoreCall::EndLease(_)
     )
 }
 
@@ -96,7 +96,7 @@
                 self.open.answer_bytes(req, bitcode::encode(&reply));
                 None
             }
-            Output::AnswerReports(req, reply) => {
+            Output::AnswerForwardedReports(req, reply) => {
                 self.open.answer_bytes(req, bitcode::encode(&reply));
                 None
             }
@@ -107,7 +107,7 @@
                     &self.state
                 };
                 let sent = queue.try_send((id, call)).is_ok();
-                (!sent).then_some(Input::State(id, now, StateAnswer::Refused))
+                (!sent).then_some(Input::State(id, now, StoreAnswer::Refused))
             }
             Output::Watch(after) => {
                 (self.watch.try_send(after).is_err()).then_some(Input::WatchLost)
@@ -119,12 +119,12 @@
                 addr,
                 body,
             } => self.direct(machine, addr, body),
-            Output::Heartbeat(beat) => {
+            Output::Heartbeat(heartbeat) => {
                 for peer in self.peers.values() {
                     // A peer that is still busy with the last one gets the next.
                     let _ = peer
                         .heartbeats
-                        .try_send(PeerMessage::Heartbeat(beat.clone()));
+                        .try_send(PeerMessage::Heartbeat(heartbeat.clone()));
                 }
                 None
             }
@@ -136,23 +136,23 @@
                 });
                 (!sent).then_some(Input::ForwardReply(req, None))
             }
-            Output::AnswerAnnounced(req, reply) => {
+            Output::AnswerReplicateCancellations(req, reply) => {
                 self.open.answer_bytes(req, bitcode::encode(&reply));
                 None
             }
-            Output::Announce(peer, announcement) => {
-                let job = PeerMessage::Announce(peer.clone(), announcement);
+            Output::ReplicateCancellations(peer, announcement) => {
+                let job = PeerMessage::ReplicateCancellations(peer.clone(), announcement);
                 let sent =
                     (self.peers.get(&peer)).is_some_and(|p| p.announcements.try_send(job).is_ok());
-                (!sent).then_some(Input::AnnounceReply(peer, None))
+                (!sent).then_some(Input::ReplicateCancellationsReply(peer, None))
             }
-            Output::PassReports(peer, id, reports) => {
+            Output::ForwardReports(peer, id, reports) => {
                 let sent = (self.peers.get(&peer)).is_some_and(|p| {
                     p.reports
-                        .try_send(PeerMessage::Reports(id, reports))
+                        .try_send(PeerMessage::ForwardedReports(id, reports))
                         .is_ok()
                 });
-                (!sent).then_some(Input::ReportsReply(id, None))
+                (!sent).then_some(Input::ForwardedReportsReply(id, None))
             }
         }
     }
@@ -231,7 +231,7 @@
     addr: SocketAddrV4,
     clock: Clock,
     core: &InputSender,
-) -> Result<Sender<(CallId, StateCall)>, String> {
+) -> Result<Sender<(CallId, StoreCall)>, String> {
     let agent = clients::agent(CallLimits::of_service(400, 1_200));
     start_threads(name, threads, CALLS, core, move |(id, call)| {
         let sent = clock.time();
--- a/crates/controller/src/outgoing/peers.rs
+++ b/crates/controller/src/outgoing/peers.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::Sender;
 use rudderreel_core::{CallId, Input, ReqId};
 use rudderreel_wire::ids::NodeName;
-use rudderreel_wire::peer::{Announcement, Forward, Heartbeat, Reports};
+use rudderreel_wire::peer::{Forward, ForwardedReports, Heartbeat, ReplicateCancellations};
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -21,8 +21,8 @@
 pub(super) enum PeerMessage {
     Heartbeat(Heartbeat),
     Forward(ReqId, Forward),
-    Reports(CallId, Reports),
-    Announce(NodeName, Announcement),
+    ForwardedReports(CallId, ForwardedReports),
+    ReplicateCancellations(NodeName, ReplicateCancellations),
 }
 
 /// How messages of one kind go to a peer.
@@ -88,16 +88,16 @@
     let agent = clients::agent(CallLimits::of_service(PEER_CONNECT_MS, calls.whole_ms));
     start_threads("peer", calls.threads, calls.waiting, core, move |message| {
         Some(match message {
-            PeerMessage::Heartbeat(beat) => {
+            PeerMessage::Heartbeat(heartbeat) => {
                 let sent = clock.time();
                 // One without an answer says nothing.
-                Input::HeartbeatReply(sent, clients::heartbeat(&agent, addr, &beat)?)
+                Input::HeartbeatReply(sent, clients::heartbeat(&agent, addr, &heartbeat)?)
             }
-            PeerMessage::Reports(id, reports) => {
-                Input::ReportsReply(id, clients::pass_reports(&agent, addr, &reports))
+            PeerMessage::ForwardedReports(id, reports) => {
+                Input::ForwardedReportsReply(id, clients::pass_reports(&agent, addr, &reports))
             }
-            PeerMessage::Announce(peer, told) => {
-                Input::AnnounceReply(peer, clients::announce(&agent, addr, &told))
+            PeerMessage::ReplicateCancellations(peer, told) => {
+                Input::ReplicateCancellationsReply(peer, clients::announce(&agent, addr, &told))
             }
             PeerMessage::Forward(req, request) => {
                 Input::ForwardReply(req, clients::forward(&agent, addr, &request))
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use rudderreel_wire::ids::{Epoch, Session};
-use rudderreel_wire::peer::{Announcement, Forward, Reports};
+use rudderreel_wire::ids::{Epoch, Incarnation};
+use rudderreel_wire::peer::{Forward, ForwardedReports, ReplicateCancellations};
 
 /// Channels that take nothing.
 fn full() -> Outgoing {
@@ -23,7 +23,7 @@
     let (outgoing, now, id) = (full(), Time(1), CallId(7));
     let body = DirectCommands {
         token: Epoch(1),
-        session: Session(1),
+        incarnation: Incarnation(1),
         commands: Vec::new(),
     };
     let direct = Output::Direct {
@@ -31,23 +31,23 @@
         addr: "10.0.0.1:1".into(),
         body,
     };
-    let reports = Reports {
+    let reports = ForwardedReports {
         reports: Vec::new(),
     };
-    let announcement = Announcement {
+    let announcement = ReplicateCancellations {
         from: "n0".into(),
-        known_to: Version(1),
+        cancellation_watermark: Version(1),
         cancelled: Vec::new(),
     };
     let answers: Vec<Option<Input>> = [
-        Output::State(id, StateCall::Get("epoch".into())),
-        Output::State(id, StateCall::NewLease(3_000)),
+        Output::State(id, StoreCall::Get("epoch".into())),
+        Output::State(id, StoreCall::NewLease(3_000)),
         Output::Watch(Version(3)),
         Output::Cloud(id, CloudCall::Catalog),
         direct,
-        Output::PassReports("n1".into(), id, reports),
+        Output::ForwardReports("n1".into(), id, reports),
         Output::Forward("n1".into(), ReqId(5), Forward::Status("wk-1".into())),
-        Output::Announce("n1".into(), announcement),
+        Output::ReplicateCancellations("n1".into(), announcement),
     ]
     .into_iter()
     .map(|output| outgoing.send(output, now))
@@ -55,14 +55,14 @@
     assert!(matches!(
         answers.as_slice(),
         [
-            Some(Input::State(CallId(7), _, StateAnswer::Refused)),
-            Some(Input::State(CallId(7), _, StateAnswer::Refused)),
+            Some(Input::State(CallId(7), _, StoreAnswer::Refused)),
+            Some(Input::State(CallId(7), _, StoreAnswer::Refused)),
             Some(Input::WatchLost),
             Some(Input::Cloud(CallId(7), CloudAnswer::Refused)),
             Some(Input::Direct(_, _, DirectOutcome::NotCalled)),
-            Some(Input::ReportsReply(CallId(7), None)),
+            Some(Input::ForwardedReportsReply(CallId(7), None)),
             Some(Input::ForwardReply(ReqId(5), None)),
-            Some(Input::AnnounceReply(_, None)),
+            Some(Input::ReplicateCancellationsReply(_, None)),
         ]
     ));
 }
@@ -74,7 +74,7 @@
     let outgoing = Outgoing { leases, ..full() };
     let renew = Output::State(
         CallId(8),
-        StateCall::Renew(rudderreel_wire::ids::LeaseId(3)),
+        StoreCall::Renew(rudderreel_wire::ids::LeaseId(3)),
     );
     assert!(outgoing.send(renew, Time(1)).is_none());
     assert_eq!(renewals.len(), 1);
--- a/crates/controller/src/requests.rs
+++ b/crates/controller/src/requests.rs
@@ -3,7 +3,7 @@
 use rudderreel_core::UserRequest;
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::JobSpec;
-use rudderreel_wire::worker::Report;
+use rudderreel_wire::worker::StatusReport;
 
 /// The largest request body.
 pub const MAX_BODY: usize = 64 * 1024;
@@ -14,7 +14,7 @@
     /// A user's request.
     User(UserRequest),
     /// A worker's report.
-    Report(Box<Report>),
+    StatusReport(Box<StatusReport>),
     /// A health check.
     Health,
 }
@@ -57,14 +57,14 @@
         ["v1", "jobs", id, "withdraw"] => {
             only(method, "POST")?;
             match id.parse::<JobId>() {
-                Ok(id) => Ok(Incoming::User(UserRequest::Withdraw(id))),
+                Ok(id) => Ok(Incoming::User(UserRequest::Cancel(id))),
                 Err(e) => rejected(404, e.to_string()),
             }
         }
         ["v1", "report"] => {
             only(method, "POST")?;
             match serde_json::from_slice(within(body)?) {
-                Ok(report) => Ok(Incoming::Report(Box::new(report))),
+                Ok(report) => Ok(Incoming::StatusReport(Box::new(report))),
                 Err(e) => rejected(400, e.to_string()),
             }
         }
--- a/crates/controller/src/shell.rs
+++ b/crates/controller/src/shell.rs
@@ -7,7 +7,7 @@
 use crate::process_limits;
 use crate::process_usage::Allowance;
 use rudderreel_core::units::Span;
-use rudderreel_core::{Core, Input, ProcessorShare};
+use rudderreel_core::{Input, Node, ProcessorShare};
 use rudderreel_wire::settings::Settings;
 use std::time::{Duration, Instant};
 
@@ -38,12 +38,12 @@
     log::info!("node {} serves at {}", settings.node, settings.listen);
     let tick = ProcessorShare::of(&settings).stretched(TICK);
     let tick = Duration::from_millis(tick.0);
-    run_core(Core::new(settings), inputs, &outgoing, clock, tick);
+    run_core(Node::new(settings), inputs, &outgoing, clock, tick);
     Ok(())
 }
 
 /// Hands inputs to the core, and the time, for ever.
-fn run_core(mut core: Core, mut inputs: Inputs, outgoing: &Outgoing, clock: Clock, tick: Duration) {
+fn run_core(mut core: Node, mut inputs: Inputs, outgoing: &Outgoing, clock: Clock, tick: Duration) {
     let mut next_tick = Instant::now();
     // Answers to calls that could not be made. A call that is never answered would be waited for
     // for ever.
@@ -75,7 +75,7 @@
 }
 
 /// One step of the core; returns the answers to calls that could not be made.
-fn step(core: &mut Core, input: Input, outgoing: &Outgoing, clock: Clock) -> Vec<Input> {
+fn step(core: &mut Node, input: Input, outgoing: &Outgoing, clock: Clock) -> Vec<Input> {
     let now = clock.now();
     let kind = log::log_enabled!(log::Level::Debug).then(|| std::mem::discriminant(&input));
     let outputs = core.step(input, now);
--- a/crates/controller/tests/loopback/controller.rs
+++ b/crates/controller/tests/loopback/controller.rs
@@ -1,7 +1,7 @@
 //! Real controllers as child processes.
 
 use crate::stand_ins::Outside;
-use crate::workers::{LEASE, REPORT};
+use crate::workers::{LEADER_LEASE_TTL, REPORT};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -84,7 +84,7 @@
         cancel_s = 20.0\n[params.state]\nrps = 600.0\nwrite_rps = 200.0\nvalue_kb = 32.0\ntxn_ops = 20\n\
         [params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.machine_limits]\nfd_limit = {}\n",
         REPORT.as_secs_f64(),
-        LEASE.as_secs_f64(),
+        LEADER_LEASE_TTL.as_secs_f64(),
         deployment.sockets
     );
     text
--- a/crates/controller/tests/loopback/fleet.rs
+++ b/crates/controller/tests/loopback/fleet.rs
@@ -4,8 +4,8 @@
 use crate::history::History;
 use crate::stand_ins::Outside;
 use crate::workers::Shared;
-use rudderreel_wire::ids::{Epoch, Seq, Session};
-use rudderreel_wire::worker::Report;
+use rudderreel_wire::ids::{Epoch, Incarnation, Seq};
+use rudderreel_wire::worker::StatusReport;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -69,13 +69,13 @@
 }
 
 fn report(n: usize, seq: u64) -> String {
-    let report = Report {
+    let report = StatusReport {
         machine: format!("vm-{n:06}").as_str().into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
-        session: Session(1),
+        incarnation: Incarnation(1),
         seq: Seq(seq),
         token: Epoch(0),
         notice_s: None,
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -2,7 +2,7 @@
 
 use crate::stores::{Cloud, Limits, Store};
 use crate::workers::{Shared, Worker};
-use rudderreel_core::{CloudAnswer, CloudCall, StateAnswer, StateCall, Value};
+use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::{LeaseId, MachineId, Version};
 use rudderreel_wire::state::{Committed, Events, Lease, LeaseRequest};
 use serde::de::DeserializeOwned;
@@ -20,7 +20,7 @@
 const WATCH_LOOKS: Duration = Duration::from_millis(5);
 
 /// How often a thread looks whether the test is over.
-const LOOK: Duration = Duration::from_millis(50);
+const LEADER_KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long machines take to come up, at least and at most.
 const BOOT_MS: (u64, u64) = (200, 500);
 
@@ -112,7 +112,7 @@
         let (server, stand_ins, answer) = (server.clone(), stand_ins.clone(), answer.clone());
         std::thread::spawn(move || {
             while !stand_ins.is_over() {
-                let Ok(Some(mut request)) = server.recv_timeout(LOOK) else {
+                let Ok(Some(mut request)) = server.recv_timeout(LEADER_KEY_POLL_INTERVAL) else {
                     continue;
                 };
                 let mut body = String::new();
@@ -192,13 +192,13 @@
             (Method::Get, ["changes"]) => return self.watch(controller, url),
             (Method::Get, ["keys"]) => {
                 let after = url.query.get("after").cloned();
-                StateCall::List(url.text("prefix"), after)
+                StoreCall::List(url.text("prefix"), after)
             }
-            (Method::Get, ["keys", key @ ..]) => StateCall::Get(key.join("/")),
-            (Method::Post, ["commit"]) => StateCall::Commit(read(body)),
-            (Method::Post, ["holds"]) => StateCall::NewLease(read::<LeaseRequest>(body).ttl_ms),
-            (Method::Post, ["holds", id, "renew"]) => StateCall::Renew(lease_id(id)),
-            (Method::Delete, ["holds", id]) => StateCall::EndLease(lease_id(id)),
+            (Method::Get, ["keys", key @ ..]) => StoreCall::Get(key.join("/")),
+            (Method::Post, ["commit"]) => StoreCall::Commit(read(body)),
+            (Method::Post, ["holds"]) => StoreCall::NewLease(read::<LeaseRequest>(body).ttl_ms),
+            (Method::Post, ["holds", id, "renew"]) => StoreCall::Renew(lease_id(id)),
+            (Method::Delete, ["holds", id]) => StoreCall::EndLease(lease_id(id)),
             _ => panic!("{method} {}", url.path),
         };
         let answer = self.store().call(&call, self.now());
@@ -275,7 +275,7 @@
                     workers.insert(id, worker);
                 }
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(LEADER_KEY_POLL_INTERVAL);
         }
     }
 }
@@ -284,24 +284,24 @@
     LeaseId(text.parse().expect("a lease"))
 }
 
-fn state_answer(answer: StateAnswer) -> Answer {
+fn state_answer(answer: StoreAnswer) -> Answer {
     let no_such_lease = || (400, "{\"error\":\"no such lease\"}".to_string());
     match answer {
-        StateAnswer::Found(item) => json(200, &item),
-        StateAnswer::Missing => (404, "{\"logline\":0}".into()),
-        StateAnswer::Page(page) => json(200, &page),
-        StateAnswer::Committed(revision) => {
+        StoreAnswer::Found(item) => json(200, &item),
+        StoreAnswer::Missing => (404, "{\"logline\":0}".into()),
+        StoreAnswer::Page(page) => json(200, &page),
+        StoreAnswer::Committed(revision) => {
             let failed = Vec::new();
             json(200, &Committed { revision, failed })
         }
-        StateAnswer::Conflict(failed) => {
+        StoreAnswer::Conflict(failed) => {
             let revision = Version(0);
             json(409, &Committed { revision, failed })
         }
-        StateAnswer::Lease(lease) => json(200, &Lease { lease }),
-        StateAnswer::Done => (200, "{}".into()),
-        StateAnswer::NoSuchLease => no_such_lease(),
-        StateAnswer::Rejected => (400, "{\"error\":\"too large\"}".into()),
-        StateAnswer::Refused | StateAnswer::Unknown => (503, "{}".into()),
+        StoreAnswer::Lease(lease) => json(200, &Lease { lease }),
+        StoreAnswer::Done => (200, "{}".into()),
+        StoreAnswer::NoSuchLease => no_such_lease(),
+        StoreAnswer::Rejected => (400, "{\"error\":\"too large\"}".into()),
+        StoreAnswer::Refused | StoreAnswer::Unknown => (503, "{}".into()),
     }
 }
--- a/crates/controller/tests/loopback/team_limits.rs
+++ b/crates/controller/tests/loopback/team_limits.rs
@@ -139,11 +139,13 @@
 /// One trouble: the leader or any controller freezes, ends, or is refused by the state service.
 fn trouble(rng: &mut StdRng, controllers: &mut [Controller], outside: &Outside) {
     let leader = outside.leader();
-    let leading = controllers
+    let leadership_condition = controllers
         .iter()
         .position(|c| Some(&c.name) == leader.as_ref());
     let any = rng.random_range(0..controllers.len());
-    let at = leading.filter(|_| rng.random_bool(0.7)).unwrap_or(any);
+    let at = leadership_condition
+        .filter(|_| rng.random_bool(0.7))
+        .unwrap_or(any);
     match rng.random_range(0..3) {
         0 => {
             controllers[at].freeze();
--- a/crates/controller/tests/loopback/workers.rs
+++ b/crates/controller/tests/loopback/workers.rs
@@ -3,10 +3,10 @@
 use crate::history::{Change, Event, History};
 use rudderreel_core::Value;
 use rudderreel_wire::cloud::Rent;
-use rudderreel_wire::ids::{Attempt, Epoch, JobId, MachineId, Seq, Session, TaskId};
+use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::worker::{
-    Cause, Command, DirectCommands, Report, ReportReply, TaskReport, TaskState,
+    Cause, Command, DirectCommands, StatusReport, StatusReportReply, TaskState, TaskStatus,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
 
 /// Interval of reports, and how long a lease lasts.
 pub const REPORT: Duration = Duration::from_millis(500);
-pub const LEASE: Duration = Duration::from_secs(6);
+pub const LEADER_LEASE_TTL: Duration = Duration::from_secs(6);
 /// How long a worker waits for an answer, and before it tries another node.
 const ANSWER: Duration = Duration::from_secs(4);
 const NEXT_NODE: Duration = Duration::from_millis(300);
 /// How often it looks for tasks that are over.
-const LOOK: Duration = Duration::from_millis(20);
+const LEADER_KEY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What all workers share.
 pub struct Shared {
@@ -45,7 +45,7 @@
 
 /// What a worker knows.
 struct Memory {
-    session: Session,
+    incarnation: Incarnation,
     seq: u64,
     token: Epoch,
     /// When the last answered report was sent.
@@ -69,7 +69,7 @@
         let server = Server::http("127.0.0.1:0").expect("it listens");
         let addr = server.server_addr().to_ip().expect("an address");
         let memory = Memory {
-            session: Session(1),
+            incarnation: Incarnation(1),
             seq: 0,
             token: Epoch(0),
             answered: Instant::now(),
@@ -105,7 +105,7 @@
     fn current(&self) -> MutexGuard<'_, Memory> {
         let mut memory = self.memory.lock().expect("the memory");
         let now = Instant::now();
-        let lease_end = memory.answered + LEASE;
+        let lease_end = memory.answered + LEADER_LEASE_TTL;
         let over = now.min(lease_end);
         let ended: Vec<TaskId> = (memory.tasks.iter_mut())
             .filter(|(_, task)| task.state == TaskState::Running)
@@ -120,7 +120,7 @@
         }
         if now > lease_end && !self.is_gone() {
             self.clear(&mut memory, lease_end);
-            memory.session.0 += 1;
+            memory.incarnation.0 += 1;
             memory.answered = now;
         }
         memory
@@ -147,22 +147,22 @@
         });
     }
 
-    fn report(&self, memory: &mut Memory) -> Report {
+    fn report(&self, memory: &mut Memory) -> StatusReport {
         memory.seq += 1;
-        let listed = |((task, attempt), at): (&(TaskId, Attempt), &Task)| TaskReport {
+        let listed = |((task, attempt), at): (&(TaskId, Attempt), &Task)| TaskStatus {
             task: task.clone(),
             attempt: *attempt,
             state: at.state,
             why: at.why,
             saved: None,
         };
-        Report {
+        StatusReport {
             machine: self.id.clone(),
             addr: self.addr.to_string(),
             machine_type: self.rent.machine_type.clone(),
             zone: self.rent.zone.clone(),
             spot: self.rent.spot,
-            session: memory.session,
+            incarnation: memory.incarnation,
             seq: Seq(memory.seq),
             token: memory.token,
             notice_s: None,
@@ -213,7 +213,7 @@
     /// Answers direct commands.
     fn take_commands(&self, server: &Server) {
         while !self.is_gone() {
-            let Ok(Some(mut request)) = server.recv_timeout(LOOK) else {
+            let Ok(Some(mut request)) = server.recv_timeout(LEADER_KEY_POLL_INTERVAL) else {
                 drop(self.current());
                 continue;
             };
@@ -223,7 +223,7 @@
             }
             let direct: DirectCommands = serde_json::from_str(&body).expect("commands");
             let mut memory = self.current();
-            let meant = direct.token >= memory.token && direct.session == memory.session;
+            let meant = direct.token >= memory.token && direct.incarnation == memory.incarnation;
             if meant && !self.is_gone() {
                 memory.token = direct.token;
                 self.obey(&mut memory, &direct.commands);
@@ -261,11 +261,11 @@
     }
 
     fn report_once(&self, agent: &Agent, addr: SocketAddr) -> Outcome {
-        let (text, session, sent) = {
+        let (text, incarnation, sent) = {
             let mut memory = self.current();
             let report = self.report(&mut memory);
             let text = serde_json::to_string(&report).expect("JSON");
-            (text, memory.session, Instant::now())
+            (text, memory.incarnation, Instant::now())
         };
         let url = format!("http://{addr}/v1/report");
         let Ok(mut response) = agent.post(&url).send(text.as_bytes()) else {
@@ -280,9 +280,9 @@
             let name = value["harbour"].as_str().map(str::to_string);
             return Outcome::Elsewhere(name.filter(|_| status == 421));
         }
-        let reply: ReportReply = serde_json::from_str(&body).expect("a reply");
+        let reply: StatusReportReply = serde_json::from_str(&body).expect("a reply");
         let mut memory = self.current();
-        let meant = reply.token >= memory.token && session == memory.session;
+        let meant = reply.token >= memory.token && incarnation == memory.incarnation;
         if meant && sent.elapsed() < ANSWER && !self.is_gone() {
             memory.token = reply.token;
             memory.answered = memory.answered.max(sent);
--- a/crates/core/src/acceptance.rs
+++ b/crates/core/src/acceptance.rs
@@ -5,12 +5,12 @@
 //! checked before. The same commit confirms that none of what it depends on, directly or through
 //! others, was cancelled meanwhile; a job that names a cancelled one is accepted as cancelled.
 
-use crate::core::Core;
 use crate::dependencies::Ancestry;
-use crate::io::{error_body, json, StateAnswer, StateCall, UserRequest};
+use crate::io::{error_body, json, StoreAnswer, StoreCall, UserRequest};
+use crate::node::Node;
 use crate::records::{job_key, JobRecord, JOBS};
 use crate::units::{Now, Resources};
-use crate::user_requests::{UserStep, Waiting, PATIENCE};
+use crate::user_requests::{UserCall, Waiting, PATIENCE};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::{JobAnswer, JobSpec, JobState, Kind};
 use rudderreel_wire::state::{Change, Condition, Transaction};
@@ -53,7 +53,7 @@
     version: Version,
     record: &JobRecord,
     others: &BTreeMap<JobId, Version>,
-) -> StateCall {
+) -> StoreCall {
     let key = job_key(id);
     let mut conditions = vec![Condition {
         key: key.clone(),
@@ -63,7 +63,7 @@
         key: job_key(id),
         version,
     }));
-    StateCall::Commit(Transaction {
+    StoreCall::Commit(Transaction {
         conditions,
         changes: vec![Change::Put {
             key,
@@ -73,7 +73,7 @@
     })
 }
 
-impl Core {
+impl Node {
     /// Why a job can never run; none if that can't be decided yet.
     pub(crate) fn never_runs(&self, spec: &JobSpec) -> Option<Result<(), NeverRuns>> {
         let catalog = self.catalog.as_ref()?;
@@ -163,12 +163,12 @@
         }
         let call = put_job(&id, Version(0), &record, &unfinished);
         let job = NewJob { record, confirmed };
-        self.user_call(call, UserStep::Create(waiting, Box::new(job)));
+        self.user_call(call, UserCall::Create(waiting, Box::new(job)));
     }
 
     fn read_dependency(&mut self, waiting: Waiting, id: JobId) {
-        let call = StateCall::Get(job_key(&id));
-        self.user_call(call, UserStep::ReadDependency(waiting, id));
+        let call = StoreCall::Get(job_key(&id));
+        self.user_call(call, UserCall::ReadDependency(waiting, id));
     }
 
     /// The answer to a read of a job that a submission depends on.
@@ -176,19 +176,19 @@
         &mut self,
         waiting: Waiting,
         id: JobId,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
                     return self.refuse(waiting.req, "unreadable record");
                 };
                 self.job_cache.learn_job(id, item.version, record);
             }
             // It was read before what the cache has learned since.
-            StateAnswer::Missing if self.job_cache.jobs.contains_key(&id) => {}
-            StateAnswer::Missing => {
+            StoreAnswer::Missing if self.job_cache.jobs.contains_key(&id) => {}
+            StoreAnswer::Missing => {
                 let text = format!("the job depends on {id}, which was never accepted");
                 return self.answer(waiting.req, 422, error_body(&text));
             }
@@ -205,11 +205,11 @@
         &mut self,
         waiting: Waiting,
         job: NewJob,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
         match answer {
-            StateAnswer::Committed(version) => {
+            StoreAnswer::Committed(version) => {
                 let id = waiting.job().clone();
                 self.job_cache.learn_job(id.clone(), version, job.record);
                 // Another node may have read it and cancelled it meanwhile, or what it depends on.
@@ -220,9 +220,9 @@
                 let state = JobState::Queued;
                 self.answer(waiting.req, 201, json(&JobAnswer { id, state }));
             }
-            StateAnswer::Conflict(keys) => self.creation_conflicts(waiting, &keys, now),
+            StoreAnswer::Conflict(keys) => self.creation_conflicts(waiting, &keys, now),
             // It may have been created, or may yet be: reading or creating it again is safe.
-            StateAnswer::Unknown => self.again(waiting, now),
+            StoreAnswer::Unknown => self.again(waiting, now),
             _ => self.forward_or_refuse(waiting, now),
         }
     }
--- a/crates/core/src/actions/allocate.rs
+++ b/crates/core/src/actions/allocate.rs
@@ -6,7 +6,7 @@
 
 use super::{fit, gather};
 use crate::job::Job;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::snapshot::{is_bound, Snapshot};
 use crate::statement::{Placement, Statement};
 use crate::tree::amounts;
@@ -57,18 +57,18 @@
 
 /// Jobs waiting, by team, in order.
 fn queues<'a>(
-    lead: &Lead,
-    picture: &Snapshot,
+    leader: &Leader,
+    snapshot: &Snapshot,
     waiting: &[&'a Job],
     firm: bool,
 ) -> BTreeMap<usize, VecDeque<&'a Job>> {
     let mut queues: BTreeMap<usize, VecDeque<&Job>> = BTreeMap::new();
     for &job in waiting {
-        let placed = picture.taken(&job.spec.id) >= job.free_tasks() as usize;
-        if placed || job.evictable() == firm {
+        let placed = snapshot.taken(&job.spec.id) >= job.free_tasks() as usize;
+        if placed || job.is_preemptible() == firm {
             continue;
         }
-        if let Some(leaf) = lead.tree.find(&job.spec.team) {
+        if let Some(leaf) = leader.tree.find(&job.spec.team) {
             queues.entry(leaf).or_default().push_back(job);
         }
     }
@@ -77,31 +77,35 @@
 
 /// Places work that can't be evicted. With `picky`, what can't wait for a fetch is left alone where its
 /// image is not at hand: room may yet be made for it where it is.
-pub fn allocate_firm(
-    lead: &Lead,
-    picture: &mut Snapshot,
+pub fn allocate_non_preemptible(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     waiting: &[&Job],
     picky: bool,
 ) -> Vec<Placement> {
-    allocate_tier(lead, picture, waiting, true, picky)
+    allocate_tier(leader, snapshot, waiting, true, picky)
 }
 
 /// Places what can be evicted, after all that can't: also after what went without its image, or on
 /// machines that have just come up it would find no room left.
-pub fn allocate_rest(lead: &Lead, picture: &mut Snapshot, waiting: &[&Job]) -> Vec<Placement> {
-    picture.hold_reserve(lead);
-    gather::keep_room(lead, picture, waiting);
-    allocate_tier(lead, picture, waiting, false, false)
+pub fn allocate_preemptible(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    waiting: &[&Job],
+) -> Vec<Placement> {
+    snapshot.hold_reserve(leader);
+    gather::keep_room(leader, snapshot, waiting);
+    allocate_tier(leader, snapshot, waiting, false, false)
 }
 
 fn allocate_tier(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     waiting: &[&Job],
     firm: bool,
     picky: bool,
 ) -> Vec<Placement> {
-    let mut queues = queues(lead, picture, waiting, firm);
+    let mut queues = queues(leader, snapshot, waiting, firm);
     let mut refused: HashSet<Shape> = HashSet::new();
     let mut placed = Vec::new();
     let rank: HashMap<&JobId, usize> = (waiting.iter().enumerate())
@@ -111,20 +115,20 @@
         let next = (queues.iter())
             .filter_map(|(&leaf, queue)| Some((leaf, *queue.front()?)))
             .min_by_key(|(leaf, job)| {
-                let overdue = lead.is_overdue(job, picture.now.wall);
-                let over = picture.saturation(*leaf) >= 1.0;
+                let overdue = leader.is_overdue(job, snapshot.now.wall);
+                let over = snapshot.saturation(*leaf) >= 1.0;
                 (over && !overdue, rank.get(&job.spec.id).copied())
             });
         let Some((leaf, job)) = next else {
             return placed;
         };
-        let shape = Shape::of(job, picture.now.time);
+        let shape = Shape::of(job, snapshot.now.time);
         let mut done = refused.contains(&shape);
         if !done {
-            let got = place_some(lead, picture, job, picky);
-            let more = job.free_tasks() as usize > picture.taken(&job.spec.id);
+            let got = place_some(leader, snapshot, job, picky);
+            let more = job.free_tasks() as usize > snapshot.taken(&job.spec.id);
             let full = got.is_empty() || (got.len() < CHUNK && more);
-            if full && limits_allow(lead, picture, job) {
+            if full && limits_allow(leader, snapshot, job) {
                 refused.insert(shape);
             }
             placed.extend(got);
@@ -138,47 +142,47 @@
     }
 }
 
-fn limits_allow(lead: &Lead, picture: &Snapshot, job: &Job) -> bool {
-    picture.within_limits(lead, job, &amounts(&job.need))
+fn limits_allow(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
+    snapshot.within_limits(leader, job, &amounts(&job.need))
 }
 
 /// Places some tasks of a job; a gang whole or not at all.
-fn place_some(lead: &Lead, picture: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
+fn place_some(leader: &Leader, snapshot: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
     match job.spec.kind {
-        Kind::Gang => place_gang(lead, picture, job),
-        Kind::Array if !is_bound(&job.spec) => place_alike(lead, picture, job),
-        _ => place_each(lead, picture, job, picky),
+        Kind::Gang => place_gang(leader, snapshot, job),
+        Kind::Array if !is_bound(&job.spec) => place_alike(leader, snapshot, job),
+        _ => place_each(leader, snapshot, job, picky),
     }
 }
 
 /// Tasks of which each changes where the next may go.
-fn place_each(lead: &Lead, picture: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
-    let skip = picture.taken(&job.spec.id);
+fn place_each(leader: &Leader, snapshot: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
+    let skip = snapshot.taken(&job.spec.id);
     let mut statement = Statement::default();
     for index in job.next_free(skip, CHUNK) {
-        if !limits_allow(lead, picture, job) {
+        if !limits_allow(leader, snapshot, job) {
             break;
         }
-        let Some(at) = fit::best(lead, picture, job, picky) else {
+        let Some(at) = fit::best(leader, snapshot, job, picky) else {
             break;
         };
-        statement.place(lead, picture, job, index, at);
+        statement.place(leader, snapshot, job, index, at);
     }
     statement.commit()
 }
 
 /// Tasks that are alike: the machines are ranked once and filled one after the other.
-fn place_alike(lead: &Lead, picture: &mut Snapshot, job: &Job) -> Vec<Placement> {
-    let skip = picture.taken(&job.spec.id);
+fn place_alike(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
+    let skip = snapshot.taken(&job.spec.id);
     let mut indexes = job.next_free(skip, CHUNK).into_iter().peekable();
     let mut statement = Statement::default();
-    for (at, count) in fit::ranked(lead, picture, job, None) {
+    for (at, count) in fit::ranked(leader, snapshot, job, None) {
         for _ in 0..count {
-            if !limits_allow(lead, picture, job) {
+            if !limits_allow(leader, snapshot, job) {
                 return statement.commit();
             }
             match indexes.next() {
-                Some(index) => statement.place(lead, picture, job, index, at),
+                Some(index) => statement.place(leader, snapshot, job, index, at),
                 None => return statement.commit(),
             }
         }
@@ -191,22 +195,22 @@
 
 /// A gang that must be in one zone is tried in each, the one where most of its machines have the
 /// image, and suit it, first.
-fn place_gang(lead: &Lead, picture: &mut Snapshot, job: &Job) -> Vec<Placement> {
+fn place_gang(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
     let want = job.spec.tasks;
     let zones: Vec<Option<usize>> = if job.spec.one_zone {
-        (0..picture.zone_names.len()).map(Some).collect()
+        (0..snapshot.zone_names.len()).map(Some).collect()
     } else {
         vec![None]
     };
-    let image = picture.image(&job.spec.image);
+    let image = snapshot.image(&job.spec.image);
     let mut best: Option<(usize, Vec<(usize, u32)>)> = None;
     for zone in zones {
-        let ranked = fit::ranked(lead, picture, job, zone);
+        let ranked = fit::ranked(leader, snapshot, job, zone);
         if ranked.iter().map(|(_, n)| u64::from(*n)).sum::<u64>() < u64::from(want) {
             continue;
         }
         let cold = |&(i, _): &(usize, u32)| {
-            let images = &picture.spots[i].images;
+            let images = &snapshot.candidates[i].images;
             !image.is_some_and(|no| images.contains(&no))
         };
         let fetches = ranked
@@ -224,14 +228,14 @@
     let mut statement = Statement::default();
     let places = (ranked.into_iter()).flat_map(|(at, n)| std::iter::repeat_n(at, n as usize));
     for (index, at) in (0..want).zip(places) {
-        if !limits_allow(lead, picture, job) {
+        if !limits_allow(leader, snapshot, job) {
             break;
         }
-        statement.place(lead, picture, job, index, at);
+        statement.place(leader, snapshot, job, index, at);
     }
     if statement.len() == want as usize {
         return statement.commit();
     }
-    statement.discard(lead, picture, job);
+    statement.discard(leader, snapshot, job);
     Vec::new()
 }
--- a/crates/core/src/actions/consolidate.rs
+++ b/crates/core/src/actions/consolidate.rs
@@ -7,8 +7,8 @@
 
 use super::evict::{Eviction, Scenario};
 use super::fit;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Phase};
+use crate::leader::Leader;
+use crate::placement_tracking::{Phase, PlacedTask};
 use crate::snapshot::Snapshot;
 use crate::statement::Statement;
 use crate::units::{Resources, Span};
@@ -26,19 +26,19 @@
 /// Moves replicas off the machine that is easiest to empty. Returns that machine, which gets
 /// nothing new meanwhile.
 pub fn consolidate(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     scenario: &mut Scenario,
 ) -> Option<MachineId> {
     // Only a machine that holds nothing but replicas can be emptied by moving them.
-    let mut order: Vec<usize> = (0..picture.spots.len())
+    let mut order: Vec<usize> = (0..snapshot.candidates.len())
         .filter(|&i| {
-            let spot = &picture.spots[i];
-            spot.replicas > 0 && spot.evictable == Resources::default()
+            let spot = &snapshot.candidates[i];
+            spot.replicas > 0 && spot.is_preemptible == Resources::default()
         })
         .collect();
     order.sort_by_key(|&i| {
-        let spot = &picture.spots[i];
+        let spot = &snapshot.candidates[i];
         (
             (spot.room - spot.free).cpus,
             std::cmp::Reverse(spot.room.cpus),
@@ -47,11 +47,11 @@
     order
         .into_iter()
         .take(TRIES)
-        .find_map(|at| empty_out(lead, picture, scenario, at))
+        .find_map(|at| empty_out(leader, snapshot, scenario, at))
 }
 
-fn movable(lead: &Lead, picture: &Snapshot, entry: &Entry) -> bool {
-    let job = lead.jobs.get(&entry.task.job);
+fn movable(leader: &Leader, snapshot: &Snapshot, entry: &PlacedTask) -> bool {
+    let job = leader.jobs.get(&entry.task.job);
     let alone = |j: &crate::job::Job| {
         j.places
             .get(&entry.task.index)
@@ -60,49 +60,54 @@
     job.is_some_and(|j| j.spec.kind == Kind::Service && j.is_active() && alone(j))
         && entry.phase == Phase::On(TaskState::Running)
         && entry.stop.is_none()
-        && (entry.running).is_some_and(|t| picture.now.time - t >= SETTLE)
+        && (entry.running).is_some_and(|t| snapshot.now.time - t >= SETTLE)
 }
 
 fn empty_out(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     scenario: &mut Scenario,
     at: usize,
 ) -> Option<MachineId> {
-    let id = picture.spots[at].id.clone();
-    let machine = lead.machines.get(&id)?;
-    let here: Vec<&Entry> = machine.entries.iter().filter(|e| e.holds_room()).collect();
-    if here.is_empty() || !here.iter().all(|e| movable(lead, picture, e)) {
+    let id = snapshot.candidates[at].id.clone();
+    let machine = leader.machines.get(&id)?;
+    let here: Vec<&PlacedTask> = machine.entries.iter().filter(|e| e.holds_room()).collect();
+    if here.is_empty() || !here.iter().all(|e| movable(leader, snapshot, e)) {
         return None;
     }
-    let used = picture.spots[at].room - picture.spots[at].free;
+    let used = snapshot.candidates[at].room - snapshot.candidates[at].free;
     // Simulated whole: every replica needs a home, or none is moved.
     let mut plan = Vec::new();
     for entry in here {
-        let job = lead.jobs.get(&entry.task.job)?;
-        picture.evict(lead, at, &entry.task, entry.attempt, &entry.need);
-        let image = picture.image(&job.spec.image);
-        let cap = picture.replica_cap();
-        let home = (0..picture.spots.len())
-            .filter(|&i| i != at && image.is_some_and(|no| picture.spots[i].images.contains(&no)))
-            .filter(|&i| fit::fits(lead, picture, job, &picture.spots[i]))
-            .filter(|&i| picture.spots[i].replicas < cap)
-            .filter(|&i| (picture.spots[i].room - picture.spots[i].free).cpus >= used.cpus)
+        let job = leader.jobs.get(&entry.task.job)?;
+        snapshot.evict(leader, at, &entry.task, entry.attempt, &entry.need);
+        let image = snapshot.image(&job.spec.image);
+        let cap = snapshot.replica_cap();
+        let home = (0..snapshot.candidates.len())
+            .filter(|&i| {
+                i != at && image.is_some_and(|no| snapshot.candidates[i].images.contains(&no))
+            })
+            .filter(|&i| fit::fits(leader, snapshot, job, &snapshot.candidates[i]))
+            .filter(|&i| snapshot.candidates[i].replicas < cap)
+            .filter(|&i| {
+                (snapshot.candidates[i].room - snapshot.candidates[i].free).cpus >= used.cpus
+            })
             .min_by_key(|&i| {
-                let spot = &picture.spots[i];
+                let spot = &snapshot.candidates[i];
                 (spot.replicas_of(&job.spec.id), spot.free.cpus)
             });
         let mut statement = Statement::default();
         if let Some(home) = home {
-            statement.place(lead, picture, job, entry.task.index, home);
+            statement.place(leader, snapshot, job, entry.task.index, home);
         }
         plan.push((entry, job, statement));
     }
-    let whole = plan.iter().all(|(_, _, s)| s.len() == 1) && picture.keeps_reserve(lead, Some(at));
+    let whole =
+        plan.iter().all(|(_, _, s)| s.len() == 1) && snapshot.keeps_reserve(leader, Some(at));
     if !whole {
         for (entry, job, statement) in plan.into_iter().rev() {
-            statement.discard(lead, picture, job);
-            picture.restore(lead, at, &entry.task, entry.attempt, &entry.need);
+            statement.discard(leader, snapshot, job);
+            snapshot.restore(leader, at, &entry.task, entry.attempt, &entry.need);
         }
         return None;
     }
--- a/crates/core/src/actions/evict.rs
+++ b/crates/core/src/actions/evict.rs
@@ -8,8 +8,8 @@
 use super::allocate::Shape;
 use super::fit;
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine, Phase};
+use crate::leader::Leader;
+use crate::placement_tracking::{Machine, Phase, PlacedTask};
 use crate::snapshot::{add, Snapshot};
 use crate::statement::{Placement, Statement};
 use crate::tree::{amounts, Amounts, KINDS};
@@ -53,41 +53,57 @@
 
 /// Whether one job's work may be stopped for another's; the amounts are what its team would have
 /// given then, on that machine.
-type Rule = fn(&Lead, &Snapshot, &Job, &Job, &Amounts) -> bool;
+type Rule = fn(&Leader, &Snapshot, &Job, &Job, &Amounts) -> bool;
 
 /// Takes lent room back for teams below their share.
-pub fn reclaim(lead: &Lead, picture: &mut Snapshot, waiting: &[&Job], scenario: &mut Scenario) {
-    let lent = (1..lead.tree.nodes.len()).any(|n| picture.saturation(n) > 1.0);
+pub fn reclaim(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    waiting: &[&Job],
+    scenario: &mut Scenario,
+) {
+    let lent = (1..leader.tree.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
     if lent {
-        let how = ("reclaimed", lead.min_runtime, may_reclaim as Rule);
-        evict_for(lead, picture, waiting, scenario, how);
+        let how = ("reclaimed", leader.min_runtime, may_reclaim as Rule);
+        evict_for(leader, snapshot, waiting, scenario, how);
     }
 }
 
 /// Makes room within a team for work of higher priority.
-pub fn preempt(lead: &Lead, picture: &mut Snapshot, waiting: &[&Job], scenario: &mut Scenario) {
+pub fn preempt(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    waiting: &[&Job],
+    scenario: &mut Scenario,
+) {
     // Only what some other work yields to can preempt.
-    let lowest = lead.jobs.values().map(|j| j.goal.priority).min();
+    let lowest = leader.jobs.values().map(|j| j.goal.priority).min();
     let higher: Vec<&Job> = (waiting.iter().copied())
         .filter(|j| Some(j.spec.priority) > lowest)
         .collect();
-    let how = ("preempted", lead.preempt_min_runtime, may_preempt as Rule);
-    evict_for(lead, picture, &higher, scenario, how);
+    let how = ("preempted", leader.preempt_min_runtime, may_preempt as Rule);
+    evict_for(leader, snapshot, &higher, scenario, how);
 }
 
-fn may_reclaim(lead: &Lead, picture: &Snapshot, job: &Job, victim: &Job, taken: &Amounts) -> bool {
+fn may_reclaim(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    job: &Job,
+    victim: &Job,
+    taken: &Amounts,
+) -> bool {
     let (Some(mine), Some(theirs)) = (
-        lead.tree.find(&job.spec.team),
-        lead.tree.find(&victim.spec.team),
+        leader.tree.find(&job.spec.team),
+        leader.tree.find(&victim.spec.team),
     ) else {
         return false;
     };
     if mine == theirs {
         return false;
     }
-    let lending = picture.lending(job);
+    let lending = snapshot.lending(job);
     let need = lending.counts(&job.need);
-    let m = lead.multiplier;
+    let m = leader.multiplier;
     let stays_within = (0..KINDS).all(|k| {
         need[k] <= 0.0 || (lending.used[mine][k] + need[k]) * m <= lending.share[mine][k] + 1e-6
     });
@@ -105,7 +121,7 @@
 /// An inherited priority protects a job from being stopped, and goes first where room is free; for it
 /// no work is stopped. (Stages of pipelines stopped some three hundred tasks that can't save on one day
 /// of herbstzeit next, and deadlines were missed for it; the pipelines were in time without.)
-fn may_preempt(_: &Lead, _: &Snapshot, job: &Job, victim: &Job, _: &Amounts) -> bool {
+fn may_preempt(_: &Leader, _: &Snapshot, job: &Job, victim: &Job, _: &Amounts) -> bool {
     job.spec.team == victim.spec.team && job.spec.priority > victim.goal.priority
 }
 
@@ -118,8 +134,8 @@
 const TASKS: usize = 8;
 
 fn evict_for(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     waiting: &[&Job],
     scenario: &mut Scenario,
     (why, spare, may): (&'static str, Span, Rule),
@@ -132,30 +148,30 @@
     let mut refused: HashSet<(&Team, Shape)> = HashSet::new();
     let mut looks = 0;
     for &job in waiting.iter().filter(single) {
-        let class = (&job.spec.team, Shape::of(job, picture.now.time));
+        let class = (&job.spec.team, Shape::of(job, snapshot.now.time));
         if refused.contains(&class) {
             continue;
         }
         if looks >= DEPTH {
             return;
         }
-        let taken = picture.taken(&job.spec.id);
+        let taken = snapshot.taken(&job.spec.id);
         let mut ranked: Option<VecDeque<usize>> = None;
         for index in job.next_free(taken, TASKS) {
-            let fits = picture.within_limits(lead, job, &amounts(&job.need))
-                && fit::best(lead, picture, job, true).is_none();
+            let fits = snapshot.within_limits(leader, job, &amounts(&job.need))
+                && fit::best(leader, snapshot, job, true).is_none();
             if !fits {
                 break;
             }
             // The tasks of a job are alike: the machines are ranked once for all.
             let ranked = ranked.get_or_insert_with(|| {
                 looks += 1;
-                cheapest(lead, picture, job, spare, may)
+                cheapest(leader, snapshot, job, spare, may)
             });
             let mut found = None;
             while let (None, Some(at)) = (&found, ranked.pop_front()) {
-                if fit::suits(lead, picture, job, &picture.spots[at]) {
-                    let victims = victims_on(lead, picture, job, at, spare, may);
+                if fit::suits(leader, snapshot, job, &snapshot.candidates[at]) {
+                    let victims = victims_on(leader, snapshot, job, at, spare, may);
                     found = victims.map(|v| (at, v));
                 }
             }
@@ -164,16 +180,16 @@
                 break;
             };
             for victim in victims {
-                picture.evict(lead, at, &victim.task, victim.attempt, &victim.need);
+                snapshot.evict(leader, at, &victim.task, victim.attempt, &victim.need);
                 scenario.evictions.push(Eviction {
                     task: victim.task,
                     attempt: victim.attempt,
-                    machine: picture.spots[at].id.clone(),
+                    machine: snapshot.candidates[at].id.clone(),
                     why,
                 });
             }
             let mut statement = Statement::default();
-            statement.place(lead, picture, job, index, at);
+            statement.place(leader, snapshot, job, index, at);
             scenario.placements.extend(statement.commit());
         }
     }
@@ -181,20 +197,26 @@
 
 /// Machines where room can be made for a task, the one where that loses the least first: among those
 /// that have the image, if it matters.
-fn cheapest(lead: &Lead, picture: &Snapshot, job: &Job, spare: Span, may: Rule) -> VecDeque<usize> {
-    let picky = lead.is_picky(job);
-    let anywhere = fit::best(lead, picture, job, false).is_none();
-    let image = picture.image(&job.spec.image);
-    let cold = |i: usize| !image.is_some_and(|no| picture.spots[i].images.contains(&no));
-    let mut found: Vec<(bool, u64, usize)> = (0..picture.spots.len())
+fn cheapest(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    job: &Job,
+    spare: Span,
+    may: Rule,
+) -> VecDeque<usize> {
+    let picky = leader.is_picky(job);
+    let anywhere = fit::best(leader, snapshot, job, false).is_none();
+    let image = snapshot.image(&job.spec.image);
+    let cold = |i: usize| !image.is_some_and(|no| snapshot.candidates[i].images.contains(&no));
+    let mut found: Vec<(bool, u64, usize)> = (0..snapshot.candidates.len())
         .filter(|&i| {
-            let spot = &picture.spots[i];
-            (spot.free + spot.evictable).holds(&job.need)
+            let spot = &snapshot.candidates[i];
+            (spot.free + spot.is_preemptible).holds(&job.need)
         })
-        .filter(|&i| fit::suits(lead, picture, job, &picture.spots[i]))
+        .filter(|&i| fit::suits(leader, snapshot, job, &snapshot.candidates[i]))
         .filter(|&i| anywhere || !picky || !cold(i))
         .filter_map(|i| {
-            let victims = victims_on(lead, picture, job, i, spare, may)?;
+            let victims = victims_on(leader, snapshot, job, i, spare, may)?;
             Some((picky && cold(i), victims.iter().map(|v| v.loss).sum(), i))
         })
         .collect();
@@ -203,29 +225,29 @@
 }
 
 fn victims_on(
-    lead: &Lead,
-    picture: &Snapshot,
+    leader: &Leader,
+    snapshot: &Snapshot,
     job: &Job,
     at: usize,
     spare: Span,
     may: Rule,
 ) -> Option<Vec<Victim>> {
-    let spot = &picture.spots[at];
-    let machine = lead.machines.get(&spot.id)?;
+    let spot = &snapshot.candidates[at];
+    let machine = leader.machines.get(&spot.id)?;
     if !machine.room.holds(&job.need) {
         return None;
     }
-    let mut candidates = candidates(lead, picture, machine, spare);
-    if job.evictable() {
+    let mut candidates = candidates(leader, snapshot, machine, spare);
+    if job.is_preemptible() {
         // Work that has less before it than behind it makes room sooner by being left alone.
         candidates.retain(|v| !v.nearly_over);
     }
-    if job.evictable() && job.spec.kind == Kind::Array {
+    if job.is_preemptible() && job.spec.kind == Kind::Array {
         // So does all that can't save, for what is no less urgent: one array's work lost for
         // another's is late twice.
         candidates.retain(|v| v.saves || v.priority < job.spec.priority);
     }
-    if job.need.gpus == 0 && lead.fits_without_gpus(&job.spec, &job.need) {
+    if job.need.gpus == 0 && leader.fits_without_gpus(&job.spec, &job.need) {
         // Work that only needs CPUs does not end work on GPUs for the CPUs beside them.
         candidates.retain(|v| v.need.gpus == 0);
     }
@@ -238,11 +260,11 @@
             break;
         }
         // Judged with what the same team has given already, not one by one.
-        let theirs = lead.jobs.get(&victim.task.job)?;
+        let theirs = leader.jobs.get(&victim.task.job)?;
         let sum = taken.entry(&theirs.spec.team).or_insert([0.0; KINDS]);
         let mut with = *sum;
-        add(&mut with, &picture.lending(job).counts(&victim.need));
-        if may(lead, picture, job, theirs, &with) {
+        add(&mut with, &snapshot.lending(job).counts(&victim.need));
+        if may(leader, snapshot, job, theirs, &with) {
             *sum = with;
             free += victim.need;
             victims.push(victim);
@@ -251,16 +273,16 @@
     (free.holds(&job.need) && !victims.is_empty()).then_some(victims)
 }
 
-fn candidates(lead: &Lead, picture: &Snapshot, machine: &Machine, spare: Span) -> Vec<Victim> {
-    let now = picture.now.time;
-    let old = |e: &&Entry| now - e.placed >= spare;
-    let there = |e: &&Entry| matches!(e.phase, Phase::On(_)) && e.stop.is_none();
+fn candidates(leader: &Leader, snapshot: &Snapshot, machine: &Machine, spare: Span) -> Vec<Victim> {
+    let now = snapshot.now.time;
+    let old = |e: &&PlacedTask| now - e.placed >= spare;
+    let there = |e: &&PlacedTask| matches!(e.phase, Phase::On(_)) && e.stop.is_none();
     (machine.entries.iter())
         .filter(there)
         .filter(old)
-        .filter(|e| !picture.is_evicted(&e.task, e.attempt))
+        .filter(|e| !snapshot.is_evicted(&e.task, e.attempt))
         .filter_map(|e| {
-            let victim = lead.jobs.get(&e.task.job)?;
+            let victim = leader.jobs.get(&e.task.job)?;
             let whole = victim.spec.kind != Kind::Gang || victim.spec.tasks == 1;
             let ran = e.running.map_or(0, |t| (now - t).0);
             // What can save loses little but the time to save; both must start again.
@@ -271,7 +293,7 @@
                 ran
             };
             let loss = ran + RESTART.0;
-            (whole && victim.evictable()).then(|| Victim {
+            (whole && victim.is_preemptible()).then(|| Victim {
                 task: e.task.clone(),
                 attempt: e.attempt,
                 need: e.need,
--- a/crates/core/src/actions/fit.rs
+++ b/crates/core/src/actions/fit.rs
@@ -1,8 +1,8 @@
 //! Which machine a task goes on.
 
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::snapshot::{Snapshot, Spot};
+use crate::leader::Leader;
+use crate::snapshot::{CandidateMachine, Snapshot};
 use rudderreel_wire::ids::{TypeName, Zone};
 use rudderreel_wire::job::{JobSpec, Kind};
 
@@ -14,39 +14,39 @@
 }
 
 /// Whether one more task of the job may be in a zone, given where its tasks may be.
-fn zone_allows(picture: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
+fn zone_allows(snapshot: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
     if !crate::snapshot::is_bound(spec) {
         return true;
     }
-    let zones = picture.zones_of(&spec.id);
+    let zones = snapshot.zones_of(&spec.id);
     let here = zones.get(zone).copied().unwrap_or(0);
     let elsewhere = zones.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
     here < spec.zone_cap() && !(spec.one_zone && elsewhere)
 }
 
 /// Whether one more task of the job fits on a machine.
-pub fn fits(lead: &Lead, picture: &Snapshot, job: &Job, spot: &Spot) -> bool {
-    let free = if job.evictable() {
+pub fn fits(leader: &Leader, snapshot: &Snapshot, job: &Job, spot: &CandidateMachine) -> bool {
+    let free = if job.is_preemptible() {
         spot.free - spot.held
     } else {
         spot.free
     };
-    free.holds(&job.need) && suits(lead, picture, job, spot)
+    free.holds(&job.need) && suits(leader, snapshot, job, spot)
 }
 
 /// Whether one more task of the job may go on a machine if there is room.
-pub fn suits(lead: &Lead, picture: &Snapshot, job: &Job, spot: &Spot) -> bool {
+pub fn suits(leader: &Leader, snapshot: &Snapshot, job: &Job, spot: &CandidateMachine) -> bool {
     allowed(&job.spec, &spot.machine_type, &spot.zone, spot.spot)
         && !is_kept(job, spot)
-        && !job.failures.avoids(&spot.id, picture.now.time)
-        && !wastes_gpus(lead, job, spot)
-        && zone_allows(picture, &job.spec, spot.zone_no)
+        && !job.failures.avoids(&spot.id, snapshot.now.time)
+        && !wastes_gpus(leader, job, spot)
+        && zone_allows(snapshot, &job.spec, spot.zone_no)
 }
 
 /// Whether it is kept for a gang for which room is gathered. Work that can't be evicted comes
 /// before that, and work that will have ended when the gang has enough room is let in meanwhile.
-fn is_kept(job: &Job, spot: &Spot) -> bool {
-    job.evictable()
+fn is_kept(job: &Job, spot: &CandidateMachine) -> bool {
+    job.is_preemptible()
         && (spot.kept_for.as_ref()).is_some_and(|(id, ready_s)| {
             *id != job.spec.id && job.spec.estimate_s * OVERRUN + FETCH_S > *ready_s
         })
@@ -59,24 +59,24 @@
 
 /// Work without GPUs stays off machines with free GPUs if it could ever run elsewhere, and
 /// replicas off all machines with GPUs: they would hold them long after the GPUs' work is done.
-fn wastes_gpus(lead: &Lead, job: &Job, spot: &Spot) -> bool {
+fn wastes_gpus(leader: &Leader, job: &Job, spot: &CandidateMachine) -> bool {
     let lasting = job.spec.kind == Kind::Service && spot.room.gpus > 0;
     job.need.gpus == 0
         && (spot.free.gpus > 0 || lasting)
-        && lead.fits_without_gpus(&job.spec, &job.need)
+        && leader.fits_without_gpus(&job.spec, &job.need)
 }
 
 /// The best machine for one more task of the job. With `picky`, a job whose start can't wait for
 /// a fetch is offered only machines that have its image.
-pub fn best(lead: &Lead, picture: &Snapshot, job: &Job, picky: bool) -> Option<usize> {
-    let picky = picky && lead.is_picky(job);
-    let image = picture.image(&job.spec.image);
-    let cap = picture.replica_cap();
-    (0..picture.spots.len())
-        .filter(|&i| !picky || has(&picture.spots[i].images, image))
-        .filter(|&i| fits(lead, picture, job, &picture.spots[i]))
+pub fn best(leader: &Leader, snapshot: &Snapshot, job: &Job, picky: bool) -> Option<usize> {
+    let picky = picky && leader.is_picky(job);
+    let image = snapshot.image(&job.spec.image);
+    let cap = snapshot.replica_cap();
+    (0..snapshot.candidates.len())
+        .filter(|&i| !picky || has(&snapshot.candidates[i].images, image))
+        .filter(|&i| fits(leader, snapshot, job, &snapshot.candidates[i]))
         .min_by(|&a, &b| {
-            let score = |i: usize| score(job, image, cap, &picture.spots[i]);
+            let score = |i: usize| score(job, image, cap, &snapshot.candidates[i]);
             compare(&score(a), &score(b))
         })
 }
@@ -84,18 +84,18 @@
 /// Machines for more tasks of a job, the best first, each with how many it takes. Tasks of an
 /// array, or of a gang in one zone, are alike: they are decided as a class.
 pub fn ranked(
-    lead: &Lead,
-    picture: &Snapshot,
+    leader: &Leader,
+    snapshot: &Snapshot,
     job: &Job,
     zone: Option<usize>,
 ) -> Vec<(usize, u32)> {
-    let image = picture.image(&job.spec.image);
-    let cap = picture.replica_cap();
-    let mut found: Vec<(Score, usize, u32)> = (picture.spots.iter().enumerate())
+    let image = snapshot.image(&job.spec.image);
+    let cap = snapshot.replica_cap();
+    let mut found: Vec<(Score, usize, u32)> = (snapshot.candidates.iter().enumerate())
         .filter(|(_, s)| zone.is_none_or(|z| z == s.zone_no))
-        .filter(|(_, s)| fits(lead, picture, job, s))
+        .filter(|(_, s)| fits(leader, snapshot, job, s))
         .map(|(i, s)| {
-            let free = if job.evictable() {
+            let free = if job.is_preemptible() {
                 s.free - s.held
             } else {
                 s.free
@@ -129,7 +129,7 @@
 /// Lower is better: few replicas of the same service, or ordinary machines for a large gang; image
 /// at hand; the kind of machine that leaves others free; then the fullest machine, so that machines
 /// empty out.
-fn score(job: &Job, image: Option<u32>, cap: u32, spot: &Spot) -> Score {
+fn score(job: &Job, image: Option<u32>, cap: u32, spot: &CandidateMachine) -> Score {
     let apart = match job.spec.kind {
         Kind::Service => spot.replicas_of(&job.spec.id) + spot.replicas / cap,
         _ => u32::from(spot.spot && shuns_spot(job)),
--- a/crates/core/src/actions/gather.rs
+++ b/crates/core/src/actions/gather.rs
@@ -7,8 +7,8 @@
 
 use super::fit;
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::snapshot::{Snapshot, Spot};
+use crate::leader::Leader;
+use crate::snapshot::{CandidateMachine, Snapshot};
 use crate::units::Span;
 use rudderreel_wire::job::Kind;
 
@@ -27,64 +27,64 @@
 const MARGIN_S: f64 = 30.0;
 
 /// Keeps machines for gangs that would not begin in time otherwise, longest waiting first.
-pub fn keep_room(lead: &Lead, picture: &mut Snapshot, waiting: &[&Job]) {
-    for spot in &mut picture.spots {
+pub fn keep_room(leader: &Leader, snapshot: &mut Snapshot, waiting: &[&Job]) {
+    for spot in &mut snapshot.candidates {
         spot.kept_for = None;
     }
-    picture.gathering.clear();
+    snapshot.gathering.clear();
     let mut gangs: Vec<&Job> = (waiting.iter().copied())
         .filter(|j| j.spec.kind == Kind::Gang && j.spec.tasks > 1 && !j.begun && !j.is_suspected())
-        .filter(|j| picture.taken(&j.spec.id) == 0)
+        .filter(|j| snapshot.taken(&j.spec.id) == 0)
         .collect();
     gangs.sort_by_key(|j| j.waits_since());
     for job in gangs.into_iter().take(DEPTH) {
         let zones: Vec<Option<usize>> = if job.spec.one_zone {
-            (0..picture.zone_names.len()).map(Some).collect()
+            (0..snapshot.zone_names.len()).map(Some).collect()
         } else {
             vec![None]
         };
-        let waited = Span(picture.now.wall.0.saturating_sub(job.waits_since().0)).as_secs();
-        if picture.gathering.len() >= GANGS && waited < LONG_S {
+        let waited = Span(snapshot.now.wall.0.saturating_sub(job.waits_since().0)).as_secs();
+        if snapshot.gathering.len() >= GANGS && waited < LONG_S {
             // The others have waited less.
             return;
         }
         let best = (zones.into_iter())
-            .filter_map(|zone| soonest(lead, picture, job, zone))
+            .filter_map(|zone| soonest(leader, snapshot, job, zone))
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        let Some((ready_s, spots)) = best else {
+        let Some((ready_s, candidates)) = best else {
             continue;
         };
         if waited + ready_s * SLOWER + MARGIN_S < BEGIN_S {
             continue;
         }
-        for at in spots {
-            picture.spots[at].kept_for = Some((job.spec.id.clone(), ready_s));
+        for at in candidates {
+            snapshot.candidates[at].kept_for = Some((job.spec.id.clone(), ready_s));
         }
-        picture.gathering.insert(job.spec.id.clone());
+        snapshot.gathering.insert(job.spec.id.clone());
     }
 }
 
 /// The machines of a zone that could hold a gang soonest, and in how many seconds; none if there
 /// are too few.
 fn soonest(
-    lead: &Lead,
-    picture: &Snapshot,
+    leader: &Leader,
+    snapshot: &Snapshot,
     job: &Job,
     zone: Option<usize>,
 ) -> Option<(f64, Vec<usize>)> {
-    let mut spots: Vec<(f64, usize, u32)> = (picture.spots.iter().enumerate())
+    let mut candidates: Vec<(f64, usize, u32)> = (snapshot.candidates.iter().enumerate())
         .filter(|(_, s)| zone.is_none_or(|z| z == s.zone_no) && s.kept_for.is_none())
-        .filter(|(_, s)| fit::suits(lead, picture, job, s))
+        .filter(|(_, s)| fit::suits(leader, snapshot, job, s))
         .map(|(i, s)| {
             let (wait, count) = free_in(job, s);
             (wait, i, count)
         })
         .filter(|(_, _, count)| *count > 0)
         .collect();
-    spots.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    candidates.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     let mut left = job.spec.tasks;
     let mut chosen = Vec::new();
-    for (wait, i, count) in spots {
+    for (wait, i, count) in candidates {
         chosen.push(i);
         left = left.saturating_sub(count);
         if left == 0 {
@@ -95,7 +95,7 @@
 }
 
 /// In how many seconds a machine will probably have room for tasks of a job, and for how many.
-fn free_in(job: &Job, spot: &Spot) -> (f64, u32) {
+fn free_in(job: &Job, spot: &CandidateMachine) -> (f64, u32) {
     let free = spot.free - spot.held;
     match free.count(&job.need) {
         0 => (spot.ended_in_s, (free + spot.ending).count(&job.need)),
--- a/crates/core/src/actions/mod.rs
+++ b/crates/core/src/actions/mod.rs
@@ -8,7 +8,7 @@
 mod gather;
 mod reclaim_gang;
 
-pub use allocate::{allocate_firm, allocate_rest};
+pub use allocate::{allocate_non_preemptible, allocate_preemptible};
 pub use consolidate::consolidate;
 pub use evict::{preempt, reclaim, Scenario};
 pub use fit::{allowed, fits};
@@ -16,9 +16,9 @@
 
 /// Whether one more task of a job has room somewhere.
 pub fn has_room(
-    lead: &crate::lead::Lead,
-    picture: &crate::snapshot::Snapshot,
+    leader: &crate::leader::Leader,
+    snapshot: &crate::snapshot::Snapshot,
     job: &crate::job::Job,
 ) -> bool {
-    fit::best(lead, picture, job, false).is_some()
+    fit::best(leader, snapshot, job, false).is_some()
 }
--- a/crates/core/src/actions/reclaim_gang.rs
+++ b/crates/core/src/actions/reclaim_gang.rs
@@ -9,8 +9,8 @@
 use super::evict::{over_share_after, Eviction, Scenario, RESTART};
 use super::fit;
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Phase};
+use crate::leader::Leader;
+use crate::placement_tracking::{Phase, PlacedTask};
 use crate::snapshot::Snapshot;
 use crate::statement::{Placement, Statement};
 use crate::tree::{amounts, KINDS};
@@ -37,123 +37,127 @@
 
 /// Takes lent room back for gangs of teams that stay within their share with it.
 pub fn reclaim_gangs(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     waiting: &[&Job],
     scenario: &mut Scenario,
 ) {
-    let lent = (1..lead.tree.nodes.len()).any(|n| picture.saturation(n) > 1.0);
+    let lent = (1..leader.tree.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
     if !lent {
         return;
     }
     let gangs: Vec<&Job> = (waiting.iter().copied())
         .filter(|j| j.spec.kind == Kind::Gang && j.spec.tasks > 1 && !j.is_suspected())
-        .filter(|j| picture.taken(&j.spec.id) == 0 && stays_within(lead, picture, j))
+        .filter(|j| snapshot.taken(&j.spec.id) == 0 && stays_within(leader, snapshot, j))
         .take(GANGS)
         .collect();
     if gangs.is_empty() {
         return;
     }
-    let spots: HashMap<MachineId, usize> = (picture.spots.iter().enumerate())
+    let candidates: HashMap<MachineId, usize> = (snapshot.candidates.iter().enumerate())
         .map(|(i, s)| (s.id.clone(), i))
         .collect();
     for job in gangs {
         let zones: Vec<Option<usize>> = if job.spec.one_zone {
-            (0..picture.zone_names.len()).map(Some).collect()
+            (0..snapshot.zone_names.len()).map(Some).collect()
         } else {
             vec![None]
         };
         if zones
             .iter()
-            .any(|z| room(lead, picture, job, *z) >= job.spec.tasks)
+            .any(|z| room(leader, snapshot, job, *z) >= job.spec.tasks)
         {
             // It fits as it is.
             continue;
         }
         let mut best: Option<(u64, Vec<Unit>, Option<usize>)> = None;
         for zone in zones {
-            let Some(units) = make_room(lead, picture, &spots, job, zone) else {
+            let Some(units) = make_room(leader, snapshot, &candidates, job, zone) else {
                 continue;
             };
-            units.iter().for_each(|u| u.restore(lead, picture));
+            units.iter().for_each(|u| u.restore(leader, snapshot));
             let loss = units.iter().map(|u| u.loss).sum();
             if best.as_ref().is_none_or(|(least, ..)| loss < *least) {
                 best = Some((loss, units, zone));
             }
         }
         if let Some((_, units, zone)) = best {
-            units.iter().for_each(|u| u.evict(lead, picture));
-            match place(lead, picture, job, zone) {
+            units.iter().for_each(|u| u.evict(leader, snapshot));
+            match place(leader, snapshot, job, zone) {
                 Some(placements) => {
                     scenario.placements.extend(placements);
                     scenario
                         .evictions
-                        .extend(units.iter().flat_map(|u| u.evictions(picture)));
+                        .extend(units.iter().flat_map(|u| u.evictions(snapshot)));
                 }
-                None => units.iter().for_each(|u| u.restore(lead, picture)),
+                None => units.iter().for_each(|u| u.restore(leader, snapshot)),
             }
         }
     }
 }
 
 /// Whether a gang's team stays within its share, and all above it within their limits, with it.
-fn stays_within(lead: &Lead, picture: &Snapshot, job: &Job) -> bool {
+fn stays_within(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
     let need = amounts(&job.need.times(job.spec.tasks));
-    let Some(mine) = lead.tree.find(&job.spec.team) else {
+    let Some(mine) = leader.tree.find(&job.spec.team) else {
         return false;
     };
-    let lending = picture.lending(job);
+    let lending = snapshot.lending(job);
     let counted = lending.counts(&job.need.times(job.spec.tasks));
     let within = (0..KINDS).all(|k| {
-        let with = (lending.used[mine][k] + counted[k]) * lead.multiplier;
+        let with = (lending.used[mine][k] + counted[k]) * leader.multiplier;
         counted[k] <= 0.0 || with <= lending.share[mine][k] + 1e-6
     });
-    within && picture.within_limits(lead, job, &need)
+    within && snapshot.within_limits(leader, job, &need)
 }
 
 /// How many tasks of a gang find room.
-fn room(lead: &Lead, picture: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
-    let counts = fit::ranked(lead, picture, job, zone).into_iter();
+fn room(leader: &Leader, snapshot: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
+    let counts = fit::ranked(leader, snapshot, job, zone).into_iter();
     counts.map(|(_, n)| n).fold(0, u32::saturating_add)
 }
 
 /// What must be stopped for a gang to fit into a zone; it is simulated in the picture.
 fn make_room(
-    lead: &Lead,
-    picture: &mut Snapshot,
-    spots: &HashMap<MachineId, usize>,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    candidates: &HashMap<MachineId, usize>,
     job: &Job,
     zone: Option<usize>,
 ) -> Option<Vec<Unit>> {
     let want = job.spec.tasks;
-    let mut have = room(lead, picture, job, zone);
+    let mut have = room(leader, snapshot, job, zone);
     let mut stopped: Vec<(Unit, u32)> = Vec::new();
-    for unit in units(lead, picture, spots, job, zone) {
+    for unit in units(leader, snapshot, candidates, job, zone) {
         if have >= want {
             break;
         }
-        if !unit.is_lent(lead, picture, job) {
+        if !unit.is_lent(leader, snapshot, job) {
             continue;
         }
-        let before = unit.room(lead, picture, job, zone);
-        unit.evict(lead, picture);
-        let gain = unit.room(lead, picture, job, zone).saturating_sub(before);
+        let before = unit.room(leader, snapshot, job, zone);
+        unit.evict(leader, snapshot);
+        let gain = unit
+            .room(leader, snapshot, job, zone)
+            .saturating_sub(before);
         if gain == 0 {
-            unit.restore(lead, picture);
+            unit.restore(leader, snapshot);
             continue;
         }
         have += gain;
         stopped.push((unit, gain));
     }
     if have < want {
-        stopped.iter().for_each(|(u, _)| u.restore(lead, picture));
+        stopped
+            .iter()
+            .for_each(|(u, _)| u.restore(leader, snapshot));
         return None;
     }
     // What was stopped first may not be needed any more.
     let mut needed = Vec::new();
     for (unit, gain) in stopped {
         if have - gain >= want {
-            unit.restore(lead, picture);
+            unit.restore(leader, snapshot);
             have -= gain;
         } else {
             needed.push(unit);
@@ -164,33 +168,39 @@
 
 /// What could be stopped in a zone, by what is lost for the room that comes free.
 fn units(
-    lead: &Lead,
-    picture: &Snapshot,
-    spots: &HashMap<MachineId, usize>,
+    leader: &Leader,
+    snapshot: &Snapshot,
+    candidates: &HashMap<MachineId, usize>,
     job: &Job,
     zone: Option<usize>,
 ) -> Vec<Unit> {
     let mut gangs: BTreeSet<(&JobId, Attempt)> = BTreeSet::new();
     let mut found = Vec::new();
-    for (at, spot) in picture.spots.iter().enumerate() {
+    for (at, spot) in snapshot.candidates.iter().enumerate() {
         let here = zone.is_none_or(|z| z == spot.zone_no);
-        let Some(machine) = lead.machines.get(&spot.id) else {
+        let Some(machine) = leader.machines.get(&spot.id) else {
             continue;
         };
-        if !here || !machine.room.holds(&job.need) || !fit::suits(lead, picture, job, spot) {
+        if !here || !machine.room.holds(&job.need) || !fit::suits(leader, snapshot, job, spot) {
             continue;
         }
         for entry in &machine.entries {
-            let Some(theirs) = lead.jobs.get(&entry.task.job) else {
+            let Some(theirs) = leader.jobs.get(&entry.task.job) else {
                 continue;
             };
-            if theirs.spec.team == job.spec.team || !may_stop(lead, picture, theirs, entry) {
+            if theirs.spec.team == job.spec.team || !may_stop(leader, snapshot, theirs, entry) {
                 continue;
             }
             if theirs.spec.kind != Kind::Gang || theirs.spec.tasks == 1 {
-                found.push(Unit::of(lead, picture, vec![victim(at, entry)]));
+                found.push(Unit::of(leader, snapshot, vec![victim(at, entry)]));
             } else if gangs.insert((&theirs.spec.id, entry.attempt)) {
-                found.extend(whole_gang(lead, picture, spots, theirs, entry.attempt));
+                found.extend(whole_gang(
+                    leader,
+                    snapshot,
+                    candidates,
+                    theirs,
+                    entry.attempt,
+                ));
             }
         }
     }
@@ -201,7 +211,7 @@
     found
 }
 
-fn victim(at: usize, entry: &Entry) -> Victim {
+fn victim(at: usize, entry: &PlacedTask) -> Victim {
     Victim {
         at,
         task: entry.task.clone(),
@@ -210,20 +220,20 @@
     }
 }
 
-fn may_stop(lead: &Lead, picture: &Snapshot, theirs: &Job, entry: &Entry) -> bool {
+fn may_stop(leader: &Leader, snapshot: &Snapshot, theirs: &Job, entry: &PlacedTask) -> bool {
     matches!(entry.phase, Phase::On(_))
         && entry.stop.is_none()
         && theirs.is_active()
-        && theirs.evictable()
-        && picture.now.time - entry.placed >= lead.min_runtime
-        && !picture.is_evicted(&entry.task, entry.attempt)
+        && theirs.is_preemptible()
+        && snapshot.now.time - entry.placed >= leader.min_runtime
+        && !snapshot.is_evicted(&entry.task, entry.attempt)
 }
 
 /// A gang with all its tasks, if all of them are there and may be stopped.
 fn whole_gang(
-    lead: &Lead,
-    picture: &Snapshot,
-    spots: &HashMap<MachineId, usize>,
+    leader: &Leader,
+    snapshot: &Snapshot,
+    candidates: &HashMap<MachineId, usize>,
     theirs: &Job,
     attempt: Attempt,
 ) -> Option<Unit> {
@@ -232,47 +242,47 @@
         let [(id, a)] = places.as_slice() else {
             return None;
         };
-        let at = *spots.get(id)?;
+        let at = *candidates.get(id)?;
         let task = theirs.spec.id.task(*index);
-        let entries = &lead.machines.get(id)?.entries;
+        let entries = &leader.machines.get(id)?.entries;
         let entry = entries.iter().find(|e| e.attempt == *a && e.task == task)?;
-        if *a != attempt || !may_stop(lead, picture, theirs, entry) {
+        if *a != attempt || !may_stop(leader, snapshot, theirs, entry) {
             return None;
         }
         tasks.push(victim(at, entry));
     }
-    (tasks.len() as u32 == theirs.spec.tasks).then(|| Unit::of(lead, picture, tasks))
+    (tasks.len() as u32 == theirs.spec.tasks).then(|| Unit::of(leader, snapshot, tasks))
 }
 
 /// Places a gang whole.
 fn place(
-    lead: &Lead,
-    picture: &mut Snapshot,
+    leader: &Leader,
+    snapshot: &mut Snapshot,
     job: &Job,
     zone: Option<usize>,
 ) -> Option<Vec<Placement>> {
-    let ranked = fit::ranked(lead, picture, job, zone).into_iter();
+    let ranked = fit::ranked(leader, snapshot, job, zone).into_iter();
     let places = ranked.flat_map(|(at, n)| std::iter::repeat_n(at, n as usize));
     let mut statement = Statement::default();
     for (index, at) in (0..job.spec.tasks).zip(places) {
-        statement.place(lead, picture, job, index, at);
+        statement.place(leader, snapshot, job, index, at);
     }
     if statement.len() == job.spec.tasks as usize {
         return Some(statement.commit());
     }
-    statement.discard(lead, picture, job);
+    statement.discard(leader, snapshot, job);
     None
 }
 
 impl Unit {
-    fn of(lead: &Lead, picture: &Snapshot, tasks: Vec<Victim>) -> Self {
+    fn of(leader: &Leader, snapshot: &Snapshot, tasks: Vec<Victim>) -> Self {
         let loss = (tasks.iter())
             .map(|v| {
-                let ran = (lead.machines.get(&picture.spots[v.at].id))
+                let ran = (leader.machines.get(&snapshot.candidates[v.at].id))
                     .and_then(|m| m.entries.iter().find(|e| e.task == v.task))
                     .and_then(|e| e.running)
-                    .map_or(Span(0), |since| picture.now.time - since);
-                let spec = lead.jobs.get(&v.task.job).map(|j| j.spec.clone());
+                    .map_or(Span(0), |since| snapshot.now.time - since);
+                let spec = leader.jobs.get(&v.task.job).map(|j| j.spec.clone());
                 // What can save loses the time to save.
                 let lost = match spec.filter(|s| s.checkpoint_s > 0.0) {
                     Some(spec) => ran.min(Span::secs(spec.save_s)),
@@ -285,10 +295,10 @@
     }
 
     /// Whether its team stays at or above its share without it.
-    fn is_lent(&self, lead: &Lead, picture: &Snapshot, job: &Job) -> bool {
-        let lending = picture.lending(job);
-        let team = (self.tasks.first()).and_then(|v| lead.jobs.get(&v.task.job));
-        let Some(theirs) = team.and_then(|j| lead.tree.find(&j.spec.team)) else {
+    fn is_lent(&self, leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
+        let lending = snapshot.lending(job);
+        let team = (self.tasks.first()).and_then(|v| leader.jobs.get(&v.task.job));
+        let Some(theirs) = team.and_then(|j| leader.tree.find(&j.spec.team)) else {
             return false;
         };
         let mut taken = [0.0; KINDS];
@@ -299,32 +309,32 @@
     }
 
     /// How many tasks of a gang find room on its machines.
-    fn room(&self, lead: &Lead, picture: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
-        let spots: BTreeSet<usize> = self.tasks.iter().map(|v| v.at).collect();
-        (spots.into_iter())
-            .map(|at| &picture.spots[at])
-            .filter(|s| zone.is_none_or(|z| z == s.zone_no) && fit::fits(lead, picture, job, s))
+    fn room(&self, leader: &Leader, snapshot: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
+        let candidates: BTreeSet<usize> = self.tasks.iter().map(|v| v.at).collect();
+        (candidates.into_iter())
+            .map(|at| &snapshot.candidates[at])
+            .filter(|s| zone.is_none_or(|z| z == s.zone_no) && fit::fits(leader, snapshot, job, s))
             .map(|s| (s.free - s.held).count(&job.need))
             .sum()
     }
 
-    fn evict(&self, lead: &Lead, picture: &mut Snapshot) {
+    fn evict(&self, leader: &Leader, snapshot: &mut Snapshot) {
         for v in &self.tasks {
-            picture.evict(lead, v.at, &v.task, v.attempt, &v.need);
+            snapshot.evict(leader, v.at, &v.task, v.attempt, &v.need);
         }
     }
 
-    fn restore(&self, lead: &Lead, picture: &mut Snapshot) {
+    fn restore(&self, leader: &Leader, snapshot: &mut Snapshot) {
         for v in &self.tasks {
-            picture.restore(lead, v.at, &v.task, v.attempt, &v.need);
+            snapshot.restore(leader, v.at, &v.task, v.attempt, &v.need);
         }
     }
 
-    fn evictions<'a>(&'a self, picture: &'a Snapshot) -> impl Iterator<Item = Eviction> + 'a {
+    fn evictions<'a>(&'a self, snapshot: &'a Snapshot) -> impl Iterator<Item = Eviction> + 'a {
         self.tasks.iter().map(|v| Eviction {
             task: v.task.clone(),
             attempt: v.attempt,
-            machine: picture.spots[v.at].id.clone(),
+            machine: snapshot.candidates[v.at].id.clone(),
             why: "reclaimed",
         })
     }
--- a/crates/core/src/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/actions/reclaim_gang/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use crate::testing::{job_of, lead, run, up, NOW};
+use crate::testing::{job_of, leader, run, up, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
 /// A crowded fleet: one team runs much of it, in gangs and single tasks, and the other waits with
 /// a gang for whole machines of one zone.
-fn crowded(rng: &mut StdRng) -> (Lead, Job) {
-    let mut lead = lead();
+fn crowded(rng: &mut StdRng) -> (Leader, Job) {
+    let mut leader = leader();
     let machines: Vec<MachineId> = (0..rng.random_range(8..24))
-        .map(|n| up(&mut lead, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
+        .map(|n| up(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
         .collect();
     let quota = f64::from(rng.random_range(2..6u32)) * 4.0;
-    for node in lead.tree.nodes.iter_mut().skip(1) {
+    for node in leader.tree.nodes.iter_mut().skip(1) {
         node.quota[0] = quota;
     }
     let mut free = machines;
@@ -33,18 +33,18 @@
         for index in 0..tasks {
             let at = rng.random_range(0..free.len());
             let machine = free.remove(at);
-            run(&mut lead, &running, index, &machine);
+            run(&mut leader, &running, index, &machine);
         }
     }
     let tasks = rng.random_range(2..5);
     let waiting = job_of(99, "gang", "blue", "normal", tasks, 4.0);
-    lead.jobs.insert(waiting.spec.id.clone(), waiting.clone());
-    (lead, waiting)
+    leader.jobs.insert(waiting.spec.id.clone(), waiting.clone());
+    (leader, waiting)
 }
 
 /// CPUs that a team's tasks use, looked up on every machine, but for some tasks.
-fn used(lead: &Lead, team: &str, without: &BTreeSet<TaskId>) -> i64 {
-    let entries = lead.machines.values().flat_map(|m| &m.entries);
+fn used(leader: &Leader, team: &str, without: &BTreeSet<TaskId>) -> i64 {
+    let entries = leader.machines.values().flat_map(|m| &m.entries);
     entries
         .filter(|e| e.spec.as_ref().is_some_and(|s| s.team == team.into()))
         .filter(|e| !without.contains(&e.task))
@@ -53,8 +53,8 @@
 }
 
 /// How many tasks of a gang a zone has room for if some tasks are stopped.
-fn room_for(lead: &Lead, job: &Job, zone: &str, without: &BTreeSet<TaskId>) -> u32 {
-    (lead.machines.values())
+fn room_for(leader: &Leader, job: &Job, zone: &str, without: &BTreeSet<TaskId>) -> u32 {
+    (leader.machines.values())
         .filter(|m| m.zone == zone.into())
         .map(|m| {
             let mut free = m.room;
@@ -68,11 +68,11 @@
 
 /// Compared with the slow plain way: what is stopped, if anything, is lent, whole and needed, and
 /// then the gang fits whole into one zone.
-fn check(lead: &Lead, job: &Job) -> bool {
-    let mut picture = Snapshot::take(lead, NOW);
-    let share = picture.share.clone();
+fn check(leader: &Leader, job: &Job) -> bool {
+    let mut snapshot = Snapshot::take(leader, NOW);
+    let share = snapshot.share.clone();
     let mut scenario = Scenario::default();
-    reclaim_gangs(lead, &mut picture, &[job], &mut scenario);
+    reclaim_gangs(leader, &mut snapshot, &[job], &mut scenario);
     let nobody = BTreeSet::new();
     let stopped: BTreeSet<TaskId> = scenario.evictions.iter().map(|e| e.task.clone()).collect();
     if stopped.is_empty() {
@@ -81,42 +81,42 @@
     }
     assert_eq!(scenario.placements.len() as u32, job.spec.tasks);
     let zones: BTreeSet<&str> = (scenario.placements.iter())
-        .map(|p| lead.machines[&p.machine].zone.as_str())
+        .map(|p| leader.machines[&p.machine].zone.as_str())
         .collect();
     assert_eq!(zones.len(), 1, "one zone");
     let zone = zones.first().copied().unwrap_or_default();
     assert!(
-        room_for(lead, job, zone, &stopped) >= job.spec.tasks,
+        room_for(leader, job, zone, &stopped) >= job.spec.tasks,
         "it fits"
     );
     assert!(["a", "b"]
         .iter()
-        .all(|z| room_for(lead, job, z, &nobody) < job.spec.tasks));
+        .all(|z| room_for(leader, job, z, &nobody) < job.spec.tasks));
     let mut units: BTreeMap<&JobId, BTreeSet<TaskId>> = BTreeMap::new();
     for task in &stopped {
-        let victim = &lead.jobs[&task.job];
+        let victim = &leader.jobs[&task.job];
         assert_eq!(victim.spec.team, "red".into(), "of another team");
         units.entry(&task.job).or_default().insert(task.clone());
     }
     for (id, tasks) in &units {
-        assert_eq!(tasks.len() as u32, lead.jobs[*id].spec.tasks, "whole");
+        assert_eq!(tasks.len() as u32, leader.jobs[*id].spec.tasks, "whole");
         let others: BTreeSet<TaskId> = stopped.difference(tasks).cloned().collect();
         assert!(
-            room_for(lead, job, zone, &others) < job.spec.tasks,
+            room_for(leader, job, zone, &others) < job.spec.tasks,
             "{id} is needed"
         );
     }
     let share_of = |team: &str| {
-        let leaf = lead.tree.find(&team.into()).expect("a team");
+        let leaf = leader.tree.find(&team.into()).expect("a team");
         share[leaf][0]
     };
-    let cpus = |milli: i64| milli as f64 * 4.0 / lead.room_of(&"m4".into()).cpus as f64;
+    let cpus = |milli: i64| milli as f64 * 4.0 / leader.room_of(&"m4".into()).cpus as f64;
     let need = job.need.times(job.spec.tasks).cpus;
     assert!(
-        cpus(used(lead, "red", &stopped)) >= share_of("red") - 1e-6,
+        cpus(used(leader, "red", &stopped)) >= share_of("red") - 1e-6,
         "lent"
     );
-    let mine = used(lead, "blue", &nobody) + need;
+    let mine = used(leader, "blue", &nobody) + need;
     assert!(cpus(mine) <= share_of("blue") + 1e-6, "within its share");
     true
 }
@@ -126,17 +126,17 @@
     let mut rng = StdRng::seed_from_u64(32);
     let made = (0..5_000)
         .filter(|_| {
-            let (lead, job) = crowded(&mut rng);
-            check(&lead, &job)
+            let (leader, job) = crowded(&mut rng);
+            check(&leader, &job)
         })
         .count();
     assert!(made > 50, "room was made {made} times");
 }
 
-fn evicted(lead: &Lead, job: &Job) -> BTreeSet<JobId> {
-    let mut picture = Snapshot::take(lead, NOW);
+fn evicted(leader: &Leader, job: &Job) -> BTreeSet<JobId> {
+    let mut snapshot = Snapshot::take(leader, NOW);
     let mut scenario = Scenario::default();
-    reclaim_gangs(lead, &mut picture, &[job], &mut scenario);
+    reclaim_gangs(leader, &mut snapshot, &[job], &mut scenario);
     let jobs = scenario.evictions.into_iter().map(|e| e.task.job);
     jobs.collect()
 }
@@ -145,35 +145,36 @@
 /// the gang that was stopped waits in its turn, it can't take the room back.
 #[test]
 fn what_is_not_needed_goes_on_and_room_is_not_taken_back() {
-    let mut lead = lead();
+    let mut leader = leader();
     let ids: Vec<MachineId> = (0..8)
-        .map(|n| up(&mut lead, &format!("vm-{n}"), ["a", "b"][n / 4]))
+        .map(|n| up(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
         .collect();
     let quotas = [("red", 4.0), ("blue", 12.0)];
     for (team, quota) in quotas {
-        let leaf = lead.tree.find(&team.into()).expect("a team");
-        lead.tree.nodes[leaf].quota[0] = quota;
+        let leaf = leader.tree.find(&team.into()).expect("a team");
+        leader.tree.nodes[leaf].quota[0] = quota;
     }
     // More is lent than is needed: its limit was tightened.
-    let red = lead.tree.find(&"red".into()).expect("a team");
-    lead.tree.nodes[red].limit[0] = 16.0;
+    let red = leader.tree.find(&"red".into()).expect("a team");
+    leader.tree.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
     let lent = job_of(2, "gang", "red", "normal", 3, 4.0);
-    run(&mut lead, &single(1), 0, &ids[0]);
-    (0..3).for_each(|i| run(&mut lead, &lent, i, &ids[1 + i as usize]));
-    (4..8).for_each(|i| run(&mut lead, &single(i as u32), 0, &ids[i]));
+    run(&mut leader, &single(1), 0, &ids[0]);
+    (0..3).for_each(|i| run(&mut leader, &lent, i, &ids[1 + i as usize]));
+    (4..8).for_each(|i| run(&mut leader, &single(i as u32), 0, &ids[i]));
     let waiting = job_of(99, "gang", "blue", "normal", 3, 4.0);
-    lead.jobs.insert(waiting.spec.id.clone(), waiting.clone());
-    let stopped = evicted(&lead, &waiting);
+    leader.jobs.insert(waiting.spec.id.clone(), waiting.clone());
+    let stopped = evicted(&leader, &waiting);
     assert_eq!(stopped, BTreeSet::from([lent.spec.id.clone()]));
     for id in &ids[1..4] {
-        lead.machines
+        leader
+            .machines
             .get_mut(id)
             .expect("a machine")
             .entries
             .clear();
     }
-    lead.jobs.insert(lent.spec.id.clone(), lent.clone());
-    (0..3).for_each(|i| run(&mut lead, &waiting, i, &ids[1 + i as usize]));
-    assert_eq!(evicted(&lead, &lent), BTreeSet::new());
+    leader.jobs.insert(lent.spec.id.clone(), lent.clone());
+    (0..3).for_each(|i| run(&mut leader, &waiting, i, &ids[1 + i as usize]));
+    assert_eq!(evicted(&leader, &lent), BTreeSet::new());
 }
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/admin.rs
@@ -3,10 +3,10 @@
 
 mod views;
 
-use crate::core::{Core, Purpose};
 use crate::fleet_limits::FleetLimits;
-use crate::io::{error_body, json, Output, ReqId, StateAnswer, StateCall};
-use crate::lead::Lead;
+use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
+use crate::leader::Leader;
+use crate::node::{Node, PendingCall};
 use crate::records::ADMIN;
 use crate::state_calls::Urgency;
 use crate::tree::TeamTree;
@@ -112,7 +112,7 @@
     platform.with(&settings.teams)
 }
 
-impl Core {
+impl Node {
     /// An administrator's request.
     pub(crate) fn admin(&mut self, req: ReqId, request: AdminRequest, local: bool, now: Now) {
         match request {
@@ -121,22 +121,22 @@
                 self.answer(req, 200, body);
             }
             AdminRequest::Replace(new) => self.replace_settings(req, *new, now),
-            AdminRequest::Overview if self.lead.is_none() && local => {
+            AdminRequest::Overview if self.leader.is_none() && local => {
                 let body = self.overview(now);
                 self.answer(req, 200, body.to_string());
             }
-            request => match &self.lead {
-                Some(lead) if !self.leads_surely(lead, now) => {
+            request => match &self.leader {
+                Some(leader) if !self.leads_surely(leader, now) => {
                     self.refuse(req, "leading is in doubt");
                 }
-                Some(lead) => {
+                Some(leader) => {
                     let (status, body) = match request {
-                        AdminRequest::Teams => (200, views::teams(lead, now)),
+                        AdminRequest::Teams => (200, views::teams(leader, now)),
                         AdminRequest::Machines(after) => {
-                            (200, views::machines(lead, after.as_ref(), now))
+                            (200, views::machines(leader, after.as_ref(), now))
                         }
-                        AdminRequest::Stops => (200, json!({ "stops": lead.stops })),
-                        AdminRequest::Job(id) => self.explain(lead, &id, now),
+                        AdminRequest::Stops => (200, json!({ "stops": leader.stops })),
+                        AdminRequest::Job(id) => self.explain(leader, &id, now),
                         _ => (200, self.overview(now)),
                     };
                     self.answer(req, status, body.to_string());
@@ -146,9 +146,9 @@
         }
     }
 
-    fn leads_surely(&self, lead: &Lead, now: Now) -> bool {
-        let state_ok = self.election.state_ok(now.time);
-        lead.may_answer(now.time, state_ok, self.election.majority())
+    fn leads_surely(&self, leader: &Leader, now: Now) -> bool {
+        let store_reachable = self.election.store_reachable(now.time);
+        leader.may_answer(now.time, store_reachable, self.election.majority())
     }
 
     fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool, now: Now) {
@@ -171,7 +171,7 @@
             let text = "the settings are larger than the state service stores";
             return self.answer(req, 400, error_body(text));
         }
-        if !self.election.state_ok(now.time) {
+        if !self.election.store_reachable(now.time) {
             return self.refuse(req, "the state service does not answer");
         }
         let transaction = Transaction {
@@ -185,9 +185,9 @@
                 lease: None,
             }],
         };
-        let purpose = Purpose::Settings(req, Box::new(new.settings));
+        let purpose = PendingCall::Settings(req, Box::new(new.settings));
         self.calls
-            .call(Urgency::User, StateCall::Commit(transaction), purpose);
+            .call(Urgency::User, StoreCall::Commit(transaction), purpose);
     }
 
     /// The answer to a change of settings.
@@ -195,19 +195,19 @@
         &mut self,
         req: ReqId,
         settings: AdminSettings,
-        answer: StateAnswer,
+        answer: StoreAnswer,
     ) {
         match answer {
-            StateAnswer::Committed(version) => {
+            StoreAnswer::Committed(version) => {
                 self.take_up(version, settings);
                 let body = json(&self.admin_settings);
                 self.answer(req, 200, body);
             }
-            StateAnswer::Conflict(_) => {
+            StoreAnswer::Conflict(_) => {
                 let text = "the settings have changed meanwhile: read them again";
                 self.answer(req, 409, error_body(text));
             }
-            StateAnswer::Unknown => self.refuse(req, "the outcome is unknown: read them again"),
+            StoreAnswer::Unknown => self.refuse(req, "the outcome is unknown: read them again"),
             _ => self.refuse(req, "the state service does not answer"),
         }
     }
@@ -224,31 +224,31 @@
         }
         log::info!("operators' settings of version {version} are taken up");
         self.admin_settings = Versioned { version, settings };
-        if let Some(lead) = self.lead.as_mut() {
-            lead.take_up(self.tree.clone(), &self.admin_settings.settings);
+        if let Some(leader) = self.leader.as_mut() {
+            leader.take_up(self.tree.clone(), &self.admin_settings.settings);
         }
     }
 
     fn overview(&self, now: Now) -> Value {
-        let leader = self.job_cache.leader().map(|(_, r)| r);
-        let lead = self.lead.as_ref();
+        let leader_record = self.job_cache.leader().map(|(_, r)| r);
+        let leader = self.leader.as_ref();
         json!({
             "node": self.settings.node,
-            "leader": leader.map(|r| &r.node),
-            "epoch": leader.map(|r| r.epoch),
-            "leads": lead.is_some(),
-            "state_service_answers": self.election.state_ok(now.time),
+            "leader": leader_record.map(|r| &r.node),
+            "epoch": leader_record.map(|r| r.epoch),
+            "leads": leader.is_some(),
+            "state_service_answers": self.election.store_reachable(now.time),
             "jobs_known": self.job_cache.jobs.len(),
             "unreadable_records": self.job_cache.unreadable,
-            "jobs_unfinished": lead.map(|l| l.jobs.len()),
-            "machines": lead.map(|l| l.machines.len()),
+            "jobs_unfinished": leader.map(|l| l.jobs.len()),
+            "machines": leader.map(|l| l.machines.len()),
             "connections_for": FleetLimits::of(&self.settings),
-            "machines_beyond_connections": lead.map(|l| l.beyond_connections),
-            "pages": lead.map(|l| l.placement_log.len()),
+            "machines_beyond_connections": leader.map(|l| l.beyond_connections),
+            "pages": leader.map(|l| l.placement_log.len()),
             "backlog": self.backlog.summary(now.time),
-            "counters": lead.map(|l| &l.counters),
+            "counters": leader.map(|l| &l.counters),
             "answers_ms": self.user_requests.latency.summary(),
-            "start_waits_ms": lead.map(|l| {
+            "start_waits_ms": leader.map(|l| {
                 (l.waits.iter())
                     .map(|(class, waits)| (class.to_string(), waits.summary()))
                     .collect::<serde_json::Map<_, _>>()
--- a/crates/core/src/admin/views.rs
+++ b/crates/core/src/admin/views.rs
@@ -2,9 +2,9 @@
 //!
 //! Lists are answered in pages or cut, and always say how many there are in all.
 
-use crate::core::Core;
 use crate::job::{Job, Stage};
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::placement_tracking::{Machine, Phase};
 use crate::snapshot::Snapshot;
 use crate::tree::amounts;
@@ -15,10 +15,10 @@
 /// Entries of a list in one answer.
 pub(super) const MOST_LISTED: usize = 200;
 
-impl Core {
+impl Node {
     /// Why a job is where it is.
-    pub(super) fn explain(&self, lead: &Lead, id: &JobId, now: Now) -> (u16, Value) {
-        let Some(job) = lead.jobs.get(id) else {
+    pub(super) fn explain(&self, leader: &Leader, id: &JobId, now: Now) -> (u16, Value) {
+        let Some(job) = leader.jobs.get(id) else {
             return match self.job_cache.jobs.get(id) {
                 Some(known) => (
                     200,
@@ -34,7 +34,7 @@
             .flat_map(|(index, places)| places.iter().map(move |p| (index, p)))
             .take(MOST_LISTED)
             .map(|(index, (machine, attempt))| {
-                let entry = (lead.machines.get(machine)).and_then(|m| {
+                let entry = (leader.machines.get(machine)).and_then(|m| {
                     m.entries
                         .iter()
                         .find(|e| e.attempt == *attempt && e.task.index == *index)
@@ -61,7 +61,7 @@
             "done": job.done.len(),
             "of": job.spec.tasks,
             "to_start": job.free_tasks(),
-            "why": why_waiting(lead, job, now),
+            "why": why_waiting(leader, job, now),
             "tasks": tasks,
             "tasks_of": job.placed(),
         });
@@ -79,7 +79,7 @@
 }
 
 /// What keeps a job's next task from starting.
-fn why_waiting(lead: &Lead, job: &Job, now: Now) -> &'static str {
+fn why_waiting(leader: &Leader, job: &Job, now: Now) -> &'static str {
     if !job.is_active() {
         return "it was cancelled";
     }
@@ -95,17 +95,17 @@
     if job.not_before > now.time {
         return "its tasks failed, and it waits a little before the next try";
     }
-    let picture = Snapshot::take(lead, now);
-    if !picture.within_limits(lead, job, &amounts(&job.need)) {
-        return if job.evictable() {
+    let snapshot = Snapshot::take(leader, now);
+    if !snapshot.within_limits(leader, job, &amounts(&job.need)) {
+        return if job.is_preemptible() {
             "its team's limit is used up"
         } else {
             "its team's quota is used up, and work at priority 100 or above can't borrow"
         };
     }
-    if crate::actions::has_room(lead, &picture, job) {
+    if crate::actions::has_room(leader, &snapshot, job) {
         "it is placed in the next cycle"
-    } else if lead.rentals.open.is_empty() && !lead.is_booting() {
+    } else if leader.rentals.open.is_empty() && !leader.is_booting() {
         "no machine has room for it, and none could be rented"
     } else {
         "no machine has room for it; machines are being rented or boot"
@@ -113,21 +113,21 @@
 }
 
 /// Who uses what, against quota, limit and share.
-pub(super) fn teams(lead: &Lead, now: Now) -> Value {
-    let picture = Snapshot::take(lead, now);
+pub(super) fn teams(leader: &Leader, now: Now) -> Value {
+    let snapshot = Snapshot::take(leader, now);
     let finite = |x: f64| x.is_finite().then_some(x);
-    let rows: Vec<Value> = (lead.tree.nodes.iter().enumerate().skip(1))
+    let rows: Vec<Value> = (leader.tree.nodes.iter().enumerate().skip(1))
         .map(|(i, team)| {
             json!({
                 "team": team.name,
-                "parent": team.parent.map(|p| &lead.tree.nodes[p].name),
+                "parent": team.parent.map(|p| &leader.tree.nodes[p].name),
                 "priority": team.priority,
                 "weight": team.weight,
-                "cpus": {"used": picture.used[i][0], "of_share": picture.counted[i][0], "share": picture.share[i][0],
+                "cpus": {"used": snapshot.used[i][0], "of_share": snapshot.counted[i][0], "share": snapshot.share[i][0],
                     "quota": finite(team.quota[0]), "limit": finite(team.limit[0])},
-                "gpus": {"used": picture.used[i][1], "of_share": picture.counted[i][1], "share": picture.share[i][1],
+                "gpus": {"used": snapshot.used[i][1], "of_share": snapshot.counted[i][1], "share": snapshot.share[i][1],
                     "quota": finite(team.quota[1]), "limit": finite(team.limit[1])},
-                "saturation": finite(picture.saturation(i)),
+                "saturation": finite(snapshot.saturation(i)),
             })
         })
         .collect();
@@ -135,26 +135,26 @@
 }
 
 /// Machines after a name, as many as a page holds, and what all of them cost.
-pub(super) fn machines(lead: &Lead, after: Option<&MachineId>, now: Now) -> Value {
+pub(super) fn machines(leader: &Leader, after: Option<&MachineId>, now: Now) -> Value {
     let later = |m: &&Machine| after.is_none_or(|after| m.id > *after);
-    let mut left = lead.machines.values().filter(later);
+    let mut left = leader.machines.values().filter(later);
     let listed: Vec<&Machine> = left.by_ref().take(MOST_LISTED).collect();
     let next_after = left.next().and(listed.last()).map(|m| &m.id);
-    let rows: Vec<Value> = listed.iter().map(|m| machine(lead, m, now)).collect();
-    let per_hour: f64 = (lead.machines.values())
-        .filter_map(|m| price_of(lead, m))
+    let rows: Vec<Value> = listed.iter().map(|m| machine(leader, m, now)).collect();
+    let per_hour: f64 = (leader.machines.values())
+        .filter_map(|m| price_of(leader, m))
         .sum();
     json!({
         "machines": rows,
-        "of": lead.machines.len(),
+        "of": leader.machines.len(),
         "next_after": next_after,
         "price_per_hour": per_hour,
     })
 }
 
 /// What a machine costs an hour, if its type is known.
-fn price_of(lead: &Lead, machine: &Machine) -> Option<f64> {
-    let machine_type = lead.machine_type(&machine.machine_type)?;
+fn price_of(leader: &Leader, machine: &Machine) -> Option<f64> {
+    let machine_type = leader.machine_type(&machine.machine_type)?;
     if machine.spot {
         machine_type.spot_price
     } else {
@@ -162,16 +162,16 @@
     }
 }
 
-fn machine(lead: &Lead, m: &Machine, now: Now) -> Value {
+fn machine(leader: &Leader, m: &Machine, now: Now) -> Value {
     let free = m.free();
     json!({
         "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.spot,
-        "age_s": Lead::age(m, now.wall).as_secs(),
+        "age_s": Leader::age(m, now.wall).as_secs(),
         "silent_s": m.last_heard.map(|t| (now.time - t).as_secs()),
         "tasks": m.entries.iter().filter(|e| e.holds_room()).count(),
         "free_cpus": free.cpus as f64 / 1000.0,
         "free_gpus": free.gpus as f64 / 1000.0,
-        "going": m.retire, "price_per_hour": price_of(lead, m),
+        "going": m.retire, "price_per_hour": price_of(leader, m),
         "failed_jobs": m.blamed.iter().map(|(j, _)| j).collect::<Vec<_>>(),
         "quarantined_s": (m.quarantine - now.time).as_secs(),
     })
--- a/crates/core/src/admin/views/tests.rs
+++ b/crates/core/src/admin/views/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
-use crate::testing::{lead, up, NOW};
+use crate::testing::{leader, up, NOW};
 
 /// Only the first 200 machines were shown, without saying so, and only their cost was added up.
 #[test]
 fn all_machines_are_listed_in_pages_and_all_are_paid_for() {
     for fleet in [4_000, 6_000] {
-        let mut lead = lead();
+        let mut leader = leader();
         for n in 0..fleet {
-            up(&mut lead, &format!("vm-{n:06}"), "a");
+            up(&mut leader, &format!("vm-{n:06}"), "a");
         }
         let (mut seen, mut after) = (0, None);
         loop {
-            let page = machines(&lead, after.as_ref(), NOW);
+            let page = machines(&leader, after.as_ref(), NOW);
             seen += page["machines"].as_array().map_or(0, Vec::len);
             assert_eq!(page["of"], fleet);
             assert_eq!(page["price_per_hour"], fleet as f64);
--- a/crates/core/src/anticipation.rs
+++ b/crates/core/src/anticipation.rs
@@ -5,14 +5,14 @@
 //! is known of when it ends, and a machine that waits for it would cost money for nothing.
 
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::Entry;
+use crate::leader::Leader;
+use crate::placement_tracking::PlacedTask;
 use crate::units::{Now, Span, Time};
 
 /// What has run longer than its owner thought will run for this part of that time more.
 const OVERRUN: f64 = 0.3;
 
-impl Lead {
+impl Leader {
     /// Jobs that wait for others, and will probably be ready within a span.
     pub fn nearly_ready(&self, within: Span, now: Now) -> impl Iterator<Item = &Job> {
         let soon = move |job: &&Job| {
@@ -52,7 +52,7 @@
 }
 
 /// In what time a task will probably end.
-fn ends_in(job: &Job, entry: &Entry, now: Time) -> Span {
+fn ends_in(job: &Job, entry: &PlacedTask, now: Time) -> Span {
     let estimate = job.spec.estimate_s;
     let ran = entry.running.map_or(0.0, |since| (now - since).as_secs());
     Span::secs((estimate - ran).max(ran * OVERRUN))
--- a/crates/core/src/anticipation/tests.rs
+++ b/crates/core/src/anticipation/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
-use crate::testing::{job, job_of, lead, run, up, NOW};
+use crate::testing::{job, job_of, leader, run, up, NOW};
 
 /// A leader whose job 2 depends on job 1, of two tasks that take 4 s by their owner.
-fn waiting(free: u32, ran: Span) -> Lead {
-    let mut lead = lead();
-    let machine = up(&mut lead, "vm-1", "a");
+fn waiting(free: u32, ran: Span) -> Leader {
+    let mut leader = leader();
+    let machine = up(&mut leader, "vm-1", "a");
     let first = job_of(1, "sweep", "red", "low", 2, 1.0);
     for index in free..2 {
-        run(&mut lead, &first, index, &machine);
+        run(&mut leader, &first, index, &machine);
     }
-    for machine in lead.machines.values_mut() {
+    for machine in leader.machines.values_mut() {
         for entry in &mut machine.entries {
             entry.running = Some(Time(NOW.time.0 - ran.0));
         }
@@ -17,40 +17,40 @@
     let mut second = (*job(2, "sweep", "red", "urgent").spec).clone();
     second.dependencies = vec![first.spec.id.clone()];
     let second = Job::new(second, rudderreel_wire::ids::Version(1), NOW.wall);
-    lead.jobs.insert(second.spec.id.clone(), second);
-    lead
+    leader.jobs.insert(second.spec.id.clone(), second);
+    leader
 }
 
-fn prepared(lead: &Lead, within: u64) -> usize {
-    lead.nearly_ready(Span(within), NOW).count()
+fn prepared(leader: &Leader, within: u64) -> usize {
+    leader.nearly_ready(Span(within), NOW).count()
 }
 
 #[test]
 fn a_job_is_nearly_ready_when_all_it_needs_ends_soon() {
-    let lead = waiting(0, Span(1_000));
-    assert_eq!(prepared(&lead, 3_000), 1);
-    assert_eq!(prepared(&lead, 2_900), 0);
+    let leader = waiting(0, Span(1_000));
+    assert_eq!(prepared(&leader, 3_000), 1);
+    assert_eq!(prepared(&leader, 2_900), 0);
 }
 
 #[test]
 fn what_runs_longer_than_its_owner_thought_goes_on_for_a_while() {
-    let lead = waiting(0, Span(10_000));
-    assert_eq!(prepared(&lead, 3_000), 1);
-    assert_eq!(prepared(&lead, 2_900), 0);
+    let leader = waiting(0, Span(10_000));
+    assert_eq!(prepared(&leader, 3_000), 1);
+    assert_eq!(prepared(&leader, 2_900), 0);
 }
 
 #[test]
 fn nothing_is_prepared_while_a_task_before_has_yet_to_start() {
-    let lead = waiting(1, Span(1_000));
-    assert_eq!(prepared(&lead, 1_000_000), 0);
+    let leader = waiting(1, Span(1_000));
+    assert_eq!(prepared(&leader, 1_000_000), 0);
 }
 
 #[test]
 fn nothing_is_prepared_two_stages_ahead() {
-    let mut lead = waiting(0, Span(1_000));
+    let mut leader = waiting(0, Span(1_000));
     let mut third = (*job(3, "sweep", "red", "urgent").spec).clone();
     third.dependencies = vec!["wk-2".parse().expect("an id")];
     let third = Job::new(third, rudderreel_wire::ids::Version(1), NOW.wall);
-    lead.jobs.insert(third.spec.id.clone(), third);
-    assert_eq!(prepared(&lead, 1_000_000), 1);
+    leader.jobs.insert(third.spec.id.clone(), third);
+    assert_eq!(prepared(&leader, 1_000_000), 1);
 }
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/cancellations.rs
@@ -5,15 +5,15 @@
 //! cancelled before a majority of the nodes knows it, and a word brings along the cancellations that its
 //! giver knows: any two majorities share a node, so whoever lives by words knows all that was told.
 //!
-//! A node knows all cancellations up to the revision that its watch has come to (`known_to`), and single
+//! A node knows all cancellations up to the revision that its watch has come to (`cancellation_watermark`), and single
 //! later ones. The node that wants to tell a user sends those that are not known widely to all others at
 //! once; each answer says that they are known there. If too few answer, the user is refused and comes
 //! back; then nodes that the state service serves say through it how much they know. A leader by its
 //! lease may tell of a job of which surely nothing is left: what no machine holds nobody keeps alive.
 
-use crate::core::{Core, Purpose};
-use crate::io::{Output, ReqId, StateCall};
+use crate::io::{Output, ReqId, StoreCall};
 use crate::job::Job;
+use crate::node::{Node, PendingCall};
 use crate::records::{KnownRecord, KNOWN};
 use crate::recovery::put;
 use crate::state_calls::Urgency;
@@ -21,7 +21,8 @@
 use crate::user_requests::Waiting;
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use rudderreel_wire::peer::{
-    Announcement, AnnouncementReply, CancelledJob, Catchup, Heartbeat, HeartbeatReply,
+    CancelledJob, Catchup, Heartbeat, HeartbeatReply, ReplicateCancellations,
+    ReplicateCancellationsReply,
 };
 use rudderreel_wire::state::Transaction;
 use std::collections::{BTreeMap, BTreeSet};
@@ -54,7 +55,7 @@
 #[derive(Default)]
 pub struct Cancellations {
     /// Every cancellation up to this revision is known here; 0 before the jobs were read.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
     /// The same for each peer, as it said last.
     peers: BTreeMap<NodeName, Version>,
     spread: BTreeMap<JobId, Spread>,
@@ -76,9 +77,9 @@
 
 impl Cancellations {
     /// A peer says how much it knows.
-    fn heard(&mut self, peer: &NodeName, known_to: Version) {
+    fn heard(&mut self, peer: &NodeName, cancellation_watermark: Version) {
         let known = self.peers.entry(peer.clone()).or_default();
-        *known = (*known).max(known_to);
+        *known = (*known).max(cancellation_watermark);
     }
 
     fn knows(&self, peer: &NodeName, id: &JobId, version: Version) -> bool {
@@ -87,7 +88,7 @@
     }
 }
 
-impl Core {
+impl Node {
     /// Whether a user may be told that a job is cancelled.
     fn may_tell_cancelled(&self, id: &JobId, version: Version, waited: Span, now: Now) -> bool {
         let known = &self.cancellations;
@@ -102,8 +103,8 @@
     /// the placement log that it has read back, and nobody may start more.
     fn nothing_is_left(&self, id: &JobId, now: Now) -> bool {
         let nothing = |job: &Job| !job.is_active() && job.places.is_empty();
-        self.lead.as_ref().is_some_and(|lead| {
-            lead.ready && lead.lease_valid(now.time) && lead.jobs.get(id).is_none_or(nothing)
+        self.leader.as_ref().is_some_and(|leader| {
+            leader.ready && leader.lease_valid(now.time) && leader.jobs.get(id).is_none_or(nothing)
         })
     }
 
@@ -161,7 +162,8 @@
     pub(crate) fn cancellations_tick(&mut self, now: Now) {
         let written = std::mem::take(&mut self.job_cache.known);
         for (node, record) in &written {
-            self.cancellations.heard(node, record.known_to);
+            self.cancellations
+                .heard(node, record.cancellation_watermark);
         }
         let others = (written.iter()).filter(|(node, _)| **node != self.settings.node);
         let asked = others.map(|(_, record)| record.asks).max();
@@ -188,23 +190,24 @@
     /// Writes how much this node knows if another asks for that, or if it has to ask itself.
     fn write_known(&mut self, now: Now) {
         let c = &mut self.cancellations;
-        let answers = c.asked > c.written.known_to && c.known_to >= c.asked;
+        let answers =
+            c.asked > c.written.cancellation_watermark && c.cancellation_watermark >= c.asked;
         let asks = c.asks > c.written.asks;
-        let may = !c.writing && now.time >= c.next_write && self.election.state_ok(now.time);
+        let may = !c.writing && now.time >= c.next_write && self.election.store_reachable(now.time);
         if !may || !(answers || asks) {
             return;
         }
         let record = KnownRecord {
-            known_to: c.known_to,
+            cancellation_watermark: c.cancellation_watermark,
             asks: c.asks,
         };
         (c.written, c.writing, c.next_write) = (record, true, now.time + WRITE);
         let key = format!("{KNOWN}{}", self.settings.node);
-        let call = StateCall::Commit(Transaction {
+        let call = StoreCall::Commit(Transaction {
             conditions: Vec::new(),
             changes: vec![put(key, &record)],
         });
-        self.calls.call(Urgency::User, call, Purpose::Known);
+        self.calls.call(Urgency::User, call, PendingCall::Known);
     }
 
     /// The answer to that. If it failed it is written again when next asked for.
@@ -238,31 +241,35 @@
             let cancelled = (ids.iter())
                 .filter_map(|id| self.job_cache.cancellation(id, c.spread[id].version))
                 .collect();
-            let announcement = Announcement {
+            let announcement = ReplicateCancellations {
                 from: self.settings.node.to_string(),
-                known_to: c.known_to,
+                cancellation_watermark: c.cancellation_watermark,
                 cancelled,
             };
             c.open.insert(peer.clone(), ids);
-            self.out.push(Output::Announce(peer.clone(), announcement));
+            self.out
+                .push(Output::ReplicateCancellations(peer.clone(), announcement));
         }
     }
 
     /// A peer makes cancellations known.
-    pub(crate) fn announced(&mut self, req: ReqId, told: Announcement) {
+    pub(crate) fn announced(&mut self, req: ReqId, told: ReplicateCancellations) {
         let from = NodeName::from(told.from.as_str());
         self.learn_cancelled(&told.cancelled);
         if self.peers.contains_key(&from) {
-            self.cancellations.heard(&from, told.known_to);
+            self.cancellations.heard(&from, told.cancellation_watermark);
             for job in &told.cancelled {
                 if let Ok(id) = job.job.parse() {
                     self.spread_of(&id, job.version).knows.insert(from.clone());
                 }
             }
         }
-        let known_to = self.cancellations.known_to;
-        let reply = AnnouncementReply { known_to };
-        self.out.push(Output::AnswerAnnounced(req, reply));
+        let cancellation_watermark = self.cancellations.cancellation_watermark;
+        let reply = ReplicateCancellationsReply {
+            cancellation_watermark,
+        };
+        self.out
+            .push(Output::AnswerReplicateCancellations(req, reply));
     }
 
     fn learn_cancelled(&mut self, told: &[CancelledJob]) {
@@ -275,7 +282,7 @@
     pub(crate) fn announce_reply(
         &mut self,
         peer: NodeName,
-        reply: Option<AnnouncementReply>,
+        reply: Option<ReplicateCancellationsReply>,
         now: Now,
     ) {
         let c = &mut self.cancellations;
@@ -292,35 +299,40 @@
                 spread.knows.insert(peer.clone());
             }
         }
-        c.heard(&peer, reply.known_to);
+        c.heard(&peer, reply.cancellation_watermark);
         c.due = true;
         self.tell_waiting(now);
     }
 
     /// All jobs were read, or the watch has come to a revision: everything up to it is known.
-    pub(crate) fn knows_to(&mut self, revision: Version) {
-        let known_to = &mut self.cancellations.known_to;
-        *known_to = revision.max(*known_to);
+    pub(crate) fn advance_cancellation_watermark(&mut self, revision: Version) {
+        let cancellation_watermark = &mut self.cancellations.cancellation_watermark;
+        *cancellation_watermark = revision.max(*cancellation_watermark);
         self.election.jobs_read = true;
     }
 
     /// A heartbeat: what the node that sends it knows, and, if it asks for a word, what it lacks. Only
     /// with that may the word be given.
     /// Returns it with whether it holds all that this node knows.
-    pub(crate) fn catchup_for(&mut self, beat: &Heartbeat) -> Option<(Catchup, bool)> {
-        let peer = NodeName::from(beat.from.as_str());
+    pub(crate) fn catchup_for(&mut self, heartbeat: &Heartbeat) -> Option<(Catchup, bool)> {
+        let peer = NodeName::from(heartbeat.from.as_str());
         if self.peers.contains_key(&peer) {
-            self.cancellations.heard(&peer, beat.known_to);
+            self.cancellations
+                .heard(&peer, heartbeat.cancellation_watermark);
         }
         // A node that has not read the jobs lacks too much to be told so.
-        if !beat.asks_word || beat.known_to == Version(0) {
+        if !heartbeat.requests_lease_vote || heartbeat.cancellation_watermark == Version(0) {
             return None;
         }
-        let later = self.job_cache.cancelled_after(beat.known_to, MOST);
+        let later = self
+            .job_cache
+            .cancelled_after(heartbeat.cancellation_watermark, MOST);
         // Beyond what its watch has come to this node knows only some, and none of them may be left out.
-        let known_to = self.cancellations.known_to;
+        let cancellation_watermark = self.cancellations.cancellation_watermark;
         let catchup = Catchup {
-            known_to: later.cut_after.map_or(known_to, |cut| known_to.min(cut)),
+            cancellation_watermark: later.cut_after.map_or(cancellation_watermark, |cut| {
+                cancellation_watermark.min(cut)
+            }),
             cancelled: later.jobs,
         };
         Some((catchup, later.cut_after.is_none()))
@@ -330,11 +342,12 @@
     pub(crate) fn catch_up(&mut self, reply: &mut HeartbeatReply) {
         let peer = NodeName::from(reply.from.as_str());
         if self.peers.contains_key(&peer) {
-            self.cancellations.heard(&peer, reply.known_to);
+            self.cancellations
+                .heard(&peer, reply.cancellation_watermark);
         }
         if let Some(catchup) = reply.catchup.take() {
             self.learn_cancelled(&catchup.cancelled);
-            self.knows_to(catchup.known_to);
+            self.advance_cancellation_watermark(catchup.cancellation_watermark);
         }
     }
 }
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -1,8 +1,8 @@
 //! Renting and returning machines.
 
-use crate::core::Core;
 use crate::io::{CallId, CloudAnswer, CloudCall, Output};
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::placement_tracking::Machine;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::cloud::{
@@ -168,7 +168,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Machines to return now: idle ones once they have been paid for, stuck and silent ones.
     fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
         let boots: BTreeMap<TypeName, Span> = (self.catalog.types.iter())
@@ -176,12 +176,12 @@
             .collect();
         let spare_only = self.spare_only();
         let keeps = self.keep_times();
-        let dark: BTreeSet<Zone> = self.dark.keys().cloned().collect();
+        let partitioned_zones: BTreeSet<Zone> = self.partitioned_zones.keys().cloned().collect();
         let lost = self.lost(now.time);
         let (led, lease) = (now.time - self.since, self.lease);
         let mut names = Vec::new();
         for machine in self.machines.values_mut() {
-            let age = Lead::age(machine, now.wall);
+            let age = Leader::age(machine, now.wall);
             let boot = (boots.get(&machine.machine_type).copied()).unwrap_or(Span(180_000));
             if let Some(why) = lost.get(&machine.id) {
                 machine.retire.get_or_insert(why);
@@ -195,7 +195,7 @@
                 .copied())
             .unwrap_or(self.keep_idle);
             // Behind a cut it can't be used, and is not idle for that.
-            let idle = !dark.contains(&machine.zone) && machine.entries.is_empty()
+            let idle = !partitioned_zones.contains(&machine.zone) && machine.entries.is_empty()
                 || spare_only.contains(&machine.id);
             if !idle {
                 machine.idle = None;
@@ -263,7 +263,7 @@
                     !e.holds_room()
                         || job.is_some_and(|j| {
                             j.need.gpus == 0
-                                && j.evictable()
+                                && j.is_preemptible()
                                 && self.fits_without_gpus(&j.spec, &j.need)
                         })
                 })
@@ -321,10 +321,10 @@
     }
 }
 
-impl Core {
+impl Node {
     /// Lets out calls to the cloud that wait.
     pub(crate) fn cloud_pump(&mut self, now: Now) {
-        if self.lead.is_some() {
+        if self.leader.is_some() {
             self.cloud.pump(now.time, &mut self.out);
         }
     }
@@ -332,7 +332,7 @@
     /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may
     /// be too large to be stored.
     pub(crate) fn fetch_catalog(&mut self, now: Now) {
-        if self.lead.is_some() || self.catalog.is_some() || !self.job_cache.complete {
+        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.complete {
             return;
         }
         let cloud = &mut self.cloud;
@@ -348,7 +348,7 @@
 
     /// Calls to the cloud that are due.
     pub(crate) fn cloud_tick(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let cloud = &mut self.cloud;
@@ -357,24 +357,25 @@
             cloud.next_catalog = now.time + Span(5_000);
             cloud.call(CloudCall::Catalog, CloudStep::Catalog);
         }
-        if !lead.ready || !lead.lease_valid(now.time) {
+        if !leader.ready || !leader.lease_valid(now.time) {
             return cloud.pump(now.time, &mut self.out);
         }
-        let names = lead.due_returns(now);
+        let names = leader.due_returns(now);
         let urgent = (names.iter()).any(|id| {
-            lead.machines
+            leader
+                .machines
                 .get(id)
                 .is_some_and(|m| m.retire != Some(IDLE))
         });
         if urgent || (!names.is_empty() && now.time >= cloud.next_return) {
             cloud.next_return = now.time + RETURNS;
-            lead.note_returning(&names, now);
+            leader.note_returning(&names, now);
             let call = CloudCall::Return(MachineNames {
                 machines: names.clone(),
             });
             cloud.call(call, CloudStep::Return(names));
         }
-        for rent in &lead.rentals.open {
+        for rent in &leader.rentals.open {
             let open = cloud.has(|s| matches!(s, CloudStep::Rent(r) if r.request == rent.request));
             if !open {
                 cloud.call(CloudCall::Rent(rent.clone()), CloudStep::Rent(rent.clone()));
@@ -383,7 +384,7 @@
         let list_due = now.time >= cloud.next_list;
         if list_due && !cloud.has(|s| matches!(s, CloudStep::List(_))) {
             let pause = Span(4_000).max(self.list_lag);
-            cloud.next_list = now.time + pause.max(cloud.listing_span(lead.machines.len()));
+            cloud.next_list = now.time + pause.max(cloud.listing_span(leader.machines.len()));
             cloud.call(CloudCall::List(None), CloudStep::List(None));
         }
         cloud.pump(now.time, &mut self.out);
@@ -400,9 +401,9 @@
         match (step, answer) {
             (CloudStep::Catalog, CloudAnswer::Catalog(catalog)) => {
                 self.cloud.next_catalog = now.time + Span(60_000);
-                if let Some(lead) = self.lead.as_mut() {
-                    lead.learn_catalog(catalog.clone());
-                    lead.wake(now.time);
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.learn_catalog(catalog.clone());
+                    leader.request_cycle(now.time);
                 }
                 if self.catalog.is_none() {
                     self.keep_catalog(&catalog);
@@ -412,11 +413,11 @@
             (CloudStep::Rent(rent), answer) => self.rented(rent, answer, now),
             (CloudStep::Return(names), CloudAnswer::Returned) => {
                 for id in names {
-                    if let Some(lead) = self.lead.as_mut() {
-                        lead.note_return(&id);
+                    if let Some(leader) = self.leader.as_mut() {
+                        leader.note_return(&id);
                     }
-                    if let Some(lead) = self.lead.as_mut() {
-                        lead.drop_machine(&id, now);
+                    if let Some(leader) = self.leader.as_mut() {
+                        leader.drop_machine(&id, now);
                     }
                 }
             }
@@ -427,8 +428,8 @@
                 self.cloud.call(call, CloudStep::List(after));
             }
             (CloudStep::List(_), CloudAnswer::Page(page)) => {
-                if let Some(lead) = self.lead.as_mut() {
-                    lead.learn_list(&page.machines, now);
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.learn_list(&page.machines, now);
                 }
                 if page.more {
                     let last = page.machines.last().map(|m| m.id.clone());
@@ -441,7 +442,7 @@
     }
 
     fn rented(&mut self, rent: Rent, answer: CloudAnswer, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let offer = Offer {
@@ -451,24 +452,24 @@
         };
         match answer {
             CloudAnswer::Rented(names) => {
-                lead.rentals.open.retain(|r| r.request != rent.request);
+                leader.rentals.open.retain(|r| r.request != rent.request);
                 if (names.machines.len() as u32) < rent.count {
-                    lead.rentals.refuse(offer, now.time);
+                    leader.rentals.refuse(offer, now.time);
                 } else {
-                    lead.rentals.refused.remove(&offer);
+                    leader.rentals.refused.remove(&offer);
                 }
                 for id in names.machines {
-                    let room = lead.room_of(&rent.machine_type);
+                    let room = leader.room_of(&rent.machine_type);
                     let (t, z) = (rent.machine_type.clone(), rent.zone.clone());
                     let machine = Machine::new(id, t, z, rent.spot, room, now.wall);
-                    lead.expect_machine(machine);
+                    leader.expect_machine(machine);
                 }
-                lead.wake(now.time);
+                leader.request_cycle(now.time);
             }
             CloudAnswer::NoCapacity | CloudAnswer::Rejected => {
-                lead.rentals.open.retain(|r| r.request != rent.request);
-                lead.rentals.refuse(offer, now.time);
-                lead.wake(now.time);
+                leader.rentals.open.retain(|r| r.request != rent.request);
+                leader.rentals.refuse(offer, now.time);
+                leader.request_cycle(now.time);
             }
             // It may have been carried out: the same request is repeated, by the same name.
             _ => {}
--- a/crates/core/src/capacity/tests.rs
+++ b/crates/core/src/capacity/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::testing::{core, lead, up, NOW};
+use crate::testing::{leader, node, up, NOW};
 use rudderreel_wire::cloud::MachinePage;
 
 /// Lets calls out and returns them.
-fn calls(node: &mut Core, at: Now) -> Vec<(CallId, CloudCall)> {
+fn calls(node: &mut Node, at: Now) -> Vec<(CallId, CloudCall)> {
     node.cloud.pump(at.time, &mut node.out);
     let call = |output| match output {
         Output::Cloud(id, call) => Some((id, call)),
@@ -17,8 +17,8 @@
 #[test]
 fn a_list_of_many_pages_goes_on_after_a_refusal() {
     for machines in [4_000, 6_000] {
-        let mut node = core();
-        node.lead = Some(lead());
+        let mut node = node();
+        node.leader = Some(leader());
         node.cloud.next_catalog = NOW.time + Span(3_600_000);
         let (mut now, mut listed, mut refused) = (NOW, 0, 0);
         node.cloud_tick(now);
@@ -43,8 +43,8 @@
                 node.cloud_answer(id, CloudAnswer::Page(page), now);
             }
         }
-        let lead = node.lead.as_ref().expect("it leads");
-        assert_eq!((listed, lead.machines.len()), (machines, machines));
+        let leader = node.leader.as_ref().expect("it leads");
+        assert_eq!((listed, leader.machines.len()), (machines, machines));
         assert!(refused >= machines / MACHINES_PER_PAGE, "{refused}");
     }
 }
@@ -67,9 +67,9 @@
     let cloud = CloudCalls::new(1.0);
     assert!(cloud.listing_span(100) <= Span(4_000));
     assert_eq!(cloud.listing_span(4_000), Span(32_000));
-    let mut lead = lead();
+    let mut leader = leader();
     for n in 0..10 {
-        up(&mut lead, &format!("vm-{n}"), "a");
+        up(&mut leader, &format!("vm-{n}"), "a");
     }
-    assert_eq!(cloud.listing_span(lead.machines.len()), Span(4_000));
+    assert_eq!(cloud.listing_span(leader.machines.len()), Span(4_000));
 }
--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -5,10 +5,10 @@
 //! the version of the job's record. A leader that takes over finds what is left in its cache. Each
 //! record that is written shows the next jobs along the pipeline.
 
-use crate::core::Core;
-use crate::io::{StateAnswer, StateCall};
+use crate::io::{StoreAnswer, StoreCall};
+use crate::node::Node;
 use crate::records::{job_key, JobRecord};
-use crate::recovery::{condition, put, LeadStep};
+use crate::recovery::{condition, put, LeaderCall};
 use crate::units::Now;
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::JobState;
@@ -24,14 +24,14 @@
     record: JobRecord,
 }
 
-impl Core {
+impl Node {
     /// Writes records that are due, the oldest jobs first, within the leader's part of the writes.
     pub(crate) fn flush_cancellations(&mut self, now: Now) {
         let mut due = self.condemned(now);
-        while let Some(lead) = self.lead.as_mut() {
-            let wanted = due.len().min(lead.limits.operations);
-            let rate = lead.limits.placement_writes();
-            let taken = (lead.placement_log).take_cancellations(wanted, rate, now.time);
+        while let Some(leader) = self.leader.as_mut() {
+            let wanted = due.len().min(leader.limits.operations);
+            let rate = leader.limits.placement_writes();
+            let taken = (leader.placement_log).take_cancellations(wanted, rate, now.time);
             if taken == 0 {
                 return;
             }
@@ -42,26 +42,26 @@
 
     /// Writes the records of some jobs in one transaction.
     fn write_cancelled(&mut self, jobs: Vec<Condemned>) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let mut conditions = vec![lead.leading()];
+        let mut conditions = vec![leader.leadership_condition()];
         let mut changes = Vec::new();
         for job in &jobs {
-            lead.cascading.insert(job.id.clone());
+            leader.cascading.insert(job.id.clone());
             conditions.push(condition(job_key(&job.id), job.version));
             changes.push(put(job_key(&job.id), &job.record));
         }
-        let call = StateCall::Commit(Transaction {
+        let call = StoreCall::Commit(Transaction {
             conditions,
             changes,
         });
         let records = jobs.into_iter().map(|job| (job.id, job.record)).collect();
-        self.lead_call(call, LeadStep::Cascade(records));
+        self.call_store_as_leader(call, LeaderCall::Cascade(records));
     }
 
     fn condemned(&self, now: Now) -> Vec<Condemned> {
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return Vec::new();
         };
         let cancelled = |id: &&JobId| {
@@ -69,7 +69,7 @@
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
         };
         let mut due: Vec<Condemned> = (self.job_cache.graph.condemned())
-            .filter(|id| !lead.cascading.contains(id))
+            .filter(|id| !leader.cascading.contains(id))
             .take(MOST)
             .filter_map(|id| {
                 let known = self.job_cache.jobs.get(id)?;
@@ -89,31 +89,31 @@
     pub(crate) fn cascaded(
         &mut self,
         jobs: Vec<(JobId, JobRecord)>,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
-        if self.lost_by(&answer) {
+        if self.step_down_if_superseded(&answer) {
             return;
         }
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         for (id, _) in &jobs {
-            lead.cascading.remove(id);
+            leader.cascading.remove(id);
         }
         match answer {
-            StateAnswer::Committed(version) => {
+            StoreAnswer::Committed(version) => {
                 for (id, record) in jobs {
                     log::info!("{id} is cancelled with {:?}", record.cancelled_by);
                     self.job_cache.learn_job(id, version, record);
                 }
-                if let Some(lead) = self.lead.as_mut() {
-                    lead.wake(now.time);
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.request_cycle(now.time);
                 }
             }
             // Not carried out: it is tried again.
-            StateAnswer::Refused | StateAnswer::Rejected => {}
-            StateAnswer::Conflict(keys) => self.read_jobs(
+            StoreAnswer::Refused | StoreAnswer::Rejected => {}
+            StoreAnswer::Conflict(keys) => self.read_jobs(
                 (jobs.into_iter().map(|(id, _)| id)).filter(|id| keys.contains(&job_key(id))),
             ),
             _ => self.read_jobs(jobs.into_iter().map(|(id, _)| id)),
@@ -123,8 +123,8 @@
     /// Reads what jobs' keys hold after a commit that failed.
     fn read_jobs(&mut self, ids: impl Iterator<Item = JobId>) {
         for id in ids {
-            let call = StateCall::Get(job_key(&id));
-            self.lead_call(call, LeadStep::JobAgain(id));
+            let call = StoreCall::Get(job_key(&id));
+            self.call_store_as_leader(call, LeaderCall::JobAgain(id));
         }
     }
 }
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/commands.rs
@@ -2,8 +2,8 @@
 
 use crate::actions;
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine, Phase};
+use crate::leader::Leader;
+use crate::placement_tracking::{Machine, Phase, PlacedTask};
 use crate::units::{Resources, Span, Time};
 use rudderreel_wire::ids::{MachineId, Zone};
 use rudderreel_wire::worker::Command;
@@ -22,13 +22,13 @@
 
 impl TeamUsage {
     /// By node of the tree: everything of it and of those below it that may exist.
-    pub(crate) fn of(&self, lead: &Lead) -> &[Resources] {
+    pub(crate) fn of(&self, leader: &Leader) -> &[Resources] {
         self.by_node.get_or_init(|| {
-            let mut sums = vec![Resources::default(); lead.tree.nodes.len()];
-            for job in lead.jobs.values().filter(|j| !j.places.is_empty()) {
+            let mut sums = vec![Resources::default(); leader.tree.nodes.len()];
+            for job in leader.jobs.values().filter(|j| !j.places.is_empty()) {
                 let used = job.need.times(job.placed());
-                let leaf = lead.tree.find(&job.spec.team);
-                for node in leaf.into_iter().flat_map(|leaf| lead.tree.chain(leaf)) {
+                let leaf = leader.tree.find(&job.spec.team);
+                for node in leaf.into_iter().flat_map(|leaf| leader.tree.chain(leaf)) {
                     sums[node] += used;
                 }
             }
@@ -37,13 +37,13 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// The single place where a start is decided: every rule is checked against everything that
     /// may exist.
     pub(crate) fn may_start(
         &self,
         machine: &Machine,
-        entry: &Entry,
+        entry: &PlacedTask,
         usage: &TeamUsage,
         now: Time,
     ) -> bool {
@@ -181,11 +181,11 @@
         }
         let epoch = self.epoch;
         if let Some(machine) = self.machines.get_mut(id) {
-            let session = machine.newest.0;
+            let incarnation = machine.newest.0;
             for (task, attempt) in started {
                 if let Some(entry) = machine.entry_mut(&task, attempt) {
                     entry.phase = Phase::Sent;
-                    entry.sent = (epoch, session);
+                    entry.sent = (epoch, incarnation);
                     entry.in_flight += u32::from(direct);
                 }
             }
@@ -221,8 +221,8 @@
     }
 
     /// Whether a start of unknown outcome stands in the way and only a new epoch rules it out.
-    pub fn wants_fence(&self, now: Time) -> bool {
-        let stuck = |e: &Entry| {
+    pub fn needs_epoch_bump(&self, now: Time) -> bool {
+        let stuck = |e: &PlacedTask| {
             let ended = matches!(e.phase, Phase::Exited(_)) && e.settled && e.unsure;
             let missing = e.missing.is_some_and(|since| now > since + Span(3_000));
             ended || (missing && e.stop.is_some())
--- a/crates/core/src/confirmation.rs
+++ b/crates/core/src/confirmation.rs
@@ -6,11 +6,11 @@
 //! large for one transaction is confirmed in several: done and cancelled are final, so what was not
 //! cancelled at a later transaction was not at an earlier one either.
 
-use crate::core::Core;
-use crate::io::{StateAnswer, StateCall};
+use crate::io::{StoreAnswer, StoreCall};
+use crate::node::Node;
 use crate::records::{job_key, JobRecord, JOBS};
 use crate::units::{Now, Span, Time};
-use crate::user_requests::{UserStep, Waiting, PATIENCE};
+use crate::user_requests::{UserCall, Waiting, PATIENCE};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::state::{Condition, Transaction};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -61,7 +61,7 @@
     Stale(JobId),
 }
 
-impl Core {
+impl Node {
     /// Confirms a request soon, with others.
     pub(crate) fn confirm_later(&mut self, waiting: Waiting, now: Now) {
         let most = self.most_unconfirmed();
@@ -151,23 +151,23 @@
                 version,
             })
             .collect();
-        let call = StateCall::Commit(Transaction {
+        let call = StoreCall::Commit(Transaction {
             conditions,
             changes: Vec::new(),
         });
-        self.user_call(call, UserStep::Confirm(confirmation));
+        self.user_call(call, UserCall::Confirm(confirmation));
     }
 
     /// The answer to a transaction of a confirmation.
     pub(crate) fn was_confirmed(
         &mut self,
         mut confirmation: Confirmation,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
         let failed = match answer {
-            StateAnswer::Committed(_) => Vec::new(),
-            StateAnswer::Conflict(failed) if !failed.is_empty() => failed,
+            StoreAnswer::Committed(_) => Vec::new(),
+            StoreAnswer::Conflict(failed) if !failed.is_empty() => failed,
             _ => {
                 for waiting in confirmation.members {
                     self.forward_or_refuse(waiting, now);
@@ -203,8 +203,8 @@
             }
         }
         for (id, members) in stale {
-            let call = StateCall::Get(job_key(&id));
-            self.user_call(call, UserStep::ReadFor(id, members));
+            let call = StoreCall::Get(job_key(&id));
+            self.user_call(call, UserCall::ReadFor(id, members));
         }
     }
 
@@ -235,18 +235,18 @@
         &mut self,
         id: JobId,
         members: Vec<Waiting>,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
         let read = match answer {
-            StateAnswer::Found(item) => match serde_json::from_value::<JobRecord>(item.value) {
+            StoreAnswer::Found(item) => match serde_json::from_value::<JobRecord>(item.value) {
                 Ok(record) => {
                     self.job_cache.learn_job(id, item.version, record);
                     true
                 }
                 Err(_) => false,
             },
-            StateAnswer::Missing => {
+            StoreAnswer::Missing => {
                 for waiting in members {
                     if *waiting.job() == id {
                         self.no_such_job(waiting, now);
--- a/crates/core/src/confirmation/tests.rs
+++ b/crates/core/src/confirmation/tests.rs
@@ -11,14 +11,14 @@
         txn_ops,
         ..settings.params.state
     };
-    let mut core = Core::new(settings);
+    let mut node = Node::new(settings);
     for n in 0..questions {
         let id = format!("wk-{n:06}").parse().expect("an id");
         let waiting = Waiting::new(ReqId(n), UserRequest::Status(id), NOW.time);
-        core.confirm_later(waiting, NOW);
+        node.confirm_later(waiting, NOW);
     }
     let refusal = |output: &Output| matches!(output, Output::Answer { status: 503, .. });
-    core.out.iter().filter(|output| refusal(output)).count()
+    node.out.iter().filter(|output| refusal(output)).count()
 }
 
 /// Two thousand questions might wait, however many the state service lets be confirmed in their time. When
--- a/crates/core/src/cycle.rs
+++ b/crates/core/src/cycle.rs
@@ -2,8 +2,8 @@
 
 use crate::actions;
 use crate::job::{Job, Stage};
-use crate::lead::{Lead, Reserve, LATELY, STALLED};
-use crate::placement_tracking::{Entry, Machine, Phase, Stop};
+use crate::leader::{Leader, Reserve, LATELY, STALLED};
+use crate::placement_tracking::{Machine, Phase, PlacedTask, Stop};
 use crate::records::JobRecord;
 use crate::snapshot::Snapshot;
 use crate::statement::Placement;
@@ -19,7 +19,7 @@
 /// A machine that still holds a cancelled job's task is returned so long before that must be gone.
 const AT_LAST: Span = Span(8_000);
 
-impl Lead {
+impl Leader {
     /// Takes in a job's record.
     pub fn learn_job(&mut self, id: &JobId, version: Version, record: &JobRecord) {
         match record.state {
@@ -90,13 +90,17 @@
             let led = now.time - self.since;
             for machine in self.stop_cancelled(&id, now.time) {
                 let limits = (self.cancel, self.report, self.silence());
-                let (lease, fence, dark) = (self.lease, self.fence, &self.dark);
+                let (lease, old_leaders_fenced_at, partitioned_zones) = (
+                    self.lease,
+                    self.old_leaders_fenced_at,
+                    &self.partitioned_zones,
+                );
                 if let Some(m) = self.machines.get_mut(&machine) {
                     // Behind a cut its lease ends it, if that is soon enough; the machine holds
                     // much else.
                     let left = Span((self.cancel.0).saturating_sub(past.0 + AT_LAST.0));
-                    let ends = dark.contains_key(&m.zone)
-                        && m.lease_surely_over(now.time + left, lease, fence);
+                    let ends = partitioned_zones.contains_key(&m.zone)
+                        && m.lease_surely_over(now.time + left, lease, old_leaders_fenced_at);
                     if !ends && must_return(m, past, led, limits, now.time) {
                         m.retire.get_or_insert("holds a cancelled job");
                     }
@@ -120,31 +124,36 @@
     /// Decides one cycle.
     pub fn cycle(&mut self, now: Now) {
         self.drop_stalled(now.time);
-        let mut picture = Snapshot::take(self, now);
+        let mut snapshot = Snapshot::take(self, now);
         let mut scenario = actions::Scenario::default();
         let waiting = self.waiting(now);
         let (rest, first): (Vec<&Job>, Vec<&Job>) =
-            (waiting.iter()).partition(|j| j.evictable() && j.spec.kind != Kind::Gang);
-        let mut placements = actions::allocate_firm(self, &mut picture, &waiting, true);
-        actions::reclaim(self, &mut picture, &first, &mut scenario);
-        actions::preempt(self, &mut picture, &first, &mut scenario);
-        placements.extend(actions::allocate_firm(self, &mut picture, &waiting, false));
-        placements.extend(actions::allocate_rest(self, &mut picture, &waiting));
+            (waiting.iter()).partition(|j| j.is_preemptible() && j.spec.kind != Kind::Gang);
+        let mut placements = actions::allocate_non_preemptible(self, &mut snapshot, &waiting, true);
+        actions::reclaim(self, &mut snapshot, &first, &mut scenario);
+        actions::preempt(self, &mut snapshot, &first, &mut scenario);
+        placements.extend(actions::allocate_non_preemptible(
+            self,
+            &mut snapshot,
+            &waiting,
+            false,
+        ));
+        placements.extend(actions::allocate_preemptible(self, &mut snapshot, &waiting));
         // Only now is it known what of arrays finds no room: what is free may be held back from them,
         // or go to others. Looked at before, a little free room kept them from taking back what was
         // lent. Gangs of one task come before: room is gathered for larger ones in between.
-        actions::reclaim(self, &mut picture, &rest, &mut scenario);
-        actions::preempt(self, &mut picture, &rest, &mut scenario);
-        actions::reclaim_gangs(self, &mut picture, &waiting, &mut scenario);
+        actions::reclaim(self, &mut snapshot, &rest, &mut scenario);
+        actions::preempt(self, &mut snapshot, &rest, &mut scenario);
+        actions::reclaim_gangs(self, &mut snapshot, &waiting, &mut scenario);
         if scenario.evictions.is_empty() && now.time >= self.next_move {
-            let emptied = actions::consolidate(self, &mut picture, &mut scenario);
+            let emptied = actions::consolidate(self, &mut snapshot, &mut scenario);
             self.next_move = now.time + self.period;
             if let Some(machine) = emptied.and_then(|id| self.machines.get_mut(&id)) {
                 machine.cordon = now.time + Span(3 * self.period.0);
             }
         }
         placements.extend(scenario.placements);
-        let gathering = std::mem::take(&mut picture.gathering);
+        let gathering = std::mem::take(&mut snapshot.gathering);
         self.gathering = gathering;
         self.apply(placements, now.time);
         for eviction in scenario.evictions {
@@ -160,10 +169,10 @@
                 });
             }
         }
-        let counted_on = self.plan_capacity(&picture, now);
-        let kept = picture.spots.iter().filter(|s| s.kept_for.is_some());
+        let counted_on = self.plan_capacity(&snapshot, now);
+        let kept = snapshot.candidates.iter().filter(|s| s.kept_for.is_some());
         let needed: Vec<MachineId> = (kept.map(|s| &s.id))
-            .chain(counted_on.iter().map(|&i| &picture.spots[i].id))
+            .chain(counted_on.iter().map(|&i| &snapshot.candidates[i].id))
             .cloned()
             .collect();
         for id in needed {
@@ -196,7 +205,7 @@
     /// Whether a job's start can't wait for its image to be fetched, by what users say.
     pub fn is_picky(&self, job: &Job) -> bool {
         let fetch = Span::secs(self.catalog.slowest_fetch_s(job.spec.image_gb));
-        !job.evictable() && (self.wait_aims.get(&job.spec.class)).is_some_and(|w| *w < fetch)
+        !job.is_preemptible() && (self.wait_aims.get(&job.spec.class)).is_some_and(|w| *w < fetch)
     }
 
     /// Placements that wait for room which does not come free are taken back.
@@ -219,7 +228,7 @@
         for job in self
             .jobs
             .values()
-            .filter(|j| j.is_active() && j.is_ready() && !j.evictable())
+            .filter(|j| j.is_active() && j.is_ready() && !j.is_preemptible())
         {
             let urgent = (self.wait_aims.get(&job.spec.class)).is_some_and(|w| w.as_secs() < boot);
             let age = Span(now.wall.0.saturating_sub(job.waits_since().0));
@@ -270,7 +279,7 @@
                     placement.task,
                     machine.id
                 );
-                let entry = Entry::planned(placement.task, attempt, Some(spec), now);
+                let entry = PlacedTask::planned(placement.task, attempt, Some(spec), now);
                 machine.entries.push(entry);
                 machine.idle = None;
             }
@@ -326,9 +335,11 @@
 
     /// Machines whose leases have surely run out hold nothing any more.
     pub fn expire(&mut self, now: Now) {
-        let (lease, fence) = (self.lease, self.fence);
+        let (lease, old_leaders_fenced_at) = (self.lease, self.old_leaders_fenced_at);
         let over: Vec<MachineId> = (self.machines.values())
-            .filter(|m| !m.entries.is_empty() && m.lease_surely_over(now.time, lease, fence))
+            .filter(|m| {
+                !m.entries.is_empty() && m.lease_surely_over(now.time, lease, old_leaders_fenced_at)
+            })
             .map(|m| m.id.clone())
             .collect();
         for id in over {
@@ -353,7 +364,7 @@
     pub fn drop_machine(&mut self, id: &MachineId, now: Now) {
         self.empty_machine(id, now);
         self.returned.insert(id.clone(), now.time);
-        self.wake(now.time);
+        self.request_cycle(now.time);
         self.machines.remove(id);
     }
 
--- a/crates/core/src/cycle/tests.rs
+++ b/crates/core/src/cycle/tests.rs
@@ -45,15 +45,15 @@
 /// another team took each machine that came up: they waited a minute.
 #[test]
 fn replicas_go_before_arrays_also_without_their_image() {
-    let mut lead = testing::lead();
-    testing::up(&mut lead, "vm-1", "a");
+    let mut leader = testing::leader();
+    testing::up(&mut leader, "vm-1", "a");
     for job in [
         testing::job(1, "sweep", "red", "normal"),
         testing::job(2, "standing", "blue", "prod"),
     ] {
-        lead.jobs.insert(job.spec.id.clone(), job);
+        leader.jobs.insert(job.spec.id.clone(), job);
     }
-    lead.cycle(testing::NOW);
-    let placed = |id: &str| lead.jobs[&id.parse().expect("an id")].placed();
+    leader.cycle(testing::NOW);
+    let placed = |id: &str| leader.jobs[&id.parse().expect("an id")].placed();
     assert_eq!((placed("wk-1"), placed("wk-2")), (0, 4));
 }
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/demand.rs
@@ -4,9 +4,9 @@
 use crate::actions::{allowed, fits};
 use crate::capacity::Offer;
 use crate::job::Job;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::placement_tracking::Machine;
-use crate::snapshot::{is_bound, within, Snapshot, Spot};
+use crate::snapshot::{is_bound, within, CandidateMachine, Snapshot};
 use crate::tree::{amounts, Amounts};
 use crate::units::{Now, Resources, Span, Time};
 use rudderreel_wire::cloud::{MachineType, Rent, MACHINES_PER_RENTAL};
@@ -43,7 +43,7 @@
     /// How many tasks of a job one of the machines takes.
     fn each(&self, job: &Job) -> u32 {
         let each = self.free.count(&job.need);
-        if job.evictable() {
+        if job.is_preemptible() {
             return each;
         }
         // A task that takes most of a machine has it all the same.
@@ -66,16 +66,16 @@
 /// Where a job's tasks are and are planned, by zone.
 type Zones = BTreeMap<Zone, u32>;
 
-impl Lead {
+impl Leader {
     /// Decides which machines to rent for work that found no room. Returns the free machines that
     /// gangs which wait for more count on, by their place in the picture.
-    pub fn plan_capacity(&mut self, picture: &Snapshot, now: Now) -> Vec<usize> {
+    pub fn plan_capacity(&mut self, snapshot: &Snapshot, now: Now) -> Vec<usize> {
         let mut plan = Plan {
             bins: self.coming(now),
             wanted: BTreeMap::new(),
-            used: picture.used.clone(),
-            firm: picture.firm.clone(),
-            spare: vec![true; picture.spots.len()],
+            used: snapshot.used.clone(),
+            firm: snapshot.firm.clone(),
+            spare: vec![true; snapshot.candidates.len()],
         };
         let mut jobs: Vec<&Job> = (self.jobs.values())
             .filter(|j| j.is_active() && j.free_tasks() > 0 && !j.is_suspected())
@@ -84,17 +84,17 @@
         for job in jobs {
             match job.spec.kind {
                 Kind::Gang if !job.places.is_empty() => {}
-                Kind::Gang if job.spec.one_zone => self.plan_gang(job, picture, &mut plan, now),
+                Kind::Gang if job.spec.one_zone => self.plan_gang(job, snapshot, &mut plan, now),
                 _ => self.plan_tasks(job, &mut plan, now),
             }
         }
-        self.plan_ahead(picture, &mut plan, now);
+        self.plan_ahead(snapshot, &mut plan, now);
         self.ask(plan.wanted);
         (0..plan.spare.len()).filter(|&i| !plan.spare[i]).collect()
     }
 
     /// Plans room for arrays that will be ready by the time a machine could be up, beyond what is free.
-    fn plan_ahead(&self, picture: &Snapshot, plan: &mut Plan, now: Now) {
+    fn plan_ahead(&self, snapshot: &Snapshot, plan: &mut Plan, now: Now) {
         let boot = Span::secs(self.catalog.slowest_boot_s());
         let mut jobs: Vec<&Job> = (self.nearly_ready(boot, now))
             .filter(|j| j.spec.kind == Kind::Array)
@@ -103,7 +103,7 @@
             return;
         }
         jobs.sort_by_cached_key(|j| j.order(false));
-        let mut free: Vec<Bin> = picture.spots.iter().map(free_bin).collect();
+        let mut free: Vec<Bin> = snapshot.candidates.iter().map(free_bin).collect();
         for job in jobs {
             let mut zones = Zones::new();
             let mut left = self.allowance(job, job.spec.tasks, plan);
@@ -156,7 +156,7 @@
         let booting = |m: &&Machine| {
             let on_time = late
                 .get(&m.machine_type)
-                .is_none_or(|t| Lead::age(m, wall) < *t);
+                .is_none_or(|t| Leader::age(m, wall) < *t);
             m.last_heard.is_none() && m.retire.is_none() && m.returning.is_none() && on_time
         };
         for machine in self.machines.values().filter(booting) {
@@ -246,7 +246,7 @@
             n += 1;
             for node in self.tree.chain(leaf) {
                 crate::snapshot::add(&mut plan.used[node], &need);
-                if !job.evictable() {
+                if !job.is_preemptible() {
                     crate::snapshot::add(&mut plan.firm[node], &need);
                 }
             }
@@ -295,7 +295,7 @@
         }
         let machines = tasks.div_ceil(each);
         let (firm, count) = plan.wanted.entry(offer.clone()).or_default();
-        *firm |= !job.evictable();
+        *firm |= !job.is_preemptible();
         *count += machines;
         plan.bins.push(self.bin(offer, machines));
         self.fill_bins(job, tasks, &mut plan.bins, zones, None)
@@ -355,14 +355,14 @@
     }
 
     /// A gang in one zone: what is lacking there is rented as a whole, in the zone where least is.
-    fn plan_gang(&self, job: &Job, picture: &Snapshot, plan: &mut Plan, now: Now) {
+    fn plan_gang(&self, job: &Job, snapshot: &Snapshot, plan: &mut Plan, now: Now) {
         let want = job.spec.tasks;
         if self.allowance(job, want, plan) < want {
             return;
         }
         let mut best: Option<(f64, Zone, u32)> = None;
         for zone in self.zones() {
-            let have = self.spare_in(job, picture, plan, &zone) + in_bins(job, &plan.bins, &zone);
+            let have = self.spare_in(job, snapshot, plan, &zone) + in_bins(job, &plan.bins, &zone);
             let lacking = want.saturating_sub(have);
             let price = match self.cheapest_in(job, &zone, now.time) {
                 Some((price, _)) => price,
@@ -377,7 +377,7 @@
         let Some((_, zone, lacking)) = best else {
             return;
         };
-        let mut left = want - self.use_spare(job, want, picture, plan, &zone);
+        let mut left = want - self.use_spare(job, want, snapshot, plan, &zone);
         let mut zones = Zones::new();
         left -= self.fill_bins(job, left, &mut plan.bins, &mut zones, Some(&zone));
         if left > 0 && lacking > 0 {
@@ -398,9 +398,9 @@
     }
 
     /// Tasks of a gang that fit on free machines of a zone which no other gang counts on.
-    fn spare_in(&self, job: &Job, picture: &Snapshot, plan: &Plan, zone: &Zone) -> u32 {
-        (picture.spots.iter().zip(&plan.spare))
-            .filter(|(s, spare)| **spare && s.zone == *zone && fits(self, picture, job, s))
+    fn spare_in(&self, job: &Job, snapshot: &Snapshot, plan: &Plan, zone: &Zone) -> u32 {
+        (snapshot.candidates.iter().zip(&plan.spare))
+            .filter(|(s, spare)| **spare && s.zone == *zone && fits(self, snapshot, job, s))
             .map(|(s, _)| s.free.count(&job.need))
             .sum()
     }
@@ -409,13 +409,13 @@
         &self,
         job: &Job,
         most: u32,
-        picture: &Snapshot,
+        snapshot: &Snapshot,
         plan: &mut Plan,
         zone: &Zone,
     ) -> u32 {
         let mut used = 0;
-        for (spot, spare) in picture.spots.iter().zip(plan.spare.iter_mut()) {
-            if used < most && *spare && spot.zone == *zone && fits(self, picture, job, spot) {
+        for (spot, spare) in snapshot.candidates.iter().zip(plan.spare.iter_mut()) {
+            if used < most && *spare && spot.zone == *zone && fits(self, snapshot, job, spot) {
                 used += spot.free.count(&job.need);
                 *spare = false;
             }
@@ -444,7 +444,7 @@
             for offer in offers(machine_type) {
                 // What comes up behind a cut can't report.
                 let open = self.rentals.is_open(&offer, now)
-                    && !self.dark.contains_key(&offer.zone)
+                    && !self.partitioned_zones.contains_key(&offer.zone)
                     && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot);
                 if let (true, Some(price)) = (open, price(machine_type, offer.spot)) {
                     found.push((price / f64::from(each), offer));
@@ -472,7 +472,7 @@
 }
 
 /// What is free on a machine that is up.
-fn free_bin(spot: &Spot) -> Bin {
+fn free_bin(spot: &CandidateMachine) -> Bin {
     Bin {
         offer: Offer {
             machine_type: spot.machine_type.clone(),
--- a/crates/core/src/demand/tests.rs
+++ b/crates/core/src/demand/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{lead, NOW};
+use crate::testing::{leader, NOW};
 
 /// Five requests of fifty machines were open at a time, whatever the cloud takes: a fleet of thousands was
 /// rented at that rate.
@@ -11,12 +11,12 @@
         spot: false,
     };
     for (calls_per_s, open) in [(2.0, 5), (6.0, 6), (17.0, 17)] {
-        let mut lead = lead();
-        lead.cloud_calls_per_s = calls_per_s;
-        lead.ask(BTreeMap::from([(offer.clone(), (false, 4_000))]));
-        assert_eq!(lead.rentals.open.len(), open);
-        let each = lead.rentals.open.iter().map(|rent| rent.count);
+        let mut leader = leader();
+        leader.cloud_calls_per_s = calls_per_s;
+        leader.ask(BTreeMap::from([(offer.clone(), (false, 4_000))]));
+        assert_eq!(leader.rentals.open.len(), open);
+        let each = leader.rentals.open.iter().map(|rent| rent.count);
         assert!(each.clone().all(|count| count == MACHINES_PER_RENTAL));
-        assert!(lead.rentals.is_open(&offer, NOW.time));
+        assert!(leader.rentals.is_open(&offer, NOW.time));
     }
 }
