--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -7,7 +7,7 @@
 //! In an outage of the state service nobody can renew, yet workers must not lose their leases.
 //! So a leader may go on answering them (but starts nothing) while a majority of the nodes,
 //! itself included, gives its word afresh: that the state service does not answer it either and
-//! that it knows of no higher epoch. A word is good for [`WORD`], counted from the sending of the
+//! that it knows of no higher epoch. A word is good for [`LEASE_VOTE_TTL`], counted from the sending of the
 //! heartbeat that asked for it. A node gives none before it has read the epoch since its own
 //! start, so what it said in an earlier life still binds it, nor before it has read the jobs, so that
 //! it knows every cancellation that it acknowledged; none while a campaign of its own has
@@ -16,12 +16,12 @@
 //! If the leader itself ends in an outage, nobody can follow it. Then any node may take care of the
 //! workers: it answers them by the same token, without commands, so that their leases go on. It
 //! needs the same words, and nodes give them only if they have not heard the leader for
-//! [`UNHEARD`]. A leader whose heartbeats are acknowledged by a majority all the time, with gaps
+//! [`LEADER_SILENCE_TIMEOUT`]. A leader whose heartbeats are acknowledged by a majority all the time, with gaps
 //! shorter than that, knows that nobody takes care in its place; otherwise it does not conclude
 //! from its own answers alone that a worker's lease has run out.
 //!
 //! A new leader therefore knows that no older one answers workers any more once a majority has
-//! acknowledged its epoch and [`WORD`] has passed since: any two majorities share a node, and that
+//! acknowledged its epoch and [`LEASE_VOTE_TTL`] has passed since: any two majorities share a node, and that
 //! node gave its last word before it acknowledged. That moment is the *fence*. It holds for words
 //! that a node gave in an earlier life and has forgotten, too: it acknowledges in a later one. So a
 //! node that has just started need not wait before it campaigns, and after a crash of all nodes
@@ -31,42 +31,42 @@
 //! runs out. Its key is taken off its lease and stays, so that no process of that version sees a vacancy;
 //! that alone makes all its writes fail. From then on leaders hold another key. A node that campaigns for
 //! that first ends the lease of the superseded leader, so whoever wins, the leases of all earlier leaders
-//! have ended before. By its own clock a superseded leader may go on for [`LEASE`] after that; the fence
+//! have ended before. By its own clock a superseded leader may go on for [`LEADER_LEASE_TTL`] after that; the fence
 //! of a new leader comes later still.
 
 mod campaign;
 
 pub use campaign::epoch_change;
 
-use crate::io::{StateAnswer, StateCall};
+use crate::io::{StoreAnswer, StoreCall};
 use crate::records::{LeaderKey, LeaderRecord};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, LeaseId, NodeName, Version};
 use std::collections::BTreeMap;
 
 /// How long a leader's lease lasts without a renewal.
-pub const LEASE: Span = Span(3_000);
+pub const LEADER_LEASE_TTL: Span = Span(3_000);
 /// How long a word is good for.
-pub const WORD: Span = Span(1_500);
+pub const LEASE_VOTE_TTL: Span = Span(1_500);
 /// Nobody takes care of workers in a leader's place before it was unheard for so long. A node that
 /// restarts may have forgotten when it heard the leader, but counts the state service as silent
 /// only after as long, so it can't give its word sooner.
-pub const UNHEARD: Span = SILENT;
+pub const LEADER_SILENCE_TIMEOUT: Span = SILENT;
 /// A leader counts an acknowledgement for so long, from the sending of its heartbeat: less than
-/// [`UNHEARD`].
-pub const CONTACT: Span = Span(1_100);
+/// [`LEADER_SILENCE_TIMEOUT`].
+pub const ACKNOWLEDGEMENT_TTL: Span = Span(1_100);
 /// How often the lease is renewed.
-const RENEW: Span = Span(750);
+const LEASE_RENEWAL_INTERVAL: Span = Span(750);
 /// An outdated leader's key is taken off its lease so often, until that is seen.
-const SUPERSEDE: Span = Span(300);
+const SUPERSEDE_RETRY_INTERVAL: Span = Span(300);
 /// How often a node looks at the leader's key.
-const LOOK: Span = Span(1_000);
+const LEADER_KEY_POLL_INTERVAL: Span = Span(1_000);
 /// A node that heard nothing from the state service for so long counts it as silent.
 const SILENT: Span = Span(1_200);
 
 /// What a call of the election is for.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum ElectionCall {
     /// Read a leader's key.
     Look(LeaderKey),
     /// Read the epoch.
@@ -89,7 +89,7 @@
 
 /// The leader's seat, as a node knows it.
 #[derive(Clone, Copy, Debug)]
-pub enum Seat<'a> {
+pub enum LeaderSlot<'a> {
     /// Nobody holds the key that leaders hold. If that is not the common one any more, what the common
     /// one holds, with its version.
     Vacant(Option<&'a (Version, LeaderRecord)>),
@@ -99,7 +99,7 @@
     Outdated(&'a (Version, LeaderRecord)),
 }
 
-impl Seat<'_> {
+impl LeaderSlot<'_> {
     /// The key that leaders hold.
     fn key(&self) -> LeaderKey {
         match self {
@@ -112,7 +112,7 @@
 
 /// How a node came to lead.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Won {
+pub struct ElectionWin {
     /// The epoch.
     pub epoch: Epoch,
     /// The lease that the leader's key hangs on.
@@ -126,38 +126,38 @@
 
 /// What the rest of the core must do.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub enum Verdict {
+pub enum ElectionEvent {
     /// Nothing.
     #[default]
     Nothing,
     /// A leader's key as read.
     Leader(LeaderKey, Option<(Version, LeaderRecord)>),
     /// This node leads from now on.
-    Won(Won),
+    ElectionWin(ElectionWin),
     /// This node no longer leads.
     Lost,
 }
 
 /// What follows from the answer to a call of the election.
 #[derive(Debug, Default)]
-pub struct Progress {
+pub struct ElectionProgress {
     /// What the rest of the core must do.
-    pub verdict: Verdict,
+    pub verdict: ElectionEvent,
     /// Calls to make next.
-    pub calls: Vec<(StateCall, Step)>,
+    pub calls: Vec<(StoreCall, ElectionCall)>,
 }
 
-impl Progress {
-    fn to(verdict: Verdict) -> Self {
+impl ElectionProgress {
+    fn to(verdict: ElectionEvent) -> Self {
         Self {
             verdict,
             calls: Vec::new(),
         }
     }
 
-    fn by(call: StateCall, step: Step) -> Self {
+    fn by(call: StoreCall, step: ElectionCall) -> Self {
         Self {
-            verdict: Verdict::Nothing,
+            verdict: ElectionEvent::Nothing,
             calls: vec![(call, step)],
         }
     }
@@ -178,7 +178,7 @@
     epoch_version: Version,
     last_ok: Option<Time>,
     failing_since: Option<Time>,
-    word_until: Time,
+    lease_vote_until: Time,
     /// No campaign before this moment.
     pub hold_off: Time,
     campaigning: bool,
@@ -187,9 +187,9 @@
     next_renew: Time,
     renewing: bool,
     vacant_since: Option<Time>,
-    leader_heard: Option<Time>,
+    leader_heard_at: Option<Time>,
     epoch_since: Time,
-    words: BTreeMap<NodeName, Time>,
+    lease_votes: BTreeMap<NodeName, Time>,
     /// The key that this node campaigns for.
     key: LeaderKey,
     /// The version of the common key, if leaders hold another one.
@@ -210,7 +210,7 @@
             epoch_version: Version(0),
             last_ok: None,
             failing_since: None,
-            word_until: Time(0),
+            lease_vote_until: Time(0),
             hold_off: Time(0),
             campaigning: false,
             claim_unsure: false,
@@ -218,9 +218,9 @@
             next_renew: Time(0),
             renewing: false,
             vacant_since: None,
-            leader_heard: None,
+            leader_heard_at: None,
             epoch_since: Time(0),
-            words: BTreeMap::new(),
+            lease_votes: BTreeMap::new(),
             key: LeaderKey::Common,
             superseded: None,
             next_supersede: Time(0),
@@ -228,9 +228,9 @@
     }
 
     /// Notes how any call to the state service ended.
-    pub fn note_state(&mut self, now: Time, answer: &StateAnswer) {
+    pub fn observe_store_answer(&mut self, now: Time, answer: &StoreAnswer) {
         match answer {
-            StateAnswer::Refused | StateAnswer::Unknown => {
+            StoreAnswer::Refused | StoreAnswer::Unknown => {
                 self.failing_since.get_or_insert(now);
             }
             _ => {
@@ -241,7 +241,7 @@
     }
 
     /// Whether the state service answers this node, as far as it knows.
-    pub fn state_ok(&self, now: Time) -> bool {
+    pub fn store_reachable(&self, now: Time) -> bool {
         match (self.last_ok, self.failing_since) {
             (None, _) => false,
             (Some(_), None) => true,
@@ -250,70 +250,71 @@
     }
 
     /// Learns of an epoch from a peer.
-    pub fn hear_epoch(&mut self, epoch: Epoch, now: Time) {
+    pub fn observe_epoch(&mut self, epoch: Epoch, now: Time) {
         if epoch > self.epoch {
             self.epoch = epoch;
             self.epoch_since = now;
-            self.words.clear();
+            self.lease_votes.clear();
         }
     }
 
     /// Whether this node gives its word to the leader of `epoch`, or to a node that takes care in
     /// its place; if so, it binds itself.
-    pub fn give_word(&mut self, now: Time, epoch: Epoch, to_leader: bool) -> bool {
+    pub fn grant_lease_vote(&mut self, now: Time, epoch: Epoch, to_leader: bool) -> bool {
         let gives = epoch >= self.epoch
-            && self.could_give_word(now)
-            && (to_leader || self.is_leader_unheard(now));
+            && self.can_grant_lease_vote(now)
+            && (to_leader || self.is_leader_silent(now));
         if gives {
-            self.word_until = self.word_until.max(now + WORD.with_drift());
+            self.lease_vote_until = self.lease_vote_until.max(now + LEASE_VOTE_TTL.with_drift());
         }
         gives
     }
 
-    fn could_give_word(&self, now: Time) -> bool {
+    fn can_grant_lease_vote(&self, now: Time) -> bool {
         self.epoch_read
             && self.jobs_read
             && !self.campaigning
             && !self.claim_unsure
-            && !self.state_ok(now)
+            && !self.store_reachable(now)
     }
 
     /// Notes that a leader was heard.
-    pub fn hear_leader(&mut self, now: Time) {
-        self.leader_heard = Some(now);
+    pub fn observe_leader(&mut self, now: Time) {
+        self.leader_heard_at = Some(now);
     }
 
-    fn is_leader_unheard(&self, now: Time) -> bool {
-        self.leader_heard.is_none_or(|t| now - t >= UNHEARD)
+    fn is_leader_silent(&self, now: Time) -> bool {
+        self.leader_heard_at
+            .is_none_or(|t| now - t >= LEADER_SILENCE_TIMEOUT)
     }
 
     /// Whether this node would take care of workers, given the words of others.
-    pub fn would_care(&self, now: Time) -> bool {
-        self.could_give_word(now) && self.is_leader_unheard(now) && self.epoch > Epoch(0)
+    pub fn could_stand_in(&self, now: Time) -> bool {
+        self.can_grant_lease_vote(now) && self.is_leader_silent(now) && self.epoch > Epoch(0)
     }
 
     /// Takes in a word for an epoch, asked for at a moment.
-    pub fn hear_word(&mut self, from: NodeName, sent: Time) {
+    pub fn record_lease_vote(&mut self, from: NodeName, sent: Time) {
         // A word that was asked for under an earlier epoch is none for this.
         if sent >= self.epoch_since {
-            let at = self.words.entry(from).or_insert(sent);
+            let at = self.lease_votes.entry(from).or_insert(sent);
             *at = (*at).max(sent);
         }
     }
 
     /// Whether this node takes care of workers in an outage that the leader did not survive. It
     /// binds itself as by a word.
-    pub fn cares(&mut self, now: Time) -> bool {
-        let words = self
-            .words
+    pub fn stands_in_for_leader(&mut self, now: Time) -> bool {
+        let lease_votes = self
+            .lease_votes
             .values()
-            .filter(|&&sent| now < sent + WORD)
+            .filter(|&&sent| now < sent + LEASE_VOTE_TTL)
             .count();
-        let cares = self.would_care(now) && words + 1 >= self.majority();
-        if cares {
-            self.word_until = self.word_until.max(now + WORD.with_drift());
+        let stands_in_for_leader = self.could_stand_in(now) && lease_votes + 1 >= self.majority();
+        if stands_in_for_leader {
+            self.lease_vote_until = self.lease_vote_until.max(now + LEASE_VOTE_TTL.with_drift());
         }
-        cares
+        stands_in_for_leader
     }
 
     /// How many nodes make a majority.
@@ -325,85 +326,104 @@
     pub fn tick(
         &mut self,
         now: Time,
-        seat: Seat<'_>,
+        leader_slot: LeaderSlot<'_>,
         mine: Option<LeaseId>,
-    ) -> Vec<(StateCall, Step)> {
+    ) -> Vec<(StoreCall, ElectionCall)> {
         let mut calls = Vec::new();
         if let Some(lease) = mine {
             if now >= self.next_renew && !self.renewing {
-                self.next_renew = now + RENEW;
+                self.next_renew = now + LEASE_RENEWAL_INTERVAL;
                 self.renewing = true;
-                calls.push((StateCall::Renew(lease), Step::Renew(lease)));
+                calls.push((StoreCall::Renew(lease), ElectionCall::Renew(lease)));
             }
             return calls;
         }
         if now >= self.next_look {
-            self.next_look = now + LOOK;
-            let key = seat.key();
-            calls.push((StateCall::Get(key.name().into()), Step::Look(key)));
+            self.next_look = now + LEADER_KEY_POLL_INTERVAL;
+            let key = leader_slot.key();
+            calls.push((StoreCall::Get(key.name().into()), ElectionCall::Look(key)));
         }
-        self.maybe_campaign(now, seat, &mut calls);
+        self.maybe_campaign(now, leader_slot, &mut calls);
         calls
     }
 
-    fn maybe_campaign(&mut self, now: Time, seat: Seat<'_>, calls: &mut Vec<(StateCall, Step)>) {
-        if let Seat::Taken(_) = seat {
+    fn maybe_campaign(
+        &mut self,
+        now: Time,
+        leader_slot: LeaderSlot<'_>,
+        calls: &mut Vec<(StoreCall, ElectionCall)>,
+    ) {
+        if let LeaderSlot::Taken(_) = leader_slot {
             self.vacant_since = None;
             return;
         }
         let since = *self.vacant_since.get_or_insert(now);
         let ready = now >= since + Span(60 * self.rank)
-            && now >= self.word_until
+            && now >= self.lease_vote_until
             && (now >= self.hold_off || !self.epoch_read)
-            && self.state_ok(now);
+            && self.store_reachable(now);
         if !ready || self.campaigning {
             return;
         }
-        match seat {
-            Seat::Outdated(leader) => {
+        match leader_slot {
+            LeaderSlot::Outdated(leader) => {
                 if now >= self.next_supersede {
-                    self.next_supersede = now + SUPERSEDE;
-                    calls.push((campaign::supersede(leader), Step::Supersede));
+                    self.next_supersede = now + SUPERSEDE_RETRY_INTERVAL;
+                    calls.push((campaign::supersede(leader), ElectionCall::Supersede));
                 }
             }
-            Seat::Vacant(superseded) => calls.push(self.campaign(seat.key(), superseded)),
-            Seat::Taken(_) => {}
+            LeaderSlot::Vacant(superseded) => {
+                calls.push(self.campaign(leader_slot.key(), superseded))
+            }
+            LeaderSlot::Taken(_) => {}
         }
     }
 
     /// Takes in the answer to a call. `key` is the leader's key as cached.
-    pub fn answered(&mut self, now: Time, sent: Time, step: Step, answer: StateAnswer) -> Progress {
+    pub fn answered(
+        &mut self,
+        now: Time,
+        sent: Time,
+        step: ElectionCall,
+        answer: StoreAnswer,
+    ) -> ElectionProgress {
         match step {
-            Step::Look(key) => self.looked(now, key, answer),
-            Step::ReadEpoch => self.epoch_was_read(now, answer),
-            Step::TakeLease => self.lease_taken(now, sent, answer),
-            Step::Claim(lease, since, epoch) => self.claimed(now, lease, since, epoch, answer),
-            Step::Verify(lease, since, epoch) => self.verified(now, lease, since, epoch, answer),
-            Step::Renew(_) => {
+            ElectionCall::Look(key) => self.looked(now, key, answer),
+            ElectionCall::ReadEpoch => self.epoch_was_read(now, answer),
+            ElectionCall::TakeLease => self.lease_taken(now, sent, answer),
+            ElectionCall::Claim(lease, since, epoch) => {
+                self.claimed(now, lease, since, epoch, answer)
+            }
+            ElectionCall::Verify(lease, since, epoch) => {
+                self.verified(now, lease, since, epoch, answer)
+            }
+            ElectionCall::Renew(_) => {
                 self.renewing = false;
                 match answer {
-                    StateAnswer::Missing | StateAnswer::NoSuchLease => Progress::to(Verdict::Lost),
-                    StateAnswer::Done => Progress::default(),
+                    StoreAnswer::Missing | StoreAnswer::NoSuchLease => {
+                        ElectionProgress::to(ElectionEvent::Lost)
+                    }
+                    StoreAnswer::Done => ElectionProgress::default(),
                     _ => {
                         self.next_renew = now + Span(250);
-                        Progress::default()
+                        ElectionProgress::default()
                     }
                 }
             }
-            Step::End | Step::Supersede => Progress::default(),
-            Step::EndSuperseded => self.superseded_has_ended(now, answer),
+            ElectionCall::End | ElectionCall::Supersede => ElectionProgress::default(),
+            ElectionCall::EndSuperseded => self.superseded_has_ended(now, answer),
         }
     }
 
-    fn looked(&mut self, now: Time, key: LeaderKey, answer: StateAnswer) -> Progress {
+    fn looked(&mut self, now: Time, key: LeaderKey, answer: StoreAnswer) -> ElectionProgress {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 let record = LeaderRecord::deserialize_from(&item.value);
                 if let Some(record) = &record {
-                    self.hear_epoch(record.epoch, now);
+                    self.observe_epoch(record.epoch, now);
                     self.epoch_read = true;
                 }
-                let verdict = Verdict::Leader(key, record.clone().map(|r| (item.version, r)));
+                let verdict = ElectionEvent::Leader(key, record.clone().map(|r| (item.version, r)));
                 // A leader by this node's name on a lease that is not held here is what an
                 // earlier life of this process left behind: nobody acts for it any more.
                 match record {
@@ -413,16 +433,16 @@
                             && !self.claim_unsure
                             && !self.campaigning =>
                     {
-                        Progress {
+                        ElectionProgress {
                             verdict,
-                            calls: vec![(StateCall::EndLease(r.lease), Step::End)],
+                            calls: vec![(StoreCall::EndLease(r.lease), ElectionCall::End)],
                         }
                     }
-                    _ => Progress::to(verdict),
+                    _ => ElectionProgress::to(verdict),
                 }
             }
-            StateAnswer::Missing => Progress::to(Verdict::Leader(key, None)),
-            _ => Progress::default(),
+            StoreAnswer::Missing => ElectionProgress::to(ElectionEvent::Leader(key, None)),
+            _ => ElectionProgress::default(),
         }
     }
 }
--- a/crates/core/src/election/campaign.rs
+++ b/crates/core/src/election/campaign.rs
@@ -4,8 +4,11 @@
 //! and raise the epoch in one commit. A claim of unknown outcome is looked after until it is known; until
 //! then the node gives no word, for it may be leading.
 
-use super::{Election, Progress, Step, Verdict, Won, LEASE, RENEW};
-use crate::io::{StateAnswer, StateCall, Value};
+use super::{
+    Election, ElectionCall, ElectionEvent, ElectionProgress, ElectionWin, LEADER_LEASE_TTL,
+    LEASE_RENEWAL_INTERVAL,
+};
+use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH, LEADER};
 use crate::recovery::put;
 use crate::units::{Span, Time};
@@ -22,37 +25,41 @@
         &mut self,
         key: LeaderKey,
         superseded: Option<&(Version, LeaderRecord)>,
-    ) -> (StateCall, Step) {
+    ) -> (StoreCall, ElectionCall) {
         self.campaigning = true;
         self.key = key;
         self.superseded = superseded.map(|(version, _)| *version);
         let lease = superseded.and_then(|(_, record)| record.lease_to_end());
         match lease {
-            Some(lease) => (StateCall::EndLease(lease), Step::EndSuperseded),
-            None => (StateCall::Get(EPOCH.into()), Step::ReadEpoch),
+            Some(lease) => (StoreCall::EndLease(lease), ElectionCall::EndSuperseded),
+            None => (StoreCall::Get(EPOCH.into()), ElectionCall::ReadEpoch),
         }
     }
 
     /// The answer to the end of a superseded leader's lease. The campaign goes on only once it has surely
     /// ended.
-    pub(super) fn superseded_has_ended(&mut self, now: Time, answer: StateAnswer) -> Progress {
-        if !matches!(answer, StateAnswer::Done | StateAnswer::Missing) {
+    pub(super) fn superseded_has_ended(
+        &mut self,
+        now: Time,
+        answer: StoreAnswer,
+    ) -> ElectionProgress {
+        if !matches!(answer, StoreAnswer::Done | StoreAnswer::Missing) {
             return self.give_up(now);
         }
-        let call = StateCall::Get(EPOCH.into());
-        Progress::by(call, Step::ReadEpoch)
+        let call = StoreCall::Get(EPOCH.into());
+        ElectionProgress::by(call, ElectionCall::ReadEpoch)
     }
 
-    pub(super) fn epoch_was_read(&mut self, now: Time, answer: StateAnswer) -> Progress {
+    pub(super) fn epoch_was_read(&mut self, now: Time, answer: StoreAnswer) -> ElectionProgress {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 if let Ok(record) = serde_json::from_value::<EpochRecord>(item.value) {
-                    self.hear_epoch(record.epoch, now);
+                    self.observe_epoch(record.epoch, now);
                 }
                 self.epoch_version = item.version;
             }
             // Nobody has ever led, so nobody can hold a word.
-            StateAnswer::Missing => {
+            StoreAnswer::Missing => {
                 self.epoch_version = Version(0);
                 self.hold_off = now;
             }
@@ -62,20 +69,25 @@
         if now < self.hold_off {
             return self.give_up(now);
         }
-        let call = StateCall::NewLease(LEASE.0);
-        Progress::by(call, Step::TakeLease)
+        let call = StoreCall::NewLease(LEADER_LEASE_TTL.0);
+        ElectionProgress::by(call, ElectionCall::TakeLease)
     }
 
-    pub(super) fn lease_taken(&mut self, now: Time, sent: Time, answer: StateAnswer) -> Progress {
-        let StateAnswer::Lease(lease) = answer else {
+    pub(super) fn lease_taken(
+        &mut self,
+        now: Time,
+        sent: Time,
+        answer: StoreAnswer,
+    ) -> ElectionProgress {
+        let StoreAnswer::Lease(lease) = answer else {
             return self.give_up(now);
         };
-        if now < self.word_until {
+        if now < self.lease_vote_until {
             return self.give_up(now);
         }
         let epoch = Epoch(self.epoch.0 + 1);
-        let claim = StateCall::Commit(self.claim(lease, epoch));
-        Progress::by(claim, Step::Claim(lease, sent, epoch))
+        let claim = StoreCall::Commit(self.claim(lease, epoch));
+        ElectionProgress::by(claim, ElectionCall::Claim(lease, sent, epoch))
     }
 
     fn claim(&self, lease: LeaseId, epoch: Epoch) -> Transaction<Value> {
@@ -95,12 +107,12 @@
         lease: LeaseId,
         since: Time,
         epoch: Epoch,
-        answer: StateAnswer,
-    ) -> Progress {
+        answer: StoreAnswer,
+    ) -> ElectionProgress {
         match answer {
-            StateAnswer::Committed(version) => self.win(now, epoch, lease, since, version),
+            StoreAnswer::Committed(version) => self.win(now, epoch, lease, since, version),
             // The claim may have been carried out, or may yet be: no word until that is known.
-            StateAnswer::Unknown => {
+            StoreAnswer::Unknown => {
                 self.claim_unsure = true;
                 self.verify(lease, since, epoch)
             }
@@ -114,9 +126,9 @@
         lease: LeaseId,
         since: Time,
         epoch: Epoch,
-        answer: StateAnswer,
-    ) -> Progress {
-        if let StateAnswer::Found(item) = &answer {
+        answer: StoreAnswer,
+    ) -> ElectionProgress {
+        if let StoreAnswer::Found(item) = &answer {
             let record = LeaderRecord::deserialize_from(&item.value);
             if record.is_some_and(|r| r.lease == lease && r.epoch == epoch) {
                 return self.win(now, epoch, lease, since, item.version);
@@ -124,8 +136,8 @@
         }
         // Nothing renews this lease, so a late claim fails once it has ended. In an outage a
         // lease does not run out, so the answer must come from a service that works.
-        let answered = matches!(answer, StateAnswer::Found(_) | StateAnswer::Missing);
-        if answered && now > since + Span(2 * LEASE.0) {
+        let answered = matches!(answer, StoreAnswer::Found(_) | StoreAnswer::Missing);
+        if answered && now > since + Span(2 * LEADER_LEASE_TTL.0) {
             self.claim_unsure = false;
             return self.drop_claim(now, lease);
         }
@@ -133,9 +145,9 @@
     }
 
     /// Looks whether a claim was carried out.
-    fn verify(&self, lease: LeaseId, since: Time, epoch: Epoch) -> Progress {
-        let call = StateCall::Get(self.key.name().into());
-        Progress::by(call, Step::Verify(lease, since, epoch))
+    fn verify(&self, lease: LeaseId, since: Time, epoch: Epoch) -> ElectionProgress {
+        let call = StoreCall::Get(self.key.name().into());
+        ElectionProgress::by(call, ElectionCall::Verify(lease, since, epoch))
     }
 
     fn win(
@@ -145,42 +157,42 @@
         lease: LeaseId,
         since: Time,
         version: Version,
-    ) -> Progress {
+    ) -> ElectionProgress {
         self.campaigning = false;
         self.claim_unsure = false;
         self.renewing = false;
         self.vacant_since = None;
-        self.next_renew = now + RENEW;
-        self.hear_epoch(epoch, now);
-        let won = Won {
+        self.next_renew = now + LEASE_RENEWAL_INTERVAL;
+        self.observe_epoch(epoch, now);
+        let won = ElectionWin {
             epoch,
             lease,
             lease_sent: since,
             key: self.key,
             version,
         };
-        Progress::to(Verdict::Won(won))
+        ElectionProgress::to(ElectionEvent::ElectionWin(won))
     }
 
-    fn drop_claim(&mut self, now: Time, lease: LeaseId) -> Progress {
+    fn drop_claim(&mut self, now: Time, lease: LeaseId) -> ElectionProgress {
         self.give_up(now);
-        Progress::by(StateCall::EndLease(lease), Step::End)
+        ElectionProgress::by(StoreCall::EndLease(lease), ElectionCall::End)
     }
 
-    fn give_up(&mut self, now: Time) -> Progress {
+    fn give_up(&mut self, now: Time) -> ElectionProgress {
         self.campaigning = false;
         self.hold_off = self
             .hold_off
             .max(now + PAUSE + Span(PAUSE_BY_RANK_MS * self.rank));
-        Progress::default()
+        ElectionProgress::default()
     }
 }
 
 /// The commit that takes an outdated leader's key off its lease. Its version changes, so no write of
 /// that leader is carried out after it.
-pub(super) fn supersede((version, record): &(Version, LeaderRecord)) -> StateCall {
+pub(super) fn supersede((version, record): &(Version, LeaderRecord)) -> StoreCall {
     let tombstone = record.tombstone(Some(record.lease));
-    StateCall::Commit(Transaction {
+    StoreCall::Commit(Transaction {
         conditions: vec![Condition {
             key: LEADER.into(),
             version: *version,
--- a/crates/core/src/failure_detection.rs
+++ b/crates/core/src/failure_detection.rs
@@ -5,9 +5,9 @@
 //! this node that hears or reaches nobody, or a whole zone that is cut off: there work goes on as
 //! long as its leases last, and returning the machines would end what the cut does not.
 
-use crate::job::is_firm;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine};
+use crate::job::is_non_preemptible;
+use crate::leader::Leader;
+use crate::placement_tracking::{Machine, PlacedTask};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{MachineId, Zone};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
 /// Machines behind a cut are kept for so many leases.
 const KEPT: u64 = 4;
 
-impl Lead {
+impl Leader {
     /// A machine that was not heard for so long has missed a report.
     fn late(&self) -> Span {
         Span(self.report.0 * 5 / 4 + 500)
@@ -59,7 +59,7 @@
     /// it is rather this node that is cut off. Zones that are cut off don't count.
     fn hears(&self, now: Time) -> bool {
         let up: Vec<Time> = (self.machines.values())
-            .filter(|m| !self.dark.contains_key(&m.zone))
+            .filter(|m| !self.partitioned_zones.contains_key(&m.zone))
             .filter_map(|m| m.last_heard)
             .collect();
         let heard = |within: u64| up.iter().filter(|&&t| now - t < Span(within)).count();
@@ -68,7 +68,7 @@
     }
 
     /// Notes which zones are cut off: of all machines there that should report none does.
-    pub fn find_dark_zones(&mut self, now: Time) {
+    pub fn detect_partitioned_zones(&mut self, now: Time) {
         // By zone: machines that should report, all, and when one was last heard.
         let mut zones: BTreeMap<&Zone, (usize, usize, Time)> = BTreeMap::new();
         for m in self.machines.values().filter(|m| m.returning.is_none()) {
@@ -81,43 +81,53 @@
             *last = heard.max(*last);
         }
         let due: usize = zones.values().map(|(dues, ..)| dues).sum();
-        let dark = |(zone, (dues, all, last)): &(&&Zone, &(usize, usize, Time))| {
+        let partitioned_zones = |(zone, (dues, all, last)): &(&&Zone, &(usize, usize, Time))| {
             // One that was cut off is until some machine is heard again, also if all that was on
             // them is gone.
-            let was = self.dark.contains_key(**zone);
+            let was = self.partitioned_zones.contains_key(**zone);
             let silent = self.zone_silence(if was { *all } else { *dues });
             (was || *dues >= ZONE)
                 && now - *last > silent
                 && (was || self.heard_elsewhere(zone, silent, due - dues, now))
         };
-        let mut dark: BTreeMap<Zone, Time> = (zones.iter().filter(dark))
+        let mut partitioned_zones: BTreeMap<Zone, Time> = (zones.iter().filter(partitioned_zones))
             .map(|(zone, (.., last))| ((*zone).clone(), *last))
             .collect();
         let heard: Vec<Zone> = (zones.iter())
-            .filter(|(zone, (.., last))| *last > self.since && !dark.contains_key(**zone))
+            .filter(|(zone, (.., last))| {
+                *last > self.since && !partitioned_zones.contains_key(**zone)
+            })
             .map(|(zone, _)| (*zone).clone())
             .collect();
-        if dark.len() == zones.len() {
+        if partitioned_zones.len() == zones.len() {
             // If none is heard anywhere it is this node.
-            dark.clear();
+            partitioned_zones.clear();
         }
-        for (zone, since) in &mut dark {
-            let before = self.dark.get(zone).or(self.dark_before.get(zone));
+        for (zone, since) in &mut partitioned_zones {
+            let before = self
+                .partitioned_zones
+                .get(zone)
+                .or(self.previously_partitioned_zones.get(zone));
             *since = before.map_or(*since, |t| *t.min(since));
-            if !self.dark.contains_key(zone) {
+            if !self.partitioned_zones.contains_key(zone) {
                 log::info!("zone {zone} is cut off");
             }
         }
         let late = self.late();
-        for (zone, since) in self.dark.iter().filter(|(z, _)| !dark.contains_key(*z)) {
+        for (zone, since) in self
+            .partitioned_zones
+            .iter()
+            .filter(|(z, _)| !partitioned_zones.contains_key(*z))
+        {
             log::info!("zone {zone} is no longer cut off");
             if now - *since > late {
-                self.lit.insert(zone.clone(), now);
+                self.healed_zones.insert(zone.clone(), now);
             }
         }
         // What an earlier leader noticed is over where somebody is heard.
-        self.dark_before.retain(|zone, _| !heard.contains(zone));
-        self.dark = dark;
+        self.previously_partitioned_zones
+            .retain(|zone, _| !heard.contains(zone));
+        self.partitioned_zones = partitioned_zones;
     }
 
     /// Of a zone with so many machines that should report something is heard within this time.
@@ -142,19 +152,19 @@
     /// leader that heard of it last knows that nothing runs there any more. One that took over since
     /// can't tell for a lease more; if replicas may run elsewhere, a return is the sooner proof.
     fn is_given_up(&self, m: &Machine, since: Time, now: Time) -> bool {
-        let lit = self
+        let healed_zones = self
             .zones()
             .into_iter()
-            .filter(|z| !self.dark.contains_key(z));
-        let lit: Vec<Zone> = lit.collect();
-        let movable = |e: &Entry| {
+            .filter(|z| !self.partitioned_zones.contains_key(z));
+        let healed_zones: Vec<Zone> = healed_zones.collect();
+        let movable = |e: &PlacedTask| {
             e.holds_room()
                 && e.spec.as_ref().is_some_and(|s| {
                     let zones = match &s.zone {
-                        Some(zone) => u32::from(lit.contains(zone)),
-                        None => lit.len() as u32,
+                        Some(zone) => u32::from(healed_zones.contains(zone)),
+                        None => healed_zones.len() as u32,
                     };
-                    is_firm(s) && zones.saturating_mul(s.zone_cap()) >= s.tasks
+                    is_non_preemptible(s) && zones.saturating_mul(s.zone_cap()) >= s.tasks
                 })
         };
         let over =
@@ -169,7 +179,7 @@
         let reaches = now - self.last_reaction < CONTROL;
         (self.machines.values())
             .filter_map(|m| {
-                let why = match self.dark.get(&m.zone) {
+                let why = match self.partitioned_zones.get(&m.zone) {
                     Some(since) => (self.is_given_up(m, *since, now)).then_some("behind a cut"),
                     None => self.why_lost(m, hears, reaches, now),
                 };
@@ -180,8 +190,9 @@
 
     /// When a machine was last heard. After a cut its reports count as late only from then on.
     fn heard(&self, m: &Machine) -> Option<Time> {
-        let lit = self.lit.get(&m.zone).copied();
-        m.last_heard.map(|t| lit.map_or(t, |lit| lit.max(t)))
+        let healed_zones = self.healed_zones.get(&m.zone).copied();
+        m.last_heard
+            .map(|t| healed_zones.map_or(t, |healed_zones| healed_zones.max(t)))
     }
 
     fn why_lost(&self, m: &Machine, hears: bool, reaches: bool, now: Time) -> Option<&'static str> {
@@ -204,7 +215,7 @@
         } else if reaches && m.unanswered >= DEAF && deaf_for > Span(self.lease.0 / 2) {
             // It is heard, but nothing reaches it: what it runs can't be stopped.
             Some("does not hear")
-        } else if m.lease_surely_over(now, Span(self.lease.0 * 2), self.fence) {
+        } else if m.lease_surely_over(now, Span(self.lease.0 * 2), self.old_leaders_fenced_at) {
             Some("silent for long")
         } else {
             None
@@ -220,7 +231,7 @@
             m.returning.is_none()
                 && !m.direct_open
                 && m.direct_after <= now
-                && !self.dark.contains_key(&m.zone)
+                && !self.partitioned_zones.contains_key(&m.zone)
         };
         let suspicious = now < self.suspicion;
         // A machine that should stop something is asked at once if that may be gone already: until it
@@ -230,7 +241,7 @@
         };
         let doubtful = |m: &&Machine| match self.heard(m) {
             Some(last) => {
-                let just_now = suspicious && now - last > JUST_NOW && m.holds_firm();
+                let just_now = suspicious && now - last > JUST_NOW && m.runs_non_preemptible();
                 m.unanswered > 0 || now - last > late || just_now || stops(m)
             }
             None => {
@@ -242,7 +253,7 @@
         let mut found: Vec<&Machine> = (self.machines.values())
             .filter(|m| callable(m) && doubtful(m))
             .collect();
-        found.sort_by_key(|m| !m.holds_firm());
+        found.sort_by_key(|m| !m.runs_non_preemptible());
         let under_way = UNDER_WAY.max(self.machines.len() / MACHINES_PER_PROBE);
         found.truncate(under_way.saturating_sub(open));
         let mut found: Vec<MachineId> = found.into_iter().map(|m| m.id.clone()).collect();
@@ -265,7 +276,7 @@
         let wait = 100 << machine.unanswered.min(5);
         machine.direct_after = now + Span(wait);
         let missed = machine.last_heard.is_some_and(|t| now - t > late);
-        if missed && !self.dark.contains_key(&machine.zone) {
+        if missed && !self.partitioned_zones.contains_key(&machine.zone) {
             self.suspicion = now + SUSPICION;
         }
     }
--- a/crates/core/src/failure_detection/tests.rs
+++ b/crates/core/src/failure_detection/tests.rs
@@ -1,86 +1,89 @@
 use super::*;
-use crate::testing::{job, lead, run, up, NOW};
+use crate::testing::{job, leader, run, up, NOW};
 
 /// A leader with a zone of six machines and another, where all but `heard` are silent since.
-fn half_silent(heard: &[&str], after: Span) -> (Lead, Time) {
-    let mut lead = lead();
+fn half_silent(heard: &[&str], after: Span) -> (Leader, Time) {
+    let mut leader = leader();
     let now = NOW.time + after;
     for n in 0..6 {
         for zone in ["a", "b"] {
-            let id = up(&mut lead, &format!("vm-{zone}{n}"), zone);
+            let id = up(&mut leader, &format!("vm-{zone}{n}"), zone);
             let at = if zone == "a" || heard.contains(&id.as_str()) {
                 now
             } else {
                 NOW.time
             };
-            lead.machines.get_mut(&id).expect("a machine").last_heard = Some(at);
+            leader.machines.get_mut(&id).expect("a machine").last_heard = Some(at);
         }
     }
-    lead.last_reaction = now;
-    lead.find_dark_zones(now);
-    (lead, now)
+    leader.last_reaction = now;
+    leader.detect_partitioned_zones(now);
+    (leader, now)
 }
 
 #[test]
 fn a_zone_of_which_nothing_is_heard_is_cut_off() {
-    let (mut lead, now) = half_silent(&[], Span(5_000));
-    assert!(lead.dark.contains_key(&"b".into()));
-    assert_eq!(lead.lost(now), BTreeMap::new());
-    assert_eq!(lead.overdue(now), Vec::<MachineId>::new());
+    let (mut leader, now) = half_silent(&[], Span(5_000));
+    assert!(leader.partitioned_zones.contains_key(&"b".into()));
+    assert_eq!(leader.lost(now), BTreeMap::new());
+    assert_eq!(leader.overdue(now), Vec::<MachineId>::new());
     // One machine is heard again: the others get time to report.
     let id = MachineId::from("vm-b3");
-    lead.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
-    lead.find_dark_zones(now);
-    assert!(lead.dark.is_empty());
-    assert_eq!(lead.lost(now), BTreeMap::new());
+    leader.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
+    leader.detect_partitioned_zones(now);
+    assert!(leader.partitioned_zones.is_empty());
+    assert_eq!(leader.lost(now), BTreeMap::new());
 }
 
 /// After a take-over all workers report at once and then nobody for a while; the first of one zone
 /// to report again does not make the other one cut off.
 #[test]
 fn a_lull_is_no_cut() {
-    let mut lead = lead();
+    let mut leader = leader();
     for n in 0..30 {
         for zone in ["a", "b"] {
-            up(&mut lead, &format!("vm-{zone}{n}"), zone);
+            up(&mut leader, &format!("vm-{zone}{n}"), zone);
         }
     }
     let now = NOW.time + Span(1_600);
-    let hear = |lead: &mut Lead, n: u32| {
+    let reconcile_report = |leader: &mut Leader, n: u32| {
         let id = MachineId::from(format!("vm-a{n}").as_str());
-        lead.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
+        leader.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
     };
-    hear(&mut lead, 0);
-    lead.find_dark_zones(now);
-    assert!(lead.dark.is_empty());
-    (0..30).for_each(|n| hear(&mut lead, n));
-    lead.find_dark_zones(now);
-    assert!(lead.dark.contains_key(&"b".into()));
+    reconcile_report(&mut leader, 0);
+    leader.detect_partitioned_zones(now);
+    assert!(leader.partitioned_zones.is_empty());
+    (0..30).for_each(|n| reconcile_report(&mut leader, n));
+    leader.detect_partitioned_zones(now);
+    assert!(leader.partitioned_zones.contains_key(&"b".into()));
 }
 
 /// Machines that are silent while others of their zone are heard are lost.
 #[test]
 fn silent_machines_among_others_are_lost() {
     let heard = ["vm-b0", "vm-b1", "vm-b2", "vm-b3", "vm-b4"];
-    let (lead, now) = half_silent(&heard, Span(5_600));
-    assert!(lead.dark.is_empty());
-    assert_eq!(lead.lost(now), BTreeMap::from([("vm-b5".into(), "silent")]));
+    let (leader, now) = half_silent(&heard, Span(5_600));
+    assert!(leader.partitioned_zones.is_empty());
+    assert_eq!(
+        leader.lost(now),
+        BTreeMap::from([("vm-b5".into(), "silent")])
+    );
 }
 
 /// A leader that took over knows from the one before when the leases behind a cut are over; then
 /// replicas move, and not before. The zone stays a cut one when nothing is left there.
 #[test]
 fn replicas_behind_a_cut_move_once_their_leases_are_over() {
-    let (mut lead, _) = half_silent(&[], Span(2_000));
-    lead.dark.clear();
-    lead.since = NOW.time + Span(2_000);
-    lead.dark_before = BTreeMap::from([("b".into(), NOW.time)]);
+    let (mut leader, _) = half_silent(&[], Span(2_000));
+    leader.partitioned_zones.clear();
+    leader.since = NOW.time + Span(2_000);
+    leader.previously_partitioned_zones = BTreeMap::from([("b".into(), NOW.time)]);
     let there: Vec<MachineId> = (0..6).map(|n| format!("vm-b{n}").as_str().into()).collect();
     for (n, id) in there.iter().enumerate() {
-        lead.machines.get_mut(id).expect("a machine").last_heard = None;
+        leader.machines.get_mut(id).expect("a machine").last_heard = None;
         if n < 4 {
             run(
-                &mut lead,
+                &mut leader,
                 &job(7 + n as u32, "standing", "blue", "prod"),
                 0,
                 id,
@@ -89,62 +92,68 @@
     }
     let mut later = |after: u64| {
         let now = NOW.time + Span(after);
-        for m in lead.machines.values_mut().filter(|m| m.zone == "a".into()) {
+        for m in leader
+            .machines
+            .values_mut()
+            .filter(|m| m.zone == "a".into())
+        {
             m.last_heard = Some(now);
         }
-        lead.find_dark_zones(now);
+        leader.detect_partitioned_zones(now);
         (
-            lead.dark.len(),
-            lead.lost(now).into_keys().collect::<Vec<_>>(),
+            leader.partitioned_zones.len(),
+            leader.lost(now).into_keys().collect::<Vec<_>>(),
         )
     };
     assert_eq!(later(6_500), (1, Vec::new()));
     assert_eq!(later(7_500), (1, there[..4].to_vec()));
     for id in &there {
-        lead.machines
+        leader
+            .machines
             .get_mut(id)
             .expect("a machine")
             .entries
             .clear();
     }
-    lead.find_dark_zones(NOW.time + Span(8_000));
-    assert_eq!(lead.dark.len(), 1);
+    leader.detect_partitioned_zones(NOW.time + Span(8_000));
+    assert_eq!(leader.partitioned_zones.len(), 1);
 }
 
 /// A new leader asks machines that it has never heard, but that an earlier one had run something,
 /// by the address that the cloud lists, and gives them up if they don't answer.
 #[test]
 fn a_new_leader_asks_machines_it_never_heard() {
-    let (mut lead, _) = half_silent(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
+    let (mut leader, _) = half_silent(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
     let id = MachineId::from("vm-b3");
-    run(&mut lead, &job(7, "sweep", "blue", "normal"), 0, &id);
-    lead.machines.get_mut(&id).expect("a machine").last_heard = None;
+    run(&mut leader, &job(7, "sweep", "blue", "normal"), 0, &id);
+    leader.machines.get_mut(&id).expect("a machine").last_heard = None;
     let now = NOW.time + Span(5_000);
-    assert!(lead.overdue(now).contains(&id));
-    assert!(!lead.lost(now).contains_key(&id));
+    assert!(leader.overdue(now).contains(&id));
+    assert!(!leader.lost(now).contains_key(&id));
     for after in [0, 400, 900] {
-        lead.did_not_answer(&id, Time(now.0 - 1_500 + after));
+        leader.did_not_answer(&id, Time(now.0 - 1_500 + after));
     }
-    assert_eq!(lead.lost(now).get(&id), Some(&"does not answer"));
+    assert_eq!(leader.lost(now).get(&id), Some(&"does not answer"));
 }
 
 /// When one machine is found silent, those that run replicas are asked before they miss a report.
 #[test]
 fn losses_are_looked_for_in_groups() {
     let heard = ["vm-b0", "vm-b1", "vm-b2", "vm-b3"];
-    let (mut lead, now) = half_silent(&heard, Span(5_000));
+    let (mut leader, now) = half_silent(&heard, Span(5_000));
     for (id, kind, priority) in [("vm-a1", "standing", "prod"), ("vm-a2", "sweep", "normal")] {
         let n = u32::from(id == "vm-a1") + 1;
-        run(&mut lead, &job(n, kind, "red", priority), 0, &id.into());
-        lead.machines
+        run(&mut leader, &job(n, kind, "red", priority), 0, &id.into());
+        leader
+            .machines
             .get_mut(&id.into())
             .expect("a machine")
             .last_heard = Some(Time(now.0 - 1_600));
     }
     let replicas = MachineId::from("vm-a1");
-    assert!(!lead.overdue(now).contains(&replicas));
-    lead.did_not_answer(&"vm-b5".into(), now);
-    let asked = lead.overdue(now);
+    assert!(!leader.overdue(now).contains(&replicas));
+    leader.did_not_answer(&"vm-b5".into(), now);
+    let asked = leader.overdue(now);
     assert_eq!(asked.first(), Some(&replicas));
     assert!(!asked.contains(&"vm-a2".into()));
 }
@@ -154,12 +163,12 @@
 #[test]
 fn a_large_fleet_is_probed_by_its_size() {
     for (machines, least) in [(30, 20), (1_000, 64), (4_000, 250), (6_000, 375)] {
-        let mut lead = lead();
+        let mut leader = leader();
         for n in 0..machines {
-            up(&mut lead, &format!("vm-{n}"), "a");
+            up(&mut leader, &format!("vm-{n}"), "a");
         }
-        lead.last_reaction = NOW.time + Span(3_000);
-        let asked = lead.overdue(NOW.time + Span(3_000));
+        leader.last_reaction = NOW.time + Span(3_000);
+        let asked = leader.overdue(NOW.time + Span(3_000));
         assert!(asked.len() >= least, "{machines} machines: {}", asked.len());
         assert!(
             asked.len() <= least.max(64),
--- a/crates/core/src/fault_attribution.rs
+++ b/crates/core/src/fault_attribution.rs
@@ -8,7 +8,7 @@
 //! for faulty machines may have deceived us: its first success clears it.
 
 use crate::job::{Job, Stage};
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::placement_tracking::{Machine, Phase};
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
@@ -136,7 +136,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// A task failed on a machine.
     pub(crate) fn failed(
         &mut self,
@@ -208,7 +208,7 @@
         let mut planned = Vec::new();
         for machine in self.machines.values_mut() {
             machine.absolve(id, now);
-            let waits = |e: &&crate::placement_tracking::Entry| {
+            let waits = |e: &&crate::placement_tracking::PlacedTask| {
                 e.task.job == *id && e.phase == Phase::Planned && !e.is_recorded()
             };
             planned.extend(
--- a/crates/core/src/fault_attribution/tests.rs
+++ b/crates/core/src/fault_attribution/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job, lead, run, up, NOW};
+use crate::testing::{job, leader, run, up, NOW};
 use proptest::prelude::*;
 
 fn now(s: u64) -> Now {
@@ -10,28 +10,29 @@
 }
 
 /// Tries a job on machines in turn, in its own attempt each time.
-fn fail(lead: &mut Lead, n: u32, machine: &str, at: u64) {
+fn fail(leader: &mut Leader, n: u32, machine: &str, at: u64) {
     let task = format!("wk-{n}/0").parse().expect("a task");
-    lead.failed(&machine.into(), &task, Attempt(at), None, now(at));
+    leader.failed(&machine.into(), &task, Attempt(at), None, now(at));
 }
 
-fn fleet(jobs: &[u32]) -> Lead {
-    let mut lead = lead();
-    (0..5).for_each(|n| drop(up(&mut lead, &format!("vm-{n}"), "a")));
+fn fleet(jobs: &[u32]) -> Leader {
+    let mut leader = leader();
+    (0..5).for_each(|n| drop(up(&mut leader, &format!("vm-{n}"), "a")));
     for &n in jobs {
         let job = job(n, "sweep", "red", "normal");
-        lead.jobs.insert(job.spec.id.clone(), job);
+        leader.jobs.insert(job.spec.id.clone(), job);
     }
-    lead
+    leader
 }
 
-fn suspected(lead: &Lead, n: u32) -> bool {
-    lead.jobs[&format!("wk-{n}").parse().expect("an id")].is_suspected()
+fn suspected(leader: &Leader, n: u32) -> bool {
+    leader.jobs[&format!("wk-{n}").parse().expect("an id")].is_suspected()
 }
 
-fn usable(lead: &Lead, at: u64) -> usize {
+fn usable(leader: &Leader, at: u64) -> usize {
     let at = now(at).time;
-    lead.machines
+    leader
+        .machines
         .values()
         .filter(|m| m.quarantine <= at)
         .count()
@@ -40,20 +41,20 @@
 /// Broken jobs quarantined every machine of a small fleet, and nobody else's work could start.
 #[test]
 fn broken_jobs_take_no_machines_from_others() {
-    let mut lead = fleet(&[1, 2]);
+    let mut leader = fleet(&[1, 2]);
     for at in 0..20 {
         let machine = format!("vm-{}", at % 5);
-        fail(&mut lead, 1, &machine, at + 1);
-        fail(&mut lead, 2, &machine, at + 1);
+        fail(&mut leader, 1, &machine, at + 1);
+        fail(&mut leader, 2, &machine, at + 1);
         if at == 2 {
             // The third machine is enough, and the first two are given back at once.
-            assert_eq!(usable(&lead, 3), 5);
+            assert_eq!(usable(&leader, 3), 5);
         }
     }
-    assert!(suspected(&lead, 1) && suspected(&lead, 2));
-    assert_eq!(usable(&lead, 21), 5);
+    assert!(suspected(&leader, 1) && suspected(&leader, 2));
+    assert_eq!(usable(&leader, 21), 5);
     // It is tried again, one task at a time, after growing pauses.
-    let broken = &lead.jobs[&"wk-1".parse().expect("an id")];
+    let broken = &leader.jobs[&"wk-1".parse().expect("an id")];
     assert_eq!(broken.free_tasks(), 1);
     assert!(broken.not_before >= now(21).time + Span(32_000));
 }
@@ -61,14 +62,14 @@
 /// A faulty machine is told from sound jobs, which are soon tried elsewhere.
 #[test]
 fn a_faulty_machine_is_found_and_kept_away_from() {
-    let mut lead = fleet(&[1, 2, 3]);
+    let mut leader = fleet(&[1, 2, 3]);
     for n in 1..4 {
-        fail(&mut lead, n, "vm-0", u64::from(n));
+        fail(&mut leader, n, "vm-0", u64::from(n));
     }
-    assert!((1..4).all(|n| !suspected(&lead, n)));
-    assert!(lead.machines[&"vm-0".into()].is_suspected());
-    assert_eq!((usable(&lead, 4), usable(&lead, 40)), (4, 5));
-    let job = &lead.jobs[&"wk-3".parse().expect("an id")];
+    assert!((1..4).all(|n| !suspected(&leader, n)));
+    assert!(leader.machines[&"vm-0".into()].is_suspected());
+    assert_eq!((usable(&leader, 4), usable(&leader, 40)), (4, 5));
+    let job = &leader.jobs[&"wk-3".parse().expect("an id")];
     assert!(job.not_before <= now(4).time);
     assert!(job.failures.avoids(&"vm-0".into(), now(4).time));
     assert!(!job.failures.avoids(&"vm-1".into(), now(4).time));
@@ -78,19 +79,19 @@
 /// run elsewhere is never suspected.
 #[test]
 fn a_success_clears_a_job() {
-    let mut lead = fleet(&[1]);
-    fail(&mut lead, 1, "vm-0", 1);
-    fail(&mut lead, 1, "vm-1", 2);
-    assert!(suspected(&lead, 1));
-    lead.succeeded(&"vm-2".into(), &"wk-1".parse().expect("an id"), now(9).time);
-    assert!(!suspected(&lead, 1));
-    fail(&mut lead, 1, "vm-0", 10);
-    fail(&mut lead, 1, "vm-1", 11);
-    assert!(!suspected(&lead, 1));
+    let mut leader = fleet(&[1]);
+    fail(&mut leader, 1, "vm-0", 1);
+    fail(&mut leader, 1, "vm-1", 2);
+    assert!(suspected(&leader, 1));
+    leader.succeeded(&"vm-2".into(), &"wk-1".parse().expect("an id"), now(9).time);
+    assert!(!suspected(&leader, 1));
+    fail(&mut leader, 1, "vm-0", 10);
+    fail(&mut leader, 1, "vm-1", 11);
+    assert!(!suspected(&leader, 1));
     let service = job(2, "standing", "red", "prod");
-    run(&mut lead, &service, 1, &"vm-3".into());
-    (0..3).for_each(|n| fail(&mut lead, 2, &format!("vm-{n}"), 40 + n));
-    assert!(!suspected(&lead, 2));
+    run(&mut leader, &service, 1, &"vm-3".into());
+    (0..3).for_each(|n| fail(&mut leader, 2, &format!("vm-{n}"), 40 + n));
+    assert!(!suspected(&leader, 2));
 }
 
 proptest! {
@@ -105,34 +106,34 @@
         faulty in prop::collection::btree_set(0usize..5, 0..3),
         order in prop::collection::vec((0usize..6, 0usize..5), 400),
     ) {
-        let mut lead = fleet(&[0, 1, 2, 3, 4, 5]);
+        let mut leader = fleet(&[0, 1, 2, 3, 4, 5]);
         let mut done = [false; 6];
         let mut failures = [0u32; 6];
         for (at, (n, machine)) in order.into_iter().enumerate() {
             let time = now(at as u64).time;
             let (id, vm) = (format!("wk-{n}"), format!("vm-{machine}"));
-            let job = &lead.jobs[&id.parse().expect("an id")];
+            let job = &leader.jobs[&id.parse().expect("an id")];
             let may = job.not_before <= time && !job.failures.avoids(&vm.as_str().into(), time)
-                && lead.machines[&vm.as_str().into()].quarantine <= time;
+                && leader.machines[&vm.as_str().into()].quarantine <= time;
             if done[n] || !may {
                 continue;
             }
             if broken[n] || faulty.contains(&machine) {
-                fail(&mut lead, n as u32, &vm, at as u64);
+                fail(&mut leader, n as u32, &vm, at as u64);
                 failures[n] += 1;
             } else {
-                lead.succeeded(&vm.as_str().into(), &id.parse().expect("an id"), time);
+                leader.succeeded(&vm.as_str().into(), &id.parse().expect("an id"), time);
                 done[n] = true;
             }
         }
         for n in 0..6 {
             prop_assert_eq!(done[n], !broken[n]);
-            prop_assert!(!broken[n] || suspected(&lead, n as u32));
+            prop_assert!(!broken[n] || suspected(&leader, n as u32));
             prop_assert!(failures[n] <= 16, "{} failures", failures[n]);
         }
         let late = now(400 + 8);
         for n in (0..5).filter(|n| !faulty.contains(n)) {
-            let machine = &lead.machines[&format!("vm-{n}").as_str().into()];
+            let machine = &leader.machines[&format!("vm-{n}").as_str().into()];
             prop_assert!(machine.quarantine <= late.time, "vm-{n} is kept out");
         }
     }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/fleet_limits.rs
@@ -4,7 +4,7 @@
 //! worker keeps a connection to the node that it reports to. A fleet beyond that is served as far as the
 //! connections go, and it is said at start-up, in the log and in the overview.
 
-use crate::lead::Lead;
+use crate::leader::Leader;
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
 use std::fmt;
@@ -73,7 +73,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Notes how many machines the connections of all nodes don't suffice for, and says so when some
     /// are first beyond them.
     pub(crate) fn note_beyond_connections(&mut self, limits: Option<FleetLimits>) {
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -4,11 +4,11 @@
 use rudderreel_wire::ids::{Epoch, JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::peer::{
-    Announcement, AnnouncementReply, Forward, Heartbeat, HeartbeatReply, Reports, ReportsReply,
-    SenderVersion,
+    Forward, ForwardedReports, ForwardedReportsReply, Heartbeat, HeartbeatReply,
+    ReplicateCancellations, ReplicateCancellationsReply, SenderVersion,
 };
 use rudderreel_wire::state::{Event, Item, Page, Transaction};
-use rudderreel_wire::worker::{DirectCommands, Report};
+use rudderreel_wire::worker::{DirectCommands, StatusReport};
 
 /// A JSON value of the state service.
 pub type Value = serde_json::Value;
@@ -29,12 +29,12 @@
     /// Tell a job's state.
     Status(JobId),
     /// Cancel a job.
-    Withdraw(JobId),
+    Cancel(JobId),
 }
 
 /// A call to the state service.
 #[derive(Clone, Debug)]
-pub enum StateCall {
+pub enum StoreCall {
     /// Read a key.
     Get(String),
     /// Read a page of keys with a prefix, beginning after a key.
@@ -51,7 +51,7 @@
 
 /// How a call to the state service ended.
 #[derive(Clone, Debug)]
-pub enum StateAnswer {
+pub enum StoreAnswer {
     /// The key read.
     Found(Item<Value>),
     /// There is no such key (or lease).
@@ -114,9 +114,9 @@
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
     /// Executed; the report after them.
-    Executed(Box<Report>),
+    Executed(Box<StatusReport>),
     /// Nothing executed; the report if it was readable.
-    Rejected(Option<Box<Report>>),
+    Rejected(Option<Box<StatusReport>>),
     /// No connection was made, so nothing was sent.
     NotSent,
     /// It was not tried: too many calls wait.
@@ -133,9 +133,9 @@
     /// A user's request.
     User(ReqId, UserRequest),
     /// A user's request that a peer forwarded, and which version the peer has.
-    Forwarded(ReqId, UserRequest, SenderVersion),
+    ForwardedRequest(ReqId, UserRequest, SenderVersion),
     /// A worker's report.
-    Report(ReqId, Box<Report>),
+    StatusReport(ReqId, Box<StatusReport>),
     /// A health check.
     Health(ReqId),
     /// An administrator's request; not local if a peer forwarded it.
@@ -145,17 +145,17 @@
     /// A peer's answer to a heartbeat sent at the given moment.
     HeartbeatReply(crate::units::Time, HeartbeatReply),
     /// Reports that a peer passes on.
-    Reports(ReqId, Reports),
+    ForwardedReports(ReqId, ForwardedReports),
     /// The leader's answer to reports that were passed on; none if it gave none.
-    ReportsReply(CallId, Option<ReportsReply>),
+    ForwardedReportsReply(CallId, Option<ForwardedReportsReply>),
     /// Cancellations that a peer makes known.
-    Announced(ReqId, Announcement),
+    ReplicateCancellations(ReqId, ReplicateCancellations),
     /// A peer's answer to cancellations made known to it; none if it gave none.
-    AnnounceReply(NodeName, Option<AnnouncementReply>),
+    ReplicateCancellationsReply(NodeName, Option<ReplicateCancellationsReply>),
     /// A peer's answer to a forwarded request; none if it gave none.
     ForwardReply(ReqId, Option<(u16, String)>),
     /// The state service's answer to a call sent at the given moment.
-    State(CallId, crate::units::Time, StateAnswer),
+    State(CallId, crate::units::Time, StoreAnswer),
     /// Changes seen by the watch; the next watch starts after the revision.
     Watched(Version, Vec<Event<Value>>),
     /// The watch has lost its place; everything must be read again.
@@ -183,15 +183,15 @@
     /// Answer a heartbeat.
     AnswerHeartbeat(ReqId, HeartbeatReply),
     /// Answer a peer that passed reports on.
-    AnswerReports(ReqId, ReportsReply),
+    AnswerForwardedReports(ReqId, ForwardedReportsReply),
     /// Answer a peer that made cancellations known.
-    AnswerAnnounced(ReqId, AnnouncementReply),
+    AnswerReplicateCancellations(ReqId, ReplicateCancellationsReply),
     /// Make cancellations known to a peer.
-    Announce(NodeName, Announcement),
+    ReplicateCancellations(NodeName, ReplicateCancellations),
     /// Pass reports on to the leader.
-    PassReports(NodeName, CallId, Reports),
+    ForwardReports(NodeName, CallId, ForwardedReports),
     /// Call the state service.
-    State(CallId, StateCall),
+    State(CallId, StoreCall),
     /// Watch the shared prefix from a revision on.
     Watch(Version),
     /// Call the cloud.
--- a/crates/core/src/job.rs
+++ b/crates/core/src/job.rs
@@ -1,7 +1,7 @@
 //! A job as the leader sees it.
 
 use crate::fault_attribution::Failures;
-use crate::records::PageId;
+use crate::records::SegmentId;
 use crate::task_set::TaskSet;
 use crate::units::{Resources, Span, Time, Wall};
 use rudderreel_wire::cloud::Catalog;
@@ -79,7 +79,7 @@
     /// Tasks that are done and recorded, or being recorded.
     pub recorded: TaskSet,
     /// The newest page that names all of its recorded progress.
-    pub page: PageId,
+    pub page: SegmentId,
     /// Whether `done` holds more than is recorded or being recorded.
     pub progress_dirty: bool,
     /// Whether a commit of its completion is open.
@@ -110,7 +110,7 @@
             failures: Failures::default(),
             placed: 0,
             recorded: TaskSet::default(),
-            page: PageId::NONE,
+            page: SegmentId::NONE,
             progress_dirty: false,
             committing: false,
             begun: false,
@@ -226,8 +226,8 @@
 
     /// Whether it may be evicted to make room. Work at priority 100 or above is not, and in
     /// exchange runs only within its team's quota.
-    pub fn evictable(&self) -> bool {
-        !is_firm(&self.spec)
+    pub fn is_preemptible(&self) -> bool {
+        !is_non_preemptible(&self.spec)
     }
 
     /// Whether everything that is done is recorded or being recorded.
@@ -236,7 +236,7 @@
     }
 
     /// Takes in recorded progress.
-    pub fn learn_progress(&mut self, page: PageId, ranges: &[(u32, u32)]) {
+    pub fn learn_progress(&mut self, page: SegmentId, ranges: &[(u32, u32)]) {
         self.page = self.page.max(page);
         self.begun = true;
         self.failures.proven |= !ranges.is_empty();
@@ -259,6 +259,6 @@
 }
 
 /// Whether work is never evicted to make room: at priority 100 or above.
-pub fn is_firm(spec: &JobSpec) -> bool {
+pub fn is_non_preemptible(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production
 }
--- a/crates/core/src/job_cache.rs
+++ b/crates/core/src/job_cache.rs
@@ -15,7 +15,7 @@
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::peer::CancelledJob;
 use rudderreel_wire::state::Event;
-use rudderreel_wire::worker::{Command, Report, TaskState};
+use rudderreel_wire::worker::{Command, StatusReport, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A cached job.
@@ -165,7 +165,7 @@
     /// Stops for what a report lists of cancelled jobs. They hold whoever gives them, since a job that
     /// is cancelled remains so: a node that answers workers in an outage, or that has not read back
     /// what runs where, gives no other commands, and would keep those tasks alive for too long.
-    pub fn stops_of_cancelled(&self, report: &Report) -> Vec<Command> {
+    pub fn stops_of_cancelled(&self, report: &StatusReport) -> Vec<Command> {
         let cancelled = |id: &JobId| {
             let known = self.jobs.get(id);
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
--- a/crates/core/src/lead.rs
+++ b/crates/core/src/leader.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::{Latency, StopNote};
 use crate::capacity::Rentals;
-use crate::election::{Won, LEASE, WORD};
+use crate::election::{ElectionWin, LEADER_LEASE_TTL, LEASE_VOTE_TTL};
 use crate::job::Job;
 use crate::placement_log::PlacementLog;
 use crate::placement_tracking::Machine;
@@ -12,7 +12,7 @@
 use crate::store_limits::StoreLimits;
 use crate::tree::TeamTree;
 use crate::units::{Resources, Span, Time, Wall};
-use crate::version_gate::GateStep;
+use crate::version_gate::VersionGateStep;
 use rudderreel_wire::admin::AdminSettings;
 use rudderreel_wire::cloud::{Catalog, MachineType};
 use rudderreel_wire::ids::{
@@ -21,11 +21,11 @@
 };
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::settings::Settings;
-use rudderreel_wire::worker::Report;
+use rudderreel_wire::worker::StatusReport;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a node holds while it leads.
-pub struct Lead {
+pub struct Leader {
     /// The epoch, which is the token.
     pub epoch: Epoch,
     /// The lease that the leader's key hangs on.
@@ -42,15 +42,15 @@
     /// When each node last acknowledged the epoch, by the sending of the heartbeat.
     pub acks: BTreeMap<NodeName, Time>,
     /// From when on no older leader answers workers; none while that is not known.
-    pub fence: Option<Time>,
+    pub old_leaders_fenced_at: Option<Time>,
     /// When each node last gave its word, by the sending of the heartbeat.
-    pub words: BTreeMap<NodeName, Time>,
+    pub lease_votes: BTreeMap<NodeName, Time>,
     /// Whether the state has been read back.
     pub ready: bool,
     /// A page that has to be asked for again, and when.
     pub(crate) read_again: Option<(Time, &'static str, Option<String>)>,
     /// Reports that came before that.
-    pub early: BTreeMap<MachineId, Report>,
+    pub early: BTreeMap<MachineId, StatusReport>,
     /// Machines.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Machines that were returned.
@@ -86,7 +86,7 @@
     /// Jobs that are being cancelled with what they depend on.
     pub cascading: BTreeSet<JobId>,
     /// What is under way to close the version gate.
-    pub gate: GateStep,
+    pub gate: VersionGateStep,
     /// What is recorded.
     pub placement_log: PlacementLog,
     /// Whether something may wait to be recorded, so that the log is looked through only then.
@@ -121,10 +121,10 @@
     pub(crate) unanswered: u32,
     /// Zones that are cut off, and since when nothing was heard of them, as far as is known: a
     /// leader before this one may have noticed.
-    pub dark: BTreeMap<Zone, Time>,
-    pub(crate) dark_before: BTreeMap<Zone, Time>,
+    pub partitioned_zones: BTreeMap<Zone, Time>,
+    pub(crate) previously_partitioned_zones: BTreeMap<Zone, Time>,
     /// Since when zones that were cut off no longer are.
-    pub(crate) lit: BTreeMap<Zone, Time>,
+    pub(crate) healed_zones: BTreeMap<Zone, Time>,
     /// Until when machines are in doubt that have not missed a report yet.
     pub(crate) suspicion: Time,
     /// How often costly things are done.
@@ -155,9 +155,9 @@
     pub images: BTreeSet<Image>,
 }
 
-impl Lead {
+impl Leader {
     /// A leader that has just won.
-    pub fn new(settings: &Settings, tree: TeamTree, won: Won, now: Time) -> Self {
+    pub fn new(settings: &Settings, tree: TeamTree, won: ElectionWin, now: Time) -> Self {
         let workers = &settings.params.workers;
         Self {
             epoch: won.epoch,
@@ -168,8 +168,8 @@
             epoch_version: won.version,
             since: now,
             acks: BTreeMap::new(),
-            fence: None,
-            words: BTreeMap::new(),
+            old_leaders_fenced_at: None,
+            lease_votes: BTreeMap::new(),
             ready: false,
             read_again: None,
             early: BTreeMap::new(),
@@ -190,7 +190,7 @@
             done_aims: aims(settings, "finished"),
             limits: StoreLimits::of(&settings.params.state),
             cascading: BTreeSet::new(),
-            gate: GateStep::Idle,
+            gate: VersionGateStep::Idle,
             placement_log: PlacementLog::default(),
             unrecorded: true,
             period: PERIOD,
@@ -208,9 +208,9 @@
             calls_at: now,
             last_reaction: now,
             unanswered: 0,
-            dark: BTreeMap::new(),
-            dark_before: BTreeMap::new(),
-            lit: BTreeMap::new(),
+            partitioned_zones: BTreeMap::new(),
+            previously_partitioned_zones: BTreeMap::new(),
+            healed_zones: BTreeMap::new(),
             suspicion: now,
             processor_share: ProcessorShare::of(settings),
             attempts: 0,
@@ -274,13 +274,16 @@
 
     /// Whether it may answer workers: by its lease, or in an outage of the state service by the
     /// fresh word of a majority.
-    pub fn may_answer(&self, now: Time, state_ok: bool, majority: usize) -> bool {
-        let words = self.words.values().filter(|&&sent| now < sent + WORD);
-        self.lease_valid(now) || (!state_ok && words.count() + 1 >= majority)
+    pub fn may_answer(&self, now: Time, store_reachable: bool, majority: usize) -> bool {
+        let lease_votes = self
+            .lease_votes
+            .values()
+            .filter(|&&sent| now < sent + LEASE_VOTE_TTL);
+        self.lease_valid(now) || (!store_reachable && lease_votes.count() + 1 >= majority)
     }
 
     /// Asks for a cycle soon. A cycle over a large fleet takes longer, so more is collected for it.
-    pub fn wake(&mut self, now: Time) {
+    pub fn request_cycle(&mut self, now: Time) {
         let collect = Span(DEBOUNCE.0 + self.machines.len() as u64 / 10);
         self.next_cycle = self.next_cycle.min(now + collect);
     }
@@ -342,5 +345,5 @@
 
 /// Until when a lease is surely alive whose renewal was sent at a moment.
 fn alive_until(sent: Time) -> Time {
-    sent + Span(LEASE.0 - LEASE.0.div_ceil(500))
+    sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(500))
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,5 @@
 //! The state machine of rudderreel. It has no clock, socket, thread or randomness of its own:
-//! [`Core::step`] takes an input and the time, and returns what to send, write and answer.
+//! [`Node::step`] takes an input and the time, and returns what to send, write and answer.
 #![forbid(unsafe_code)]
 
 mod acceptance;
@@ -23,7 +23,7 @@
 mod io;
 mod job;
 mod job_cache;
-mod lead;
+mod leader;
 mod make_way;
 mod members;
 mod pacing;
@@ -48,13 +48,13 @@
 mod workers;
 
 mod commands;
-mod core;
 mod cycle;
-pub use crate::core::Core;
+mod node;
+pub use crate::node::Node;
 pub use admin::AdminRequest;
 pub use fleet_limits::{ConnectionLimits, FleetLimits};
 pub use io::{
-    CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StateAnswer, StateCall,
+    CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer, StoreCall,
     UserRequest, Value,
 };
 pub use pacing::LongStep;
--- a/crates/core/src/make_way.rs
+++ b/crates/core/src/make_way.rs
@@ -3,8 +3,8 @@
 //! Making way is a planned hand-over: the lease is ended, so that another node can win at once, and this one
 //! holds off for a while.
 
-use crate::core::Core;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::units::{Now, Span, Time};
 
 /// A leader that no worker reaches for so long, while workers reach others, makes way.
@@ -21,9 +21,9 @@
 /// Workers reach a node if one did so lately.
 const REACHED: Span = Span(2_000);
 
-impl Core {
+impl Node {
     /// Makes way if this leader can't do its work and another node probably can.
-    pub(crate) fn make_way_if_unfit(&mut self, now: Now) {
+    pub(crate) fn transfer_leadership_if_unfit(&mut self, now: Now) {
         let Some(why) = self.unfit_because(now.time) else {
             return;
         };
@@ -35,23 +35,22 @@
         if self.is_cut_off(now) {
             return Some("workers do not reach this node");
         }
-        let lead = self.lead.as_ref()?;
+        let leader = self.leader.as_ref()?;
         let slow = self.backlog.far_behind_for(now) >= FAR_BEHIND;
-        let led_long = now - lead.since >= LED_LONG;
+        let led_long = now - leader.since >= LED_LONG;
         (slow && led_long && self.has_fit_peer(now)).then_some("it can't keep up")
     }
 
     /// Whether some peer could lead: it was heard lately and the state service answers it.
     fn has_fit_peer(&self, now: Time) -> bool {
-        (self.peers.values()).any(|peer| now < peer.heard + NEAR && peer.state_ok)
+        (self.peers.values()).any(|peer| now < peer.heard + NEAR && peer.store_reachable)
     }
 
     /// Whether no worker reaches this leader while they reach others.
     fn is_cut_off(&mut self, now: Time) -> bool {
-        let reached = self
-            .peers
-            .values()
-            .any(|peer| now < peer.heard + NEAR && peer.worker_silence < REACHED && peer.state_ok);
+        let reached = self.peers.values().any(|peer| {
+            now < peer.heard + NEAR && peer.worker_silence < REACHED && peer.store_reachable
+        });
         // The first workers to come up may just have found another node first.
         if !reached {
             self.reached_others = None;
@@ -60,17 +59,17 @@
         }
         let silence = |since: Time| now - since > CUT_OFF;
         let others_long = self.reached_others.is_some_and(silence);
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return false;
         };
-        let heard_nobody = silence(lead.since) && self.last_report.is_none_or(silence);
-        let has_machines = !lead.machines.is_empty();
-        others_long && heard_nobody && has_machines && self.is_unreached(lead, now)
+        let heard_nobody = silence(leader.since) && self.last_report.is_none_or(silence);
+        let has_machines = !leader.machines.is_empty();
+        others_long && heard_nobody && has_machines && self.is_unreached(leader, now)
     }
 
     /// In a large fleet, hardly any worker may have been sent here: then calls must fail, too.
-    fn is_unreached(&self, lead: &Lead, now: Time) -> bool {
-        !self.is_spread(lead.machines.len() as u32) || lead.reaches_nobody(now)
+    fn is_unreached(&self, leader: &Leader, now: Time) -> bool {
+        !self.is_spread(leader.machines.len() as u32) || leader.reaches_nobody(now)
     }
 }
 
--- a/crates/core/src/make_way/tests.rs
+++ b/crates/core/src/make_way/tests.rs
@@ -1,27 +1,27 @@
 use super::*;
-use crate::core::PeerView;
-use crate::testing::{core, lead, NOW};
+use crate::node::PeerStatus;
+use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::NodeName;
 
 /// A leader that has led for so long, with one peer that the state service answers or not.
-fn leader(led: Span, peer_served: bool) -> (Core, Now) {
-    let mut node = core();
-    node.lead = Some(lead());
+fn node_that_led(led: Span, peer_served: bool) -> (Node, Now) {
+    let mut node = node();
+    node.leader = Some(leader());
     let now = Now {
         time: NOW.time + led,
         ..NOW
     };
-    let peer = PeerView {
+    let peer = PeerStatus {
         heard: now.time + FAR_BEHIND,
-        state_ok: peer_served,
-        ..PeerView::default()
+        store_reachable: peer_served,
+        ..PeerStatus::default()
     };
     node.peers.insert(NodeName::from("n1"), peer);
     (node, now)
 }
 
 /// Has inputs wait for so long during so much time; returns when that is over.
-fn wait(node: &mut Core, from: Now, during: Span, waited: Span) -> Now {
+fn wait(node: &mut Node, from: Now, during: Span, waited: Span) -> Now {
     for ms in 0..=during.0 {
         node.backlog.note_wait(from.time + Span(ms), waited);
     }
@@ -34,36 +34,36 @@
 /// A leader at a third of its speed kept its lease for ten seconds, in which few workers were answered.
 #[test]
 fn a_leader_that_stays_far_behind_makes_way() {
-    let (mut node, now) = leader(LED_LONG, true);
+    let (mut node, now) = node_that_led(LED_LONG, true);
     let now = wait(&mut node, now, FAR_BEHIND, Span(1_500));
-    node.make_way_if_unfit(now);
-    assert!(node.lead.is_none());
+    node.transfer_leadership_if_unfit(now);
+    assert!(node.leader.is_none());
     assert_eq!(node.election.hold_off, now.time + HOLD_OFF);
 }
 
 #[test]
 fn a_leader_that_is_behind_for_a_moment_goes_on() {
-    let (mut node, now) = leader(LED_LONG, true);
+    let (mut node, now) = node_that_led(LED_LONG, true);
     let now = wait(&mut node, now, Span(FAR_BEHIND.0 - 100), Span(1_500));
-    node.make_way_if_unfit(now);
+    node.transfer_leadership_if_unfit(now);
     let now = wait(&mut node, now, Span(5_000), Span(700));
-    node.make_way_if_unfit(now);
-    assert!(node.lead.is_some());
+    node.transfer_leadership_if_unfit(now);
+    assert!(node.leader.is_some());
 }
 
 /// Where all nodes are slow the lead must not go round.
 #[test]
 fn a_leader_that_has_just_won_goes_on_however_slow_it_is() {
-    let (mut node, now) = leader(Span(10_000), true);
+    let (mut node, now) = node_that_led(Span(10_000), true);
     let now = wait(&mut node, now, Span(20_000), Span(3_000));
-    node.make_way_if_unfit(now);
-    assert!(node.lead.is_some());
+    node.transfer_leadership_if_unfit(now);
+    assert!(node.leader.is_some());
 }
 
 #[test]
 fn a_slow_leader_goes_on_where_nobody_could_follow() {
-    let (mut node, now) = leader(LED_LONG, false);
+    let (mut node, now) = node_that_led(LED_LONG, false);
     let now = wait(&mut node, now, FAR_BEHIND, Span(1_500));
-    node.make_way_if_unfit(now);
-    assert!(node.lead.is_some());
+    node.transfer_leadership_if_unfit(now);
+    assert!(node.leader.is_some());
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/members.rs
@@ -1,9 +1,9 @@
 //! What the nodes tell one another of themselves, and what the load balancer is told.
 
-use crate::core::Core;
-use crate::election::{CONTACT, LEASE, WORD};
+use crate::election::{ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL};
 use crate::io::{Output, ReqId};
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Epoch, JobId, NodeName, Zone};
 use rudderreel_wire::peer::{Count, Heartbeat, HeartbeatReply, MAX_MESSAGE_BYTES};
@@ -12,15 +12,15 @@
 /// fit into a message. They are for display.
 const MOST_COUNTS: usize = MAX_MESSAGE_BYTES / 2 / 40;
 
-impl Core {
-    pub(crate) fn beat(&mut self, now: Now) {
-        self.beats += 1;
-        let counts = match &self.lead {
+impl Node {
+    pub(crate) fn send_heartbeat(&mut self, now: Now) {
+        self.heartbeats_sent += 1;
+        let counts = match &self.leader {
             // They are for display, and many: not with every heartbeat.
-            Some(lead) if self.beats % 4 == 1 => {
-                let running = lead.running();
+            Some(leader) if self.heartbeats_sent % 4 == 1 => {
+                let running = leader.running();
                 // Of what is not named nothing is done and nothing runs.
-                let counts: Vec<Count> = (lead.jobs.iter())
+                let counts: Vec<Count> = (leader.jobs.iter())
                     .map(|(id, job)| (id, job.done.len(), running.get(id).copied().unwrap_or(0)))
                     .filter(|(_, done, running)| done + running > 0)
                     .take(MOST_COUNTS)
@@ -40,21 +40,24 @@
         let load = self.load(now.time);
         self.out.push(Output::Heartbeat(Heartbeat {
             from: self.settings.node.to_string(),
-            epoch: self.lead.as_ref().map_or(self.election.epoch, |l| l.epoch),
-            leads: self.lead.is_some(),
-            state_ok: self.election.state_ok(now.time),
-            asks_word: self.lead.is_some() || self.election.would_care(now.time),
-            machines: self.lead.as_ref().map_or(0, Lead::fleet_size),
+            epoch: self
+                .leader
+                .as_ref()
+                .map_or(self.election.epoch, |l| l.epoch),
+            leads: self.leader.is_some(),
+            store_reachable: self.election.store_reachable(now.time),
+            requests_lease_vote: self.leader.is_some() || self.election.could_stand_in(now.time),
+            machines: self.leader.as_ref().map_or(0, Leader::fleet_size),
             workers: load,
-            passes: self.lead.is_some() || self.near_leader(now.time).is_some(),
+            forwards_reports: self.leader.is_some() || self.near_leader(now.time).is_some(),
             worker_silence_ms: self.worker_silence(now.time).0,
-            dark: (self.lead.iter().flat_map(|l| &l.dark))
+            partitioned_zones: (self.leader.iter().flat_map(|l| &l.partitioned_zones))
                 .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
                 .collect(),
             counts,
-            known_to: self.cancellations.known_to,
+            cancellation_watermark: self.cancellations.cancellation_watermark,
         }));
-        self.note_fence(now.time);
+        self.update_old_leaders_fenced_at(now.time);
     }
 
     fn learn_counts(&mut self, counts: &[Count]) {
@@ -68,22 +71,30 @@
         self.counts.get(id).copied().unwrap_or_default()
     }
 
-    pub(crate) fn heartbeat(&mut self, req: ReqId, beat: Heartbeat, now: Now) {
-        let silence = Span(beat.worker_silence_ms);
-        self.note_peer(&beat.from, beat.state_ok, silence, now.time);
-        self.note_load(&beat);
-        if beat.leads && beat.epoch >= self.election.epoch {
-            self.election.hear_leader(now.time);
+    pub(crate) fn heartbeat(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
+        let silence = Span(heartbeat.worker_silence_ms);
+        self.note_peer(
+            &heartbeat.from,
+            heartbeat.store_reachable,
+            silence,
+            now.time,
+        );
+        self.note_load(&heartbeat);
+        if heartbeat.leads && heartbeat.epoch >= self.election.epoch {
+            self.election.observe_leader(now.time);
         }
-        let catchup = self.catchup_for(&beat);
+        let catchup = self.catchup_for(&heartbeat);
         let whole = catchup.as_ref().is_some_and(|(_, whole)| *whole);
-        let word = whole && self.election.give_word(now.time, beat.epoch, beat.leads);
+        let grants_lease_vote = whole
+            && self
+                .election
+                .grant_lease_vote(now.time, heartbeat.epoch, heartbeat.leads);
         // Only an outage makes words, and catching up by them, needed.
-        let catchup = catchup.filter(|_| !self.election.state_ok(now.time));
-        self.election.hear_epoch(beat.epoch, now.time);
-        if beat.leads && beat.epoch >= self.election.epoch {
-            self.leader_machines = beat.machines;
-            self.leader_dark = (beat.dark.iter())
+        let catchup = catchup.filter(|_| !self.election.store_reachable(now.time));
+        self.election.observe_epoch(heartbeat.epoch, now.time);
+        if heartbeat.leads && heartbeat.epoch >= self.election.epoch {
+            self.leader_machines = heartbeat.machines;
+            self.leader_partitioned_zones = (heartbeat.partitioned_zones.iter())
                 .map(|(zone, ms)| {
                     (
                         Zone::from(zone.as_str()),
@@ -91,18 +102,18 @@
                     )
                 })
                 .collect();
-            if let Some(counts) = &beat.counts {
+            if let Some(counts) = &heartbeat.counts {
                 self.learn_counts(counts);
             }
         }
-        self.check_epoch(beat.epoch);
+        self.check_epoch(heartbeat.epoch);
         let reply = HeartbeatReply {
             from: self.settings.node.to_string(),
             epoch: self.election.epoch,
-            state_ok: self.election.state_ok(now.time),
-            word,
+            store_reachable: self.election.store_reachable(now.time),
+            grants_lease_vote,
             worker_silence_ms: self.worker_silence(now.time).0,
-            known_to: self.cancellations.known_to,
+            cancellation_watermark: self.cancellations.cancellation_watermark,
             catchup: catchup.map(|(catchup, _)| catchup),
         };
         self.out.push(Output::AnswerHeartbeat(req, reply));
@@ -111,32 +122,32 @@
     pub(crate) fn heartbeat_reply(&mut self, sent: Time, mut reply: HeartbeatReply, now: Now) {
         self.catch_up(&mut reply);
         let silence = Span(reply.worker_silence_ms);
-        self.note_peer(&reply.from, reply.state_ok, silence, now.time);
-        self.election.hear_epoch(reply.epoch, now.time);
+        self.note_peer(&reply.from, reply.store_reachable, silence, now.time);
+        self.election.observe_epoch(reply.epoch, now.time);
         self.check_epoch(reply.epoch);
         let name = NodeName::from(reply.from.as_str());
-        if let Some(lead) = self.lead.as_mut() {
+        if let Some(leader) = self.leader.as_mut() {
             if !self.peers.contains_key(&name) {
                 return;
             }
-            if reply.word {
-                let at = lead.words.entry(name.clone()).or_insert(sent);
+            if reply.grants_lease_vote {
+                let at = leader.lease_votes.entry(name.clone()).or_insert(sent);
                 *at = (*at).max(sent);
             }
-            if reply.epoch == lead.epoch {
-                let at = lead.acks.entry(name).or_insert(sent);
+            if reply.epoch == leader.epoch {
+                let at = leader.acks.entry(name).or_insert(sent);
                 *at = (*at).max(sent);
-                self.note_fence(now.time);
+                self.update_old_leaders_fenced_at(now.time);
             }
-        } else if reply.word && self.peers.contains_key(&name) {
-            self.election.hear_word(name, sent);
+        } else if reply.grants_lease_vote && self.peers.contains_key(&name) {
+            self.election.record_lease_vote(name, sent);
         }
     }
 
     /// A higher epoch than this leader's own means that another node leads.
     pub(crate) fn check_epoch(&mut self, epoch: Epoch) {
-        let raising = self.lead.as_ref().is_some_and(|l| l.raised.1);
-        if !raising && self.lead.as_ref().is_some_and(|l| epoch > l.epoch) {
+        let raising = self.leader.as_ref().is_some_and(|l| l.raised.1);
+        if !raising && self.leader.as_ref().is_some_and(|l| epoch > l.epoch) {
             self.step_down("a higher epoch is known");
         }
     }
@@ -144,34 +155,37 @@
     /// Once a majority has acknowledged the epoch, no older leader goes on, and nobody takes care
     /// in this one's place, for longer than a word is good for: as long as the majority goes on
     /// acknowledging.
-    pub(crate) fn note_fence(&mut self, now: Time) {
+    pub(crate) fn update_old_leaders_fenced_at(&mut self, now: Time) {
         let majority = self.election.majority();
         let superseding = !self.job_cache.complete || self.job_cache.dependencies_in_use();
-        if let Some(lead) = self.lead.as_mut() {
-            let acks = lead.acks.values().filter(|&&sent| now < sent + CONTACT);
+        if let Some(leader) = self.leader.as_mut() {
+            let acks = leader
+                .acks
+                .values()
+                .filter(|&&sent| now < sent + ACKNOWLEDGEMENT_TTL);
             if acks.count() + 1 < majority {
-                lead.fence = None;
-            } else if lead.fence.is_none() {
-                let fence = now + WORD.with_drift();
+                leader.old_leaders_fenced_at = None;
+            } else if leader.old_leaders_fenced_at.is_none() {
+                let old_leaders_fenced_at = now + LEASE_VOTE_TTL.with_drift();
                 // A leader that was superseded goes on by its own clock for so long.
-                let superseded_until = lead.since + LEASE.with_drift();
-                lead.fence = Some(if superseding {
-                    fence.max(superseded_until)
+                let superseded_until = leader.since + LEADER_LEASE_TTL.with_drift();
+                leader.old_leaders_fenced_at = Some(if superseding {
+                    old_leaders_fenced_at.max(superseded_until)
                 } else {
-                    fence
+                    old_leaders_fenced_at
                 });
             }
         }
     }
 
-    fn note_load(&mut self, beat: &Heartbeat) {
-        let name = NodeName::from(beat.from.as_str());
+    fn note_load(&mut self, heartbeat: &Heartbeat) {
+        let name = NodeName::from(heartbeat.from.as_str());
         self.forwarding.sent.remove(&name);
         if let Some(peer) = self.peers.get_mut(&name) {
-            peer.leads = beat.leads;
-            peer.epoch = beat.epoch;
-            peer.workers = beat.workers;
-            peer.passes = beat.passes;
+            peer.leads = heartbeat.leads;
+            peer.epoch = heartbeat.epoch;
+            peer.workers = heartbeat.workers;
+            peer.forwards_reports = heartbeat.forwards_reports;
         }
     }
 
@@ -180,17 +194,18 @@
         self.last_report.map_or(Span(u64::MAX), |t| now - t)
     }
 
-    fn note_peer(&mut self, name: &str, state_ok: bool, silence: Span, now: Time) {
+    fn note_peer(&mut self, name: &str, store_reachable: bool, silence: Span, now: Time) {
         if let Some(peer) = self.peers.get_mut(&NodeName::from(name)) {
             peer.heard = now;
-            peer.state_ok = state_ok;
+            peer.store_reachable = store_reachable;
             peer.worker_silence = silence;
         }
     }
 
     pub(crate) fn health(&mut self, req: ReqId, now: Now) {
-        let peer = (self.peers.values()).any(|p| p.state_ok && now.time < p.heard + Span(1_500));
-        if self.election.state_ok(now.time) || peer {
+        let peer =
+            (self.peers.values()).any(|p| p.store_reachable && now.time < p.heard + Span(1_500));
+        if self.election.store_reachable(now.time) || peer {
             self.answer(req, 200, "{}".into());
         } else {
             self.refuse(req, "the state service does not answer");
--- a/crates/core/src/core.rs
+++ b/crates/core/src/node.rs
@@ -3,21 +3,21 @@
 use crate::backlog::Backlog;
 use crate::cancellations::Cancellations;
 use crate::capacity::CloudCalls;
-use crate::election::{Election, Step, Verdict, Won};
+use crate::election::{Election, ElectionCall, ElectionEvent, ElectionWin};
 use crate::fleet_limits::FleetLimits;
-use crate::io::{show, CallId, Input, Output, ReqId, StateAnswer, StateCall, Value};
+use crate::io::{show, CallId, Input, Output, ReqId, StoreAnswer, StoreCall, Value};
 use crate::job_cache::JobCache;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::pacing::{LongStep, Pacing};
 use crate::processor_share::ProcessorShare;
 use crate::records::{LeaderKey, SHARED};
-use crate::recovery::LeadStep;
+use crate::recovery::LeaderCall;
 use crate::report_forwarding::ReportForwarding;
-use crate::state_calls::{StateCalls, Urgency};
+use crate::state_calls::{StoreCalls, Urgency};
 use crate::store_limits::StoreLimits;
 use crate::tree::TeamTree;
 use crate::units::{Now, Span, Time};
-use crate::user_requests::{UserRequests, UserStep};
+use crate::user_requests::{UserCall, UserRequests};
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::{Epoch, JobId, MachineId, NodeName, Version, Zone};
@@ -28,11 +28,11 @@
 
 /// What a call to the state service is for.
 #[derive(Clone, Debug)]
-pub(crate) enum Purpose {
-    Election(Step),
+pub(crate) enum PendingCall {
+    Election(ElectionCall),
     Fill(Option<Fill>),
-    User(UserStep),
-    Lead(u64, LeadStep),
+    User(UserCall),
+    Leader(u64, LeaderCall),
     Settings(ReqId, Box<AdminSettings>),
     Known,
 }
@@ -48,9 +48,9 @@
 
 /// What is known of a peer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PeerView {
+pub(crate) struct PeerStatus {
     pub heard: Time,
-    pub state_ok: bool,
+    pub store_reachable: bool,
     pub worker_silence: Span,
     /// Whether it leads, as it said last, and the highest epoch that it knew.
     pub leads: bool,
@@ -58,18 +58,18 @@
     /// Workers that report to it.
     pub workers: u32,
     /// Whether it hears the leader, so that it can pass reports on.
-    pub passes: bool,
+    pub forwards_reports: bool,
 }
 
 /// A node.
-pub struct Core {
+pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) tree: TeamTree,
     pub(crate) platform_tree: TeamTree,
     pub(crate) admin_settings: Versioned,
     pub(crate) catalog: Option<Catalog>,
     pub(crate) job_cache: JobCache,
-    pub(crate) calls: StateCalls<Purpose>,
+    pub(crate) calls: StoreCalls<PendingCall>,
     pub(crate) cloud: CloudCalls,
     /// How late the cloud's list is.
     pub(crate) list_lag: Span,
@@ -82,18 +82,18 @@
     pub(crate) processor_share: ProcessorShare,
     pub(crate) user_requests: UserRequests,
     pub(crate) cancellations: Cancellations,
-    pub(crate) lead: Option<Lead>,
+    pub(crate) leader: Option<Leader>,
     pub(crate) forwarding: ReportForwarding,
     /// Machines that the leader said it knows.
     pub(crate) leader_machines: u32,
     /// Zones that the leader said are cut off, and since when.
-    pub(crate) leader_dark: BTreeMap<Zone, Time>,
-    pub(crate) peers: BTreeMap<NodeName, PeerView>,
+    pub(crate) leader_partitioned_zones: BTreeMap<Zone, Time>,
+    pub(crate) peers: BTreeMap<NodeName, PeerStatus>,
     pub(crate) counts: BTreeMap<JobId, (u32, u32)>,
     filling: bool,
     next_fill: Time,
-    pub(crate) next_beat: Time,
-    pub(crate) beats: u64,
+    pub(crate) next_heartbeat_at: Time,
+    pub(crate) heartbeats_sent: u64,
     next_review: Time,
     /// Keeps looks and cycles to a part of the time.
     pacing: Pacing,
@@ -106,13 +106,13 @@
 }
 
 /// How often nodes tell one another how they are.
-const BEAT: Span = Span(500);
+const HEARTBEAT_INTERVAL: Span = Span(500);
 /// How often the leader looks through its machines and jobs.
 const PLACEMENTS: Span = Span(100);
 
 /// How many calls a second a node may make to the state service: the leader, which keeps the placement log,
 /// twice as many as others. Each node's watch has a part of its own.
-fn state_rate(settings: &Settings, leads: bool) -> f64 {
+fn store_call_rate(settings: &Settings, leads: bool) -> f64 {
     let parts = f64::from(settings.params.nodes.max(1) + 1);
     StoreLimits::of(&settings.params.state).requests_per_s
         * CALLS_PART
@@ -123,7 +123,7 @@
 /// The part of the state service's limit that calls may use; the rest is for watches.
 const CALLS_PART: f64 = 0.8;
 
-impl Core {
+impl Node {
     /// A node that has just started.
     pub fn new(settings: Settings) -> Self {
         let nodes = settings.params.nodes.max(1) as usize;
@@ -132,7 +132,7 @@
         names.sort();
         let rank = names.iter().position(|n| **n == settings.node).unwrap_or(0) as u64;
         let peers = (settings.peers.iter())
-            .map(|p| (p.node.clone(), PeerView::default()))
+            .map(|p| (p.node.clone(), PeerStatus::default()))
             .collect();
         Self {
             tree: TeamTree::from_limits(&settings.params.teams),
@@ -143,7 +143,7 @@
             },
             catalog: None,
             job_cache: JobCache::default(),
-            calls: StateCalls::new(state_rate(&settings, false)),
+            calls: StoreCalls::new(store_call_rate(&settings, false)),
             list_lag: Span::secs(settings.params.cloud.list_lag_s),
             cloud: CloudCalls::new(settings.params.cloud.rps * 0.9),
             election: Election::new(settings.node.clone(), nodes, rank),
@@ -152,16 +152,16 @@
             processor_share: ProcessorShare::of(&settings),
             user_requests: UserRequests::default(),
             cancellations: Cancellations::default(),
-            lead: None,
+            leader: None,
             forwarding: ReportForwarding::default(),
             leader_machines: 0,
-            leader_dark: BTreeMap::new(),
+            leader_partitioned_zones: BTreeMap::new(),
             peers,
             counts: BTreeMap::new(),
             filling: false,
             next_fill: Time(0),
-            next_beat: Time(0),
-            beats: 0,
+            next_heartbeat_at: Time(0),
+            heartbeats_sent: 0,
             next_review: Time(0),
             pacing: Pacing::default(),
             backlog: Backlog::default(),
@@ -177,16 +177,20 @@
         match input {
             Input::Tick => self.tick(now),
             Input::User(req, request) => self.user(req, request, false, now),
-            Input::Forwarded(req, request, sender) => self.forwarded(req, request, sender, now),
-            Input::Report(req, report) => self.report(req, *report, now),
+            Input::ForwardedRequest(req, request, sender) => {
+                self.forwarded(req, request, sender, now)
+            }
+            Input::StatusReport(req, report) => self.report(req, *report, now),
             Input::Health(req) => self.health(req, now),
             Input::Admin(req, request, local) => self.admin(req, request, local, now),
-            Input::Heartbeat(req, beat) => self.heartbeat(req, beat, now),
+            Input::Heartbeat(req, heartbeat) => self.heartbeat(req, heartbeat, now),
             Input::HeartbeatReply(sent, reply) => self.heartbeat_reply(sent, reply, now),
-            Input::Reports(req, reports) => self.reports(req, reports, now),
-            Input::ReportsReply(call, reply) => self.passed(call, reply, now),
-            Input::Announced(req, told) => self.announced(req, told),
-            Input::AnnounceReply(peer, reply) => self.announce_reply(peer, reply, now),
+            Input::ForwardedReports(req, reports) => self.reports(req, reports, now),
+            Input::ForwardedReportsReply(call, reply) => self.passed(call, reply, now),
+            Input::ReplicateCancellations(req, told) => self.announced(req, told),
+            Input::ReplicateCancellationsReply(peer, reply) => {
+                self.announce_reply(peer, reply, now)
+            }
             Input::ForwardReply(req, answer) => self.forward_answer(req, answer),
             Input::State(id, sent, answer) => self.state_answer(id, sent, answer, now),
             Input::Watched(revision, events) => self.watched(revision, events, now),
@@ -206,7 +210,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// What the last step did, if that takes long in a large fleet; until [`Core::step_ended`] is called.
+    /// What the last step did, if that takes long in a large fleet; until [`Node::step_ended`] is called.
     pub fn long_step(&self) -> Option<LongStep> {
         self.pacing.current()
     }
@@ -227,110 +231,115 @@
             self.fill();
         }
         self.backlog.tick(now.time);
-        let mine = self.lead.as_ref().map(|l| l.lease_id);
-        let due = self.election.tick(now.time, self.job_cache.seat(), mine);
+        let mine = self.leader.as_ref().map(|l| l.lease_id);
+        let due = self
+            .election
+            .tick(now.time, self.job_cache.leader_slot(), mine);
         self.election_calls(due);
         self.confirm(now);
         self.cancellations_tick(now);
         self.fetch_catalog(now);
         self.forwarding_tick(now);
-        if now.time >= self.next_beat {
-            self.next_beat = now.time + BEAT;
-            self.beat(now);
+        if now.time >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now.time + HEARTBEAT_INTERVAL;
+            self.send_heartbeat(now);
         }
         self.lead_tick(now);
     }
 
-    fn election_calls(&mut self, calls: Vec<(StateCall, Step)>) {
+    fn election_calls(&mut self, calls: Vec<(StoreCall, ElectionCall)>) {
         for (call, step) in calls {
             self.calls
-                .call(Urgency::Lease, call, Purpose::Election(step));
+                .call(Urgency::Lease, call, PendingCall::Election(step));
         }
     }
 
     // --- the state service ---
 
-    fn state_answer(&mut self, id: CallId, sent: Time, answer: StateAnswer, now: Now) {
-        self.election.note_state(now.time, &answer);
-        if matches!(answer, StateAnswer::Rejected) {
+    fn state_answer(&mut self, id: CallId, sent: Time, answer: StoreAnswer, now: Now) {
+        self.election.observe_store_answer(now.time, &answer);
+        if matches!(answer, StoreAnswer::Rejected) {
             self.limits.halve();
             log::warn!("a transaction was rejected; from now on {:?}", self.limits);
-            if let Some(lead) = self.lead.as_mut() {
-                lead.limits = self.limits;
+            if let Some(leader) = self.leader.as_mut() {
+                leader.limits = self.limits;
             }
         }
         match self.calls.finish(id) {
-            Some(Purpose::Election(step)) => self.election_answer(step, sent, answer, now),
-            Some(Purpose::Fill(first)) => self.filled(first, answer, now),
-            Some(Purpose::User(step)) => self.user_answer(step, answer, now),
-            Some(Purpose::Lead(lead, step)) => {
-                if self.lead.as_ref().is_some_and(|l| l.epoch_id() == lead) {
-                    self.lead_answer(step, answer, now);
+            Some(PendingCall::Election(step)) => self.election_answer(step, sent, answer, now),
+            Some(PendingCall::Fill(first)) => self.filled(first, answer, now),
+            Some(PendingCall::User(step)) => self.user_answer(step, answer, now),
+            Some(PendingCall::Leader(leader, step)) => {
+                if self.leader.as_ref().is_some_and(|l| l.term_id() == leader) {
+                    self.leader_call_answered(step, answer, now);
                 }
             }
-            Some(Purpose::Settings(req, new)) => self.settings_replaced(req, *new, answer),
-            Some(Purpose::Known) => self.known_written(matches!(answer, StateAnswer::Committed(_))),
+            Some(PendingCall::Settings(req, new)) => self.settings_replaced(req, *new, answer),
+            Some(PendingCall::Known) => {
+                self.known_written(matches!(answer, StoreAnswer::Committed(_)))
+            }
             None => log::debug!("an answer that nobody waits for"),
         }
     }
 
-    fn election_answer(&mut self, step: Step, sent: Time, answer: StateAnswer, now: Now) {
-        if let (Step::Renew(lease), StateAnswer::Done, Some(lead)) =
-            (&step, &answer, self.lead.as_mut())
+    fn election_answer(&mut self, step: ElectionCall, sent: Time, answer: StoreAnswer, now: Now) {
+        if let (ElectionCall::Renew(lease), StoreAnswer::Done, Some(leader)) =
+            (&step, &answer, self.leader.as_mut())
         {
-            if lead.lease_id == *lease {
-                lead.renewed(sent);
+            if leader.lease_id == *lease {
+                leader.renewed(sent);
             }
         }
         let progress = self.election.answered(now.time, sent, step, answer);
         self.election_calls(progress.calls);
         match progress.verdict {
-            Verdict::Nothing => {}
-            Verdict::Leader(key, record) => self.job_cache.learn_leader_read(key, record),
-            Verdict::Won(won) => self.take_lead(won, now),
-            Verdict::Lost => self.step_down("its lease has ended"),
+            ElectionEvent::Nothing => {}
+            ElectionEvent::Leader(key, record) => self.job_cache.learn_leader_read(key, record),
+            ElectionEvent::ElectionWin(won) => self.become_leader(won, now),
+            ElectionEvent::Lost => self.step_down("its lease has ended"),
         }
     }
 
-    fn take_lead(&mut self, won: Won, now: Now) {
+    fn become_leader(&mut self, won: ElectionWin, now: Now) {
         log::info!("leading as {}", show(won.epoch));
-        let mut lead = Lead::new(&self.settings, self.tree.clone(), won, now.time);
-        lead.take_up(self.tree.clone(), &self.admin_settings.settings);
-        lead.limits = self.limits;
-        lead.dark_before = std::mem::take(&mut self.leader_dark);
+        let mut leader = Leader::new(&self.settings, self.tree.clone(), won, now.time);
+        leader.take_up(self.tree.clone(), &self.admin_settings.settings);
+        leader.limits = self.limits;
+        leader.previously_partitioned_zones = std::mem::take(&mut self.leader_partitioned_zones);
         if let Some(catalog) = &self.catalog {
-            lead.learn_catalog(catalog.clone());
+            leader.learn_catalog(catalog.clone());
         }
-        self.lead = Some(lead);
-        self.calls.set_rate(state_rate(&self.settings, true));
+        self.leader = Some(leader);
+        self.calls.set_rate(store_call_rate(&self.settings, true));
         self.cloud.clear();
         self.cloud.next_catalog = now.time;
         self.cloud.next_list = now.time;
-        self.next_beat = now.time;
-        self.read_back();
+        self.next_heartbeat_at = now.time;
+        self.start_recovery();
     }
 
     /// Stops leading.
     pub(crate) fn step_down(&mut self, why: &str) {
-        if let Some(lead) = self.lead.take() {
-            log::info!("no longer leading as {}: {why}", show(lead.epoch));
-            let call = StateCall::EndLease(lead.lease_id);
-            self.election_calls(vec![(call, Step::End)]);
-            self.calls.set_rate(state_rate(&self.settings, false));
+        if let Some(leader) = self.leader.take() {
+            log::info!("no longer leading as {}: {why}", show(leader.epoch));
+            let call = StoreCall::EndLease(leader.lease_id);
+            self.election_calls(vec![(call, ElectionCall::End)]);
+            self.calls.set_rate(store_call_rate(&self.settings, false));
             self.cloud.clear();
-            self.job_cache.forget_leader(lead.lease_id);
+            self.job_cache.forget_leader(leader.lease_id);
         }
     }
 
     /// Reads everything that is watched, from the start.
     fn fill(&mut self) {
         self.filling = true;
-        let call = StateCall::List(SHARED.into(), None);
-        self.calls.call(Urgency::User, call, Purpose::Fill(None));
+        let call = StoreCall::List(SHARED.into(), None);
+        self.calls
+            .call(Urgency::User, call, PendingCall::Fill(None));
     }
 
-    fn filled(&mut self, fill: Option<Fill>, answer: StateAnswer, now: Now) {
-        let StateAnswer::Page(page) = answer else {
+    fn filled(&mut self, fill: Option<Fill>, answer: StoreAnswer, now: Now) {
+        let StoreAnswer::Page(page) = answer else {
             self.filling = false;
             self.next_fill = now.time + Span(250);
             return;
@@ -342,14 +351,14 @@
         let last = page.items.last().map(|i| i.key.clone());
         self.learn_page(&page, &mut fill, now);
         if page.more && last.is_some() {
-            let call = StateCall::List(SHARED.into(), last);
-            let purpose = Purpose::Fill(Some(fill));
+            let call = StoreCall::List(SHARED.into(), last);
+            let purpose = PendingCall::Fill(Some(fill));
             self.calls.call(Urgency::User, call, purpose);
             return;
         }
         self.filling = false;
         self.job_cache.complete = true;
-        self.knows_to(fill.first);
+        self.advance_cancellation_watermark(fill.first);
         self.out.push(Output::Watch(fill.first));
     }
 
@@ -370,7 +379,7 @@
             self.job_cache.learn_event(event);
         }
         self.take_learned(now);
-        self.knows_to(revision);
+        self.advance_cancellation_watermark(revision);
         self.out.push(Output::Watch(revision));
     }
 
@@ -382,44 +391,44 @@
             self.take_up(version, settings);
         }
         if let Some((_, record)) = self.job_cache.leader() {
-            self.election.hear_epoch(record.epoch, now.time);
+            self.election.observe_epoch(record.epoch, now.time);
         }
     }
 
     // --- leading ---
 
     fn lead_tick(&mut self, now: Now) {
-        if self.lead.is_none() {
+        if self.leader.is_none() {
             return;
         }
-        self.read_on(now);
-        self.make_way_if_unfit(now);
-        self.note_fence(now.time);
-        let Some(lead) = self.lead.as_mut() else {
+        self.retry_recovery_read(now);
+        self.transfer_leadership_if_unfit(now);
+        self.update_old_leaders_fenced_at(now.time);
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let behind = self.backlog.is_behind(now.time);
         let review_is_due =
             now.time >= self.next_review && self.pacing.may_review(now.time, behind);
-        if lead.ready && review_is_due {
+        if leader.ready && review_is_due {
             self.pacing.begin(LongStep::Review, now.time);
             // Looking through a large fleet takes longer, so it is done less often.
-            self.next_review = now.time + Span(PLACEMENTS.0 + lead.machines.len() as u64 / 12);
-            lead.note_beyond_connections(self.fleet_limits);
-            lead.find_dark_zones(now.time);
-            lead.end_cancelled(now);
-            lead.drain(now.time);
-            lead.empty_retired(now.time);
-            lead.expire(now);
+            self.next_review = now.time + Span(PLACEMENTS.0 + leader.machines.len() as u64 / 12);
+            leader.note_beyond_connections(self.fleet_limits);
+            leader.detect_partitioned_zones(now.time);
+            leader.end_cancelled(now);
+            leader.drain(now.time);
+            leader.empty_retired(now.time);
+            leader.expire(now);
             let cycle_is_due =
-                now.time >= lead.next_cycle && self.pacing.may_cycle(now.time, behind);
-            if lead.lease_valid(now.time) && cycle_is_due {
+                now.time >= leader.next_cycle && self.pacing.may_cycle(now.time, behind);
+            if leader.lease_valid(now.time) && cycle_is_due {
                 self.pacing.begin(LongStep::Cycle, now.time);
-                lead.next_cycle = now.time + lead.period;
-                lead.cycle(now);
+                leader.next_cycle = now.time + leader.period;
+                leader.cycle(now);
             }
             self.flush(now);
-            self.rule_out_late_starts(now);
+            self.bump_epoch_if_needed(now);
             self.push_waiting(now);
             self.cloud_tick(now);
         } else {
@@ -429,14 +438,14 @@
     }
 
     fn push_waiting(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_ref() else {
+        let Some(leader) = self.leader.as_ref() else {
             return;
         };
-        let waiting: Vec<MachineId> = (lead.machines.values())
-            .filter(|m| lead.wants_direct(m, now.time))
+        let waiting: Vec<MachineId> = (leader.machines.values())
+            .filter(|m| leader.wants_direct(m, now.time))
             .map(|m| m.id.clone())
             .collect();
-        let overdue = lead.overdue(now.time);
+        let overdue = leader.overdue(now.time);
         self.push_starts(&waiting, now);
         for id in overdue {
             self.probe(&id);
@@ -445,18 +454,18 @@
 
     fn learn_changed(&mut self, now: Now) {
         let changed = std::mem::take(&mut self.job_cache.changed);
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         for id in &changed {
             let Some(known) = self.job_cache.jobs.get_mut(id) else {
                 continue;
             };
-            lead.learn_job(id, known.version, &known.record);
+            leader.learn_job(id, known.version, &known.record);
             if known.record.state == JobState::Cancelled {
-                lead.stop_cancelled(id, now.time);
+                leader.stop_cancelled(id, now.time);
             }
-            lead.wake(now.time);
+            leader.request_cycle(now.time);
         }
         self.refresh_dependencies(&changed, now);
     }
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/pipelines.rs
@@ -5,18 +5,18 @@
 //! take. Only the changed edges are followed: a submission, a completion or a cancellation changes
 //! what comes before it, and of that only what is not as urgent already.
 
-use crate::core::Core;
 use crate::dependencies::{DependencyGraph, Readiness};
 use crate::job::Goal;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::units::{Now, Span, Wall};
 use rudderreel_wire::ids::JobId;
 use std::collections::BTreeSet;
 
-impl Core {
+impl Node {
     /// Takes in that some jobs' records have changed.
     pub(crate) fn refresh_dependencies(&mut self, changed: &[JobId], now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let graph = &self.job_cache.graph;
@@ -24,12 +24,12 @@
         for id in changed {
             let touched = graph.dependents_of(id).chain([id]);
             for id in touched {
-                let Some(job) = lead.jobs.get(id) else {
+                let Some(job) = leader.jobs.get(id) else {
                     continue;
                 };
                 if !job.spec.dependencies.is_empty() {
                     let readiness = self.job_cache.readiness(&job.spec.dependencies);
-                    lead.note_readiness(id, readiness, now);
+                    leader.note_readiness(id, readiness, now);
                 }
             }
             if let Some(known) = self.job_cache.jobs.get(id) {
@@ -37,15 +37,15 @@
             }
             inheriting.insert(id.clone());
         }
-        lead.inherit_goals(graph, inheriting);
+        leader.inherit_goals(graph, inheriting);
     }
 
     /// The same for all jobs, after a take-over.
     pub(crate) fn refresh_all_dependencies(&mut self, now: Now) {
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return;
         };
-        let dependents = lead
+        let dependents = leader
             .jobs
             .values()
             .filter(|j| !j.spec.dependencies.is_empty());
@@ -54,7 +54,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Notes which dependencies of a job are not done. When the last one was done need not be
     /// recorded; then the job counts as ready since this leader knows it.
     fn note_readiness(&mut self, id: &JobId, readiness: Readiness, now: Now) {
@@ -67,7 +67,7 @@
             let since = readiness.last_done.unwrap_or(now.wall);
             job.ready_since = Some(since.max(job.submitted));
             log::debug!("{id} is ready");
-            self.wake(now.time);
+            self.request_cycle(now.time);
         }
     }
 
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/pipelines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::job_cache::JobCache;
 use crate::records::JobRecord;
-use crate::testing::{job_of, lead, NOW};
+use crate::testing::{job_of, leader, NOW};
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::job::{JobSpec, Priority};
 
@@ -18,31 +18,31 @@
 
 /// A leader and its cache, which learn of jobs as the core has them do.
 struct Pipeline {
-    lead: Lead,
+    leader: Leader,
     job_cache: JobCache,
 }
 
 impl Pipeline {
     fn new() -> Self {
-        let (lead, job_cache) = (lead(), JobCache::default());
-        Self { lead, job_cache }
+        let (leader, job_cache) = (leader(), JobCache::default());
+        Self { leader, job_cache }
     }
 
     fn learn(&mut self, n: u32, version: u64, record: JobRecord) {
         self.job_cache
             .learn_job(id(n), Version(version), record.clone());
-        self.lead.learn_job(&id(n), Version(version), &record);
+        self.leader.learn_job(&id(n), Version(version), &record);
         let graph = &self.job_cache.graph;
         let dependents: Vec<JobId> = graph.dependents_of(&id(n)).cloned().collect();
         for dependent in dependents.iter().chain([&id(n)]) {
             let needs = self
-                .lead
+                .leader
                 .jobs
                 .get(dependent)
                 .map(|j| j.spec.dependencies.clone());
             if let Some(needs) = needs.filter(|n| !n.is_empty()) {
                 let readiness = self.job_cache.readiness(&needs);
-                self.lead.note_readiness(dependent, readiness, NOW);
+                self.leader.note_readiness(dependent, readiness, NOW);
             }
         }
         let known = &self.job_cache.jobs[&id(n)];
@@ -52,7 +52,7 @@
             .cloned()
             .chain([id(n)])
             .collect();
-        self.lead.inherit_goals(graph, start);
+        self.leader.inherit_goals(graph, start);
     }
 
     fn submit(&mut self, spec: JobSpec) {
@@ -61,7 +61,7 @@
     }
 
     fn goal(&self, n: u32) -> Goal {
-        self.lead.jobs[&id(n)].goal
+        self.leader.jobs[&id(n)].goal
     }
 }
 
@@ -83,7 +83,7 @@
         assert_eq!(p.goal(n).finish_by, Some(finish_by), "job {n}");
     }
     // What is evictable, and what may exceed a quota, stays with a job's own priority.
-    assert!(p.lead.jobs[&id(1)].evictable());
+    assert!(p.leader.jobs[&id(1)].is_preemptible());
 }
 
 #[test]
@@ -93,7 +93,7 @@
     p.submit(spec(2, "urgent", &[1], Some(50.0)));
     assert_eq!(p.goal(1).priority, Priority::High);
     let record = JobRecord::queued(&spec(2, "urgent", &[1], Some(50.0)), NOW.wall);
-    let limits = p.lead.limits;
+    let limits = p.leader.limits;
     p.learn(2, 2, record.cancelled(NOW.wall, None, &limits));
     assert_eq!(p.goal(1).priority, Priority::Low);
     assert_eq!(p.goal(1).finish_by, None);
@@ -105,7 +105,7 @@
     p.submit(spec(1, "low", &[], None));
     p.submit(spec(2, "low", &[], None));
     p.submit(spec(3, "urgent", &[1, 2], None));
-    let job = |p: &Pipeline| p.lead.jobs[&id(3)].clone();
+    let job = |p: &Pipeline| p.leader.jobs[&id(3)].clone();
     assert!(!job(&p).is_ready());
     assert_eq!(job(&p).free_tasks(), 0);
     p.learn(1, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(3_000)));
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log.rs
@@ -11,13 +11,15 @@
 
 mod draft;
 
-use self::draft::{entry_bytes, line_bytes, page_bytes, progress_bytes, Draft, EMPTY_BYTES};
-use crate::core::Core;
-use crate::io::{StateAnswer, StateCall};
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine, Phase};
-use crate::records::{page_key, PageId, PageRecord};
-use crate::recovery::{condition, put, LeadStep};
+use self::draft::{
+    entry_bytes, line_bytes, page_bytes, progress_bytes, PendingSegment, EMPTY_BYTES,
+};
+use crate::io::{StoreAnswer, StoreCall};
+use crate::leader::Leader;
+use crate::node::Node;
+use crate::placement_tracking::{Machine, Phase, PlacedTask};
+use crate::records::{segment_key, SegmentId, SegmentRecord};
+use crate::recovery::{condition, put, LeaderCall};
 use crate::task_set::TaskSet;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{JobId, MachineId, Version};
@@ -39,11 +41,11 @@
 pub struct PlacementLog {
     named: u64,
     /// Pages that exist.
-    pages: BTreeSet<PageId>,
+    pages: BTreeSet<SegmentId>,
     /// Pages whose commits are open.
-    open: BTreeMap<PageId, OpenPage>,
+    open: BTreeMap<SegmentId, UncommittedSegment>,
     /// Pages that nothing holds on any more.
-    dead: Vec<PageId>,
+    dead: Vec<SegmentId>,
     next_tidy: Time,
     /// Changes that may be made now, and when that was counted.
     budget: (f64, Time),
@@ -63,9 +65,9 @@
 }
 
 /// A page whose commit is open.
-struct OpenPage {
-    record: PageRecord,
-    deletes: Vec<PageId>,
+struct UncommittedSegment {
+    record: SegmentRecord,
+    deletes: Vec<SegmentId>,
     done: Vec<(JobId, TaskSet)>,
     /// When it must be sent again.
     again: Option<Time>,
@@ -73,7 +75,7 @@
 
 impl PlacementLog {
     /// A page that was read back.
-    pub fn learn(&mut self, page: PageId) {
+    pub fn learn(&mut self, page: SegmentId) {
         self.pages.insert(page);
     }
 
@@ -84,7 +86,7 @@
 
     /// Whether nothing on a page holds any more.
     #[cfg(test)]
-    pub fn is_dead(&self, page: PageId) -> bool {
+    pub fn is_dead(&self, page: SegmentId) -> bool {
         self.dead.contains(&page)
     }
 
@@ -125,26 +127,29 @@
     }
 }
 
-fn holds(entry: &Entry) -> bool {
+fn holds(entry: &PlacedTask) -> bool {
     entry.holds_room()
 }
 
 /// Whether an entry waits to be recorded.
-fn is_new(entry: &Entry) -> bool {
-    holds(entry) && !entry.is_recorded() && entry.writing == PageId::NONE
+fn is_new(entry: &PlacedTask) -> bool {
+    holds(entry) && !entry.is_recorded() && entry.writing == SegmentId::NONE
 }
 
 /// Adds the entries of a machine that wait to be recorded, as far as there is room.
 fn draft_entries(
-    draft: &mut Draft,
+    draft: &mut PendingSegment,
     machine: &mut Machine,
-    page: PageId,
+    page: SegmentId,
     urgent: bool,
     most: usize,
 ) {
     for at in 0..machine.entries.len() {
         let entry = &machine.entries[at];
-        let firm = entry.spec.as_ref().is_some_and(|s| crate::job::is_firm(s));
+        let firm = entry
+            .spec
+            .as_ref()
+            .is_some_and(|s| crate::job::is_non_preemptible(s));
         if !is_new(entry) || firm != urgent {
             continue;
         }
@@ -155,21 +160,21 @@
     }
 }
 
-impl Lead {
-    fn next_page(&mut self) -> PageId {
+impl Leader {
+    fn next_page(&mut self) -> SegmentId {
         self.placement_log.named += 1;
         // The epoch is never given out twice, so neither is a page.
-        PageId((self.epoch.0 << 24) + self.placement_log.named)
+        SegmentId((self.epoch.0 << 24) + self.placement_log.named)
     }
 
     /// Puts what is not recorded yet on a page, what can't wait first.
-    fn draft(&mut self, page: PageId, progress: bool) -> Draft {
-        let mut draft = Draft::new();
+    fn draft(&mut self, page: SegmentId, progress: bool) -> PendingSegment {
+        let mut draft = PendingSegment::new();
         let most = page_bytes(&self.limits);
         for urgent in [true, false] {
             for machine in self.machines.values_mut() {
                 draft_entries(&mut draft, machine, page, urgent, most);
-                let unnamed = machine.page == PageId::NONE && machine.writing == PageId::NONE;
+                let unnamed = machine.page == SegmentId::NONE && machine.writing == SegmentId::NONE;
                 if unnamed && !urgent {
                     draft.add_line_within(machine, most);
                 }
@@ -194,10 +199,10 @@
     }
 
     /// How many bytes what still holds on each page takes, counted as on a page of its own.
-    fn weigh_pages(&self) -> BTreeMap<PageId, usize> {
-        let mut weight: BTreeMap<PageId, usize> =
+    fn weigh_pages(&self) -> BTreeMap<SegmentId, usize> {
+        let mut weight: BTreeMap<SegmentId, usize> =
             self.placement_log.pages.iter().map(|p| (*p, 0)).collect();
-        let mut add = |page: PageId, bytes: usize| {
+        let mut add = |page: SegmentId, bytes: usize| {
             if let Some(sum) = weight.get_mut(&page) {
                 *sum += bytes;
             }
@@ -208,7 +213,7 @@
                 add(entry.page, entry_bytes(entry));
             }
             // Its line stands on every page that names one of its tasks.
-            let mut lines: Vec<PageId> = held.map(|e| e.page).chain([machine.page]).collect();
+            let mut lines: Vec<SegmentId> = held.map(|e| e.page).chain([machine.page]).collect();
             lines.sort_unstable();
             lines.dedup();
             for page in lines {
@@ -222,14 +227,14 @@
     }
 
     /// Finds pages that nothing holds on any more, and picks those to be written together.
-    pub(crate) fn tidy_up(&mut self) -> Vec<PageId> {
+    pub(crate) fn tidy_up(&mut self) -> Vec<SegmentId> {
         let weight = self.weigh_pages();
-        let busy = |p: &PageId| self.placement_log.dead.contains(p);
-        let dead: Vec<PageId> = (weight.iter())
+        let busy = |p: &SegmentId| self.placement_log.dead.contains(p);
+        let dead: Vec<SegmentId> = (weight.iter())
             .filter(|(p, w)| **w == 0 && !busy(p))
             .map(|(p, _)| *p)
             .collect();
-        let mut light: Vec<(usize, PageId)> = (weight.iter())
+        let mut light: Vec<(usize, SegmentId)> = (weight.iter())
             .filter(|(p, w)| **w > 0 && !busy(p))
             .map(|(p, w)| (*w, *p))
             .collect();
@@ -239,7 +244,7 @@
         }
         light.sort_unstable();
         let mut room = page_bytes(&self.limits).saturating_sub(EMPTY_BYTES);
-        let few: Vec<PageId> = (light.iter())
+        let few: Vec<SegmentId> = (light.iter())
             .take(self.limits.operations.saturating_sub(2))
             .take_while(|(w, _)| {
                 let fits = room >= *w;
@@ -255,8 +260,8 @@
     }
 
     /// Writes what still holds on some pages on a new one, whole: the old ones are deleted.
-    fn rewrite(&mut self, page: PageId, old: &[PageId]) -> Draft {
-        let mut draft = Draft::new();
+    fn rewrite(&mut self, page: SegmentId, old: &[SegmentId]) -> PendingSegment {
+        let mut draft = PendingSegment::new();
         for machine in self.machines.values_mut() {
             let mut taken = Vec::new();
             for entry in machine.entries.iter_mut().filter(|e| holds(e)) {
@@ -282,17 +287,17 @@
     }
 
     /// A page was not written and never will be: what is on it waits to be recorded again.
-    fn take_apart(&mut self, page: PageId) {
+    fn take_apart(&mut self, page: SegmentId) {
         let Some(open) = self.placement_log.open.remove(&page) else {
             return;
         };
         self.unrecorded = true;
         for machine in self.machines.values_mut() {
             if machine.writing == page {
-                machine.writing = PageId::NONE;
+                machine.writing = SegmentId::NONE;
             }
             for entry in machine.entries.iter_mut().filter(|e| e.writing == page) {
-                entry.writing = PageId::NONE;
+                entry.writing = SegmentId::NONE;
             }
         }
         for (id, _) in open.done {
@@ -304,7 +309,7 @@
         self.placement_log.dead.retain(|p| pages.contains(p));
     }
 
-    fn page_written(&mut self, page: PageId, open: OpenPage) -> Vec<MachineId> {
+    fn page_written(&mut self, page: SegmentId, open: UncommittedSegment) -> Vec<MachineId> {
         for old in &open.deletes {
             self.placement_log.pages.remove(old);
         }
@@ -312,18 +317,18 @@
             .dead
             .retain(|p| !open.deletes.contains(p));
         let mut started = Vec::new();
-        if open.record == PageRecord::default() {
+        if open.record == SegmentRecord::default() {
             return started;
         }
         self.placement_log.pages.insert(page);
         for machine in self.machines.values_mut() {
             if machine.writing == page {
-                (machine.page, machine.writing) = (page, PageId::NONE);
+                (machine.page, machine.writing) = (page, SegmentId::NONE);
             }
             let mut new = false;
             for entry in machine.entries.iter_mut().filter(|e| e.writing == page) {
                 new |= !entry.is_recorded();
-                (entry.page, entry.writing) = (page, PageId::NONE);
+                (entry.page, entry.writing) = (page, SegmentId::NONE);
             }
             if new {
                 started.push(machine.id.clone());
@@ -346,117 +351,125 @@
     }
 }
 
-impl Core {
+impl Node {
     /// Commits what has changed in the placement log.
     pub(crate) fn flush_placement_log(&mut self, now: Now) {
         self.repeat_pages(now.time);
         let rate = self.limits.placement_writes();
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let tidy = now.time >= lead.placement_log.next_tidy;
+        let tidy = now.time >= leader.placement_log.next_tidy;
         if tidy {
-            lead.placement_log.next_tidy = now.time + TIDY;
+            leader.placement_log.next_tidy = now.time + TIDY;
         }
         if tidy {
             self.tidy_placement_log(rate, now);
         }
         let mut progress = tidy;
-        while let Some(lead) = self.lead.as_mut() {
-            let nothing = !lead.unrecorded && !progress;
+        while let Some(leader) = self.leader.as_mut() {
+            let nothing = !leader.unrecorded && !progress;
             if nothing
-                || lead.placement_log.open.len() >= OPEN
-                || !lead.placement_log.take(1.0, rate, now.time)
+                || leader.placement_log.open.len() >= OPEN
+                || !leader.placement_log.take(1.0, rate, now.time)
             {
                 break;
             }
-            let page = lead.next_page();
-            let draft = lead.draft(page, progress);
+            let page = leader.next_page();
+            let draft = leader.draft(page, progress);
             progress = false;
             if draft.is_empty() {
-                lead.unrecorded = false;
-                lead.placement_log.budget.0 += 1.0;
+                leader.unrecorded = false;
+                leader.placement_log.budget.0 += 1.0;
                 break;
             }
-            let most = lead.limits.operations.saturating_sub(1).min(4);
-            let dead: Vec<PageId> = lead.placement_log.dead.iter().take(most).copied().collect();
-            let affordable = lead.placement_log.take(dead.len() as f64, rate, now.time);
+            let most = leader.limits.operations.saturating_sub(1).min(4);
+            let dead: Vec<SegmentId> = leader
+                .placement_log
+                .dead
+                .iter()
+                .take(most)
+                .copied()
+                .collect();
+            let affordable = leader.placement_log.take(dead.len() as f64, rate, now.time);
             let deletes = if affordable { dead } else { Vec::new() };
-            lead.placement_log.dead.retain(|p| !deletes.contains(p));
+            leader.placement_log.dead.retain(|p| !deletes.contains(p));
             self.open_page(page, draft, deletes);
         }
     }
 
     fn tidy_placement_log(&mut self, rate: f64, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let old = lead.tidy_up();
+        let old = leader.tidy_up();
         let cost = 1.0 + old.len() as f64;
-        if !old.is_empty() && lead.placement_log.take(cost, rate, now.time) {
-            let page = lead.next_page();
-            let draft = lead.rewrite(page, &old);
+        if !old.is_empty() && leader.placement_log.take(cost, rate, now.time) {
+            let page = leader.next_page();
+            let draft = leader.rewrite(page, &old);
             self.open_page(page, draft, old);
-        } else if lead.placement_log.dead.len() >= lead.limits.operations / 2
-            && lead.placement_log.open.is_empty()
+        } else if leader.placement_log.dead.len() >= leader.limits.operations / 2
+            && leader.placement_log.open.is_empty()
         {
-            let dead: Vec<PageId> = lead
+            let dead: Vec<SegmentId> = leader
                 .placement_log
                 .dead
                 .iter()
-                .take(lead.limits.operations)
+                .take(leader.limits.operations)
                 .copied()
                 .collect();
-            if lead.placement_log.take(dead.len() as f64, rate, now.time) {
-                lead.placement_log.dead.retain(|p| !dead.contains(p));
-                let page = lead.next_page();
-                self.open_page(page, Draft::new(), dead);
+            if leader.placement_log.take(dead.len() as f64, rate, now.time) {
+                leader.placement_log.dead.retain(|p| !dead.contains(p));
+                let page = leader.next_page();
+                self.open_page(page, PendingSegment::new(), dead);
             }
         }
     }
 
-    fn open_page(&mut self, page: PageId, draft: Draft, deletes: Vec<PageId>) {
-        if let Some(lead) = self.lead.as_mut() {
-            let open = OpenPage {
+    fn open_page(&mut self, page: SegmentId, draft: PendingSegment, deletes: Vec<SegmentId>) {
+        if let Some(leader) = self.leader.as_mut() {
+            let open = UncommittedSegment {
                 record: draft.record,
                 done: draft.done,
                 deletes,
                 again: None,
             };
-            lead.placement_log.open.insert(page, open);
+            leader.placement_log.open.insert(page, open);
             self.send_page(page);
         }
     }
 
-    fn send_page(&mut self, page: PageId) {
-        let Some(lead) = self.lead.as_mut() else {
+    fn send_page(&mut self, page: SegmentId) {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let leading = lead.leading();
-        let Some(open) = lead.placement_log.open.get_mut(&page) else {
+        let leadership_condition = leader.leadership_condition();
+        let Some(open) = leader.placement_log.open.get_mut(&page) else {
             return;
         };
         open.again = None;
-        let mut conditions = vec![leading];
+        let mut conditions = vec![leadership_condition];
         let mut changes: Vec<_> = (open.deletes.iter())
-            .map(|p| Change::Delete { key: page_key(*p) })
+            .map(|p| Change::Delete {
+                key: segment_key(*p),
+            })
             .collect();
-        if open.record != PageRecord::default() {
-            conditions.push(condition(page_key(page), Version(0)));
-            changes.push(put(page_key(page), &open.record));
+        if open.record != SegmentRecord::default() {
+            conditions.push(condition(segment_key(page), Version(0)));
+            changes.push(put(segment_key(page), &open.record));
         }
-        let call = StateCall::Commit(Transaction {
+        let call = StoreCall::Commit(Transaction {
             conditions,
             changes,
         });
-        self.lead_call(call, LeadStep::Page(page));
+        self.call_store_as_leader(call, LeaderCall::Page(page));
     }
 
     fn repeat_pages(&mut self, now: Time) {
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return;
         };
-        let again: Vec<PageId> = (lead.placement_log.open.iter())
+        let again: Vec<SegmentId> = (leader.placement_log.open.iter())
             .filter(|(_, open)| open.again.is_some_and(|at| now >= at))
             .map(|(page, _)| *page)
             .collect();
@@ -466,35 +479,35 @@
     }
 
     /// The answer to a page's commit.
-    pub(crate) fn page_answered(&mut self, page: PageId, answer: StateAnswer, now: Now) {
+    pub(crate) fn page_answered(&mut self, page: SegmentId, answer: StoreAnswer, now: Now) {
         let written = match &answer {
-            StateAnswer::Committed(_) => true,
+            StoreAnswer::Committed(_) => true,
             // The page exists, so an earlier try was carried out.
-            StateAnswer::Conflict(keys) => keys.iter().any(|k| *k == page_key(page)),
+            StoreAnswer::Conflict(keys) => keys.iter().any(|k| *k == segment_key(page)),
             _ => false,
         };
-        if !written && self.lost_by(&answer) {
+        if !written && self.step_down_if_superseded(&answer) {
             return;
         }
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if matches!(answer, StateAnswer::Rejected) {
+        if matches!(answer, StoreAnswer::Rejected) {
             // It would be rejected again as it is: what is on it goes on smaller ones.
-            return lead.take_apart(page);
+            return leader.take_apart(page);
         }
         if !written {
-            if let Some(open) = lead.placement_log.open.get_mut(&page) {
+            if let Some(open) = leader.placement_log.open.get_mut(&page) {
                 open.again = Some(now.time + AGAIN);
             }
             return;
         }
-        let Some(open) = lead.placement_log.open.remove(&page) else {
+        let Some(open) = leader.placement_log.open.remove(&page) else {
             return;
         };
-        let started = lead.page_written(page, open);
+        let started = leader.page_written(page, open);
         self.push_starts(&started, now);
-        self.lost_by(&answer);
+        self.step_down_if_superseded(&answer);
     }
 }
 
--- a/crates/core/src/placement_log/draft.rs
+++ b/crates/core/src/placement_log/draft.rs
@@ -2,8 +2,8 @@
 //! as its JSON will have them.
 
 use crate::job::Job;
-use crate::placement_tracking::{Entry, Machine};
-use crate::records::{MachineLine, PageRecord};
+use crate::placement_tracking::{Machine, PlacedTask};
+use crate::records::{SegmentMachine, SegmentRecord};
 use crate::store_limits::StoreLimits;
 use crate::task_set::TaskSet;
 use rudderreel_wire::ids::JobId;
@@ -26,8 +26,8 @@
 
 /// A page that is being put together.
 #[derive(Default)]
-pub(super) struct Draft {
-    pub(super) record: PageRecord,
+pub(super) struct PendingSegment {
+    pub(super) record: SegmentRecord,
     pub(super) done: Vec<(JobId, TaskSet)>,
     pub(super) bytes: usize,
 }
@@ -37,7 +37,7 @@
     ((limits.value_bytes as f64 * FILL) as usize).min(PAGE_BYTES)
 }
 
-impl Draft {
+impl PendingSegment {
     pub(super) fn new() -> Self {
         Self {
             bytes: EMPTY_BYTES,
@@ -45,10 +45,10 @@
         }
     }
 
-    pub(super) fn line(&mut self, machine: &Machine) -> &mut MachineLine {
+    pub(super) fn line(&mut self, machine: &Machine) -> &mut SegmentMachine {
         if !self.ends_with(machine) {
             self.bytes += line_bytes(machine);
-            self.record.machines.push(MachineLine {
+            self.record.machines.push(SegmentMachine {
                 id: machine.id.clone(),
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
@@ -66,7 +66,7 @@
         self.record.machines.last().map(|l| &l.id) == Some(&machine.id)
     }
 
-    pub(super) fn add(&mut self, machine: &Machine, entry: &Entry) {
+    pub(super) fn add(&mut self, machine: &Machine, entry: &PlacedTask) {
         let (job, index) = (&entry.task.job, entry.task.index);
         let tasks = &mut self.line(machine).tasks;
         match tasks.last_mut() {
@@ -89,7 +89,12 @@
     }
 
     /// Adds an entry, in a page of so many bytes; returns whether there was room.
-    pub(super) fn add_within(&mut self, machine: &Machine, entry: &Entry, most: usize) -> bool {
+    pub(super) fn add_within(
+        &mut self,
+        machine: &Machine,
+        entry: &PlacedTask,
+        most: usize,
+    ) -> bool {
         let line = if self.ends_with(machine) {
             0
         } else {
@@ -138,7 +143,7 @@
 }
 
 /// Bytes of an entry that shares nothing with others but its machine's line.
-pub(super) fn entry_bytes(entry: &Entry) -> usize {
+pub(super) fn entry_bytes(entry: &PlacedTask) -> usize {
     GROUP_BYTES + entry.task.job.as_str().len() + INDEX_BYTES
 }
 
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -1,45 +1,45 @@
 use super::*;
-use crate::testing::{job_of, lead, up, NOW};
+use crate::testing::{job_of, leader, up, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::ids::Attempt;
 
 /// A leader whose machines have entries of many jobs that wait to be recorded.
-fn leader_with_work(machines: u32, jobs: u32, tasks: u32) -> Lead {
-    let mut lead = lead();
+fn leader_with_work(machines: u32, jobs: u32, tasks: u32) -> Leader {
+    let mut leader = leader();
     let ids: Vec<MachineId> = (0..machines)
-        .map(|n| up(&mut lead, &format!("vm-{n:06}"), "qu-appelle"))
+        .map(|n| up(&mut leader, &format!("vm-{n:06}"), "qu-appelle"))
         .collect();
     for n in 0..jobs {
         let job = job_of(100_000 + n, "sweep", "red", "normal", tasks, 0.1);
         let spec = job.spec.clone();
-        lead.jobs.insert(spec.id.clone(), job);
+        leader.jobs.insert(spec.id.clone(), job);
         for index in 0..tasks {
             let at = &ids[((n + index) % machines) as usize];
             let task = spec.id.task(index);
             let attempt = Attempt((1_000_000 << 24) + u64::from(n));
-            let entry = Entry::planned(task, attempt, Some(spec.clone()), NOW.time);
-            if let Some(machine) = lead.machines.get_mut(at) {
+            let entry = PlacedTask::planned(task, attempt, Some(spec.clone()), NOW.time);
+            if let Some(machine) = leader.machines.get_mut(at) {
                 machine.entries.push(entry);
             }
         }
     }
-    lead
+    leader
 }
 
-fn json_bytes(record: &PageRecord) -> usize {
+fn json_bytes(record: &SegmentRecord) -> usize {
     serde_json::to_vec(record).expect("JSON").len()
 }
 
 /// Records everything; returns how many pages that took.
-fn record_all(lead: &mut Lead) -> usize {
+fn record_all(leader: &mut Leader) -> usize {
     let mut pages = 0;
     loop {
-        let page = lead.next_page();
-        let draft = lead.draft(page, true);
+        let page = leader.next_page();
+        let draft = leader.draft(page, true);
         if draft.is_empty() {
             return pages;
         }
-        let (bytes, most) = (json_bytes(&draft.record), lead.limits.value_bytes);
+        let (bytes, most) = (json_bytes(&draft.record), leader.limits.value_bytes);
         assert!(
             bytes <= draft.bytes,
             "{bytes} bytes, counted {}",
@@ -47,13 +47,13 @@
         );
         assert!(bytes <= most, "{bytes} bytes of {most}");
         pages += 1;
-        let open = OpenPage {
+        let open = UncommittedSegment {
             record: draft.record,
             deletes: Vec::new(),
             done: draft.done,
             again: None,
         };
-        lead.page_written(page, open);
+        leader.page_written(page, open);
     }
 }
 
@@ -65,99 +65,99 @@
     fn every_page_fits_into_a_value(
         machines in 1u32..30, jobs in 1u32..20, tasks in 1u32..60, kib in 1usize..5, done in 0u32..60,
     ) {
-        let mut lead = leader_with_work(machines, jobs, tasks);
-        lead.limits.value_bytes = kib * 1024;
-        for job in lead.jobs.values_mut() {
+        let mut leader = leader_with_work(machines, jobs, tasks);
+        leader.limits.value_bytes = kib * 1024;
+        for job in leader.jobs.values_mut() {
             // Every other task: as many ranges as there can be.
             (0..done.min(tasks)).step_by(2).for_each(|index| job.finish(index));
             job.progress_dirty = true;
         }
-        record_all(&mut lead);
-        let mut entries = lead.machines.values().flat_map(|m| &m.entries);
-        prop_assert!(entries.all(Entry::is_recorded));
+        record_all(&mut leader);
+        let mut entries = leader.machines.values().flat_map(|m| &m.entries);
+        prop_assert!(entries.all(PlacedTask::is_recorded));
     }
 }
 
 /// A page that is rejected as too large goes on smaller ones, and is never sent again.
 #[test]
 fn a_rejected_page_is_taken_apart() {
-    let mut lead = leader_with_work(10, 5, 40);
-    let page = lead.next_page();
-    let draft = lead.draft(page, true);
+    let mut leader = leader_with_work(10, 5, 40);
+    let page = leader.next_page();
+    let draft = leader.draft(page, true);
     let before = json_bytes(&draft.record);
-    let open = OpenPage {
+    let open = UncommittedSegment {
         record: draft.record,
         deletes: Vec::new(),
         done: draft.done,
         again: None,
     };
-    lead.placement_log.open.insert(page, open);
-    lead.limits.value_bytes = before / 3;
-    lead.take_apart(page);
-    assert!(lead.placement_log.open.is_empty());
-    assert!(record_all(&mut lead) >= 3);
+    leader.placement_log.open.insert(page, open);
+    leader.limits.value_bytes = before / 3;
+    leader.take_apart(page);
+    assert!(leader.placement_log.open.is_empty());
+    assert!(record_all(&mut leader) >= 3);
 }
 
 /// Progress that was recorded in a large page, before the limits were lowered, stays there, and is
 /// not written again in a form that no page can hold.
 #[test]
 fn progress_too_large_for_a_page_stays_where_it_is() {
-    let mut lead = leader_with_work(1, 1, 400);
-    for machine in lead.machines.values_mut() {
+    let mut leader = leader_with_work(1, 1, 400);
+    for machine in leader.machines.values_mut() {
         machine.entries.clear();
     }
-    for job in lead.jobs.values_mut() {
+    for job in leader.jobs.values_mut() {
         (0..400).step_by(2).for_each(|index| job.finish(index));
         job.progress_dirty = true;
     }
-    assert_eq!(record_all(&mut lead), 1);
-    lead.limits.value_bytes = 1_024;
-    for job in lead.jobs.values_mut() {
+    assert_eq!(record_all(&mut leader), 1);
+    leader.limits.value_bytes = 1_024;
+    for job in leader.jobs.values_mut() {
         job.finish(1);
         job.progress_dirty = true;
     }
-    assert_eq!(record_all(&mut lead), 0);
+    assert_eq!(record_all(&mut leader), 0);
     // As soon as it is small enough, it is recorded again.
-    for job in lead.jobs.values_mut() {
+    for job in leader.jobs.values_mut() {
         (0..390).for_each(|index| job.finish(index));
     }
-    assert_eq!(record_all(&mut lead), 1);
+    assert_eq!(record_all(&mut leader), 1);
 }
 
 /// Pages that are written together make one that fits, also if every task on them is on another machine:
 /// each machine's line was not counted, so the page was rejected, and the limits were halved for nothing.
 #[test]
 fn what_is_left_of_old_pages_fits_into_a_new_one() {
-    let mut lead = leader_with_work(120, 120, 1);
-    lead.limits.value_bytes = 4_096;
-    lead.limits.operations = 20;
-    record_all(&mut lead);
+    let mut leader = leader_with_work(120, 120, 1);
+    leader.limits.value_bytes = 4_096;
+    leader.limits.operations = 20;
+    record_all(&mut leader);
     // A task is left here and there, each on a page that its machine's line is not on.
-    let old: Vec<PageId> = (0..20).map(|_| lead.next_page()).collect();
-    for (n, machine) in lead.machines.values_mut().enumerate() {
+    let old: Vec<SegmentId> = (0..20).map(|_| leader.next_page()).collect();
+    for (n, machine) in leader.machines.values_mut().enumerate() {
         for entry in &mut machine.entries {
             entry.page = old[n % old.len()];
         }
     }
-    lead.placement_log.pages.extend(&old);
+    leader.placement_log.pages.extend(&old);
     let mut rewritten = 0;
     for _ in 0..20 {
-        let light = lead.tidy_up();
+        let light = leader.tidy_up();
         if light.is_empty() {
             break;
         }
         rewritten += light.len();
-        let page = lead.next_page();
-        let draft = lead.rewrite(page, &light);
+        let page = leader.next_page();
+        let draft = leader.rewrite(page, &light);
         let bytes = json_bytes(&draft.record);
-        assert!(bytes <= lead.limits.value_bytes, "{bytes} bytes");
-        let open = OpenPage {
+        assert!(bytes <= leader.limits.value_bytes, "{bytes} bytes");
+        let open = UncommittedSegment {
             record: draft.record,
             deletes: light,
             done: draft.done,
             again: None,
         };
-        lead.page_written(page, open);
+        leader.page_written(page, open);
     }
     assert!(rewritten >= 8, "{rewritten} pages were written together");
 }
--- a/crates/core/src/placement_tracking.rs
+++ b/crates/core/src/placement_tracking.rs
@@ -11,13 +11,13 @@
 //!    begin, and a worker is heard by answers to direct calls too, which renew nothing: a task
 //!    started in a session that has just begun lives on although no report was answered lately.)
 
-use crate::records::PageId;
+use crate::records::SegmentId;
 use crate::units::{Resources, Span, Time, Wall};
 use rudderreel_wire::ids::{
-    Attempt, Epoch, Image, JobId, MachineId, Seq, Session, TaskId, TypeName, Zone,
+    Attempt, Epoch, Image, Incarnation, JobId, MachineId, Seq, TaskId, TypeName, Zone,
 };
 use rudderreel_wire::job::JobSpec;
-use rudderreel_wire::worker::{Cause, Report, TaskReport, TaskState};
+use rudderreel_wire::worker::{Cause, StatusReport, TaskState, TaskStatus};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
@@ -36,7 +36,7 @@
 
 /// A task on a machine, as far as the leader knows.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct PlacedTask {
     /// The task.
     pub task: TaskId,
     /// Its attempt.
@@ -48,11 +48,11 @@
     /// How far it has come.
     pub phase: Phase,
     /// The committed page that names it.
-    pub page: PageId,
+    pub page: SegmentId,
     /// A page whose commit is open and that names it.
-    pub writing: PageId,
+    pub writing: SegmentId,
     /// The epoch and session that a start was last sent under.
-    pub sent: (Epoch, Session),
+    pub sent: (Epoch, Incarnation),
     /// Direct starts whose outcome is open.
     pub in_flight: u32,
     /// A direct start ended without an answer and may still be carried out.
@@ -80,7 +80,7 @@
     pub why: &'static str,
 }
 
-impl Entry {
+impl PlacedTask {
     /// A task about to be placed.
     pub fn planned(task: TaskId, attempt: Attempt, spec: Option<Arc<JobSpec>>, now: Time) -> Self {
         Self {
@@ -89,9 +89,9 @@
             need: spec.as_deref().map(Resources::of_task).unwrap_or_default(),
             spec,
             phase: Phase::Planned,
-            page: PageId::NONE,
-            writing: PageId::NONE,
-            sent: (Epoch(0), Session(0)),
+            page: SegmentId::NONE,
+            writing: SegmentId::NONE,
+            sent: (Epoch(0), Incarnation(0)),
             in_flight: 0,
             unsure: false,
             stop: None,
@@ -104,7 +104,7 @@
 
     /// Whether a committed page names it.
     pub fn is_recorded(&self) -> bool {
-        self.page != PageId::NONE
+        self.page != SegmentId::NONE
     }
 
     /// Whether it takes room: everything that has not surely ended.
@@ -152,17 +152,17 @@
     /// Where its worker takes commands, once it has reported.
     pub addr: Option<String>,
     /// Newest message taken in.
-    pub newest: (Session, Seq),
+    pub newest: (Incarnation, Seq),
     /// Highest epoch that its worker has acknowledged.
     pub acked: Epoch,
     /// What may be on it.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<PlacedTask>,
     /// The committed page that names it, and one whose commit is open.
-    pub page: PageId,
+    pub page: SegmentId,
     /// A page whose commit is open and that names it.
-    pub writing: PageId,
+    pub writing: SegmentId,
     /// The last full list of tasks that was taken in, and the message that it came with.
-    pub list: ((Session, Seq), Arc<[TaskReport]>),
+    pub list: ((Incarnation, Seq), Arc<[TaskStatus]>),
     /// When a node last answered a report of its worker.
     pub last_answer: Option<Time>,
     /// When its worker was last heard.
@@ -210,7 +210,7 @@
     /// A task is gone without a word.
     Gone(TaskId, Attempt),
     /// A task is there that is not in the placement log.
-    Foreign(TaskReport),
+    Foreign(TaskStatus),
 }
 
 impl Machine {
@@ -230,12 +230,12 @@
             spot,
             room,
             addr: None,
-            newest: (Session(0), Seq(0)),
+            newest: (Incarnation(0), Seq(0)),
             acked: Epoch(0),
             entries: Vec::new(),
-            page: PageId::NONE,
-            writing: PageId::NONE,
-            list: ((Session(0), Seq(0)), Arc::new([])),
+            page: SegmentId::NONE,
+            writing: SegmentId::NONE,
+            list: ((Incarnation(0), Seq(0)), Arc::new([])),
             last_answer: None,
             last_heard: None,
             notice: None,
@@ -257,8 +257,12 @@
     }
 
     /// Whether it may hold work that can't wait.
-    pub fn holds_firm(&self) -> bool {
-        let firm = |e: &Entry| e.spec.as_ref().is_some_and(|s| crate::job::is_firm(s));
+    pub fn runs_non_preemptible(&self) -> bool {
+        let firm = |e: &PlacedTask| {
+            e.spec
+                .as_ref()
+                .is_some_and(|s| crate::job::is_non_preemptible(s))
+        };
         self.entries.iter().any(|e| e.holds_room() && firm(e))
     }
 
@@ -276,7 +280,7 @@
     }
 
     /// The entry of a task's attempt.
-    pub fn entry_mut(&mut self, task: &TaskId, attempt: Attempt) -> Option<&mut Entry> {
+    pub fn entry_mut(&mut self, task: &TaskId, attempt: Attempt) -> Option<&mut PlacedTask> {
         self.entries
             .iter_mut()
             .find(|e| e.attempt == attempt && e.task == *task)
@@ -288,12 +292,12 @@
     }
 
     /// Takes in a report. Old ones change nothing.
-    pub fn absorb(&mut self, report: &Report, epoch: Epoch, now: Time) -> Vec<Change> {
-        if (report.session, report.seq) <= self.newest {
+    pub fn apply_report(&mut self, report: &StatusReport, epoch: Epoch, now: Time) -> Vec<Change> {
+        if (report.incarnation, report.seq) <= self.newest {
             log::debug!("an old report of {} changes nothing", self.id);
             return Vec::new();
         }
-        let renewed = report.session > self.newest.0 && self.newest.0 != Session(0);
+        let renewed = report.incarnation > self.newest.0 && self.newest.0 != Incarnation(0);
         if report.token > self.acked {
             self.reacted();
         } else if renewed && self.last_answer.is_some() {
@@ -301,7 +305,7 @@
             // has answered a call it gets nothing new.
             self.did_not_react(now);
         }
-        self.newest = (report.session, report.seq);
+        self.newest = (report.incarnation, report.seq);
         self.acked = report.token;
         self.addr = Some(report.addr.clone());
         self.last_heard = Some(now);
@@ -312,7 +316,7 @@
                 (report.tasks.iter()).find(|t| t.attempt == entry.attempt && t.task == entry.task);
             match told {
                 Some(told) => {
-                    entry.hear(told, now, &mut changes);
+                    entry.reconcile_report(told, now, &mut changes);
                     true
                 }
                 None => entry.omitted(report, epoch, now, &mut changes),
@@ -339,25 +343,34 @@
     }
 
     /// Whether nobody can have answered its worker for so long that everything on it is gone.
-    /// `fence`: since when no older leader can have answered; none while that is not known.
-    pub fn lease_surely_over(&self, now: Time, lease: Span, fence: Option<Time>) -> bool {
+    /// `old_leaders_fenced_at`: since when no older leader can have answered; none while that is not known.
+    pub fn lease_surely_over(
+        &self,
+        now: Time,
+        lease: Span,
+        old_leaders_fenced_at: Option<Time>,
+    ) -> bool {
         let margin = Span(500);
-        fence.is_some_and(|fence| {
-            let heard = self.last_heard.unwrap_or(fence);
-            let last = self.last_answer.unwrap_or(fence).max(heard).max(fence);
+        old_leaders_fenced_at.is_some_and(|old_leaders_fenced_at| {
+            let heard = self.last_heard.unwrap_or(old_leaders_fenced_at);
+            let last = self
+                .last_answer
+                .unwrap_or(old_leaders_fenced_at)
+                .max(heard)
+                .max(old_leaders_fenced_at);
             now > last + lease.with_drift() + margin
         })
     }
 
     /// Everything on it is surely gone. Returns what was there.
     pub fn clear(&mut self) -> Vec<(TaskId, Attempt)> {
-        let gone = self.entries.drain(..).filter(Entry::holds_room);
+        let gone = self.entries.drain(..).filter(PlacedTask::holds_room);
         gone.map(|e| (e.task, e.attempt)).collect()
     }
 }
 
-impl Entry {
-    fn hear(&mut self, told: &TaskReport, now: Time, changes: &mut Vec<Change>) {
+impl PlacedTask {
+    fn reconcile_report(&mut self, told: &TaskStatus, now: Time, changes: &mut Vec<Change>) {
         self.missing = None;
         if matches!(self.phase, Phase::Exited(_)) {
             return;
@@ -379,7 +392,7 @@
     /// The newest report omits it. Returns whether it may still be there, or come.
     fn omitted(
         &mut self,
-        report: &Report,
+        report: &StatusReport,
         epoch: Epoch,
         now: Time,
         changes: &mut Vec<Change>,
@@ -387,7 +400,7 @@
         if self.phase == Phase::Planned {
             return true;
         }
-        let later_session = report.session > self.sent.1;
+        let later_session = report.incarnation > self.sent.1;
         let later_epoch = report.token == epoch && report.token > self.sent.0;
         if later_session || later_epoch {
             if self.holds_room() {
--- a/crates/core/src/placement_tracking/tests.rs
+++ b/crates/core/src/placement_tracking/tests.rs
@@ -12,21 +12,21 @@
     "wk-000001/0".parse().expect("a task id")
 }
 
-fn sent(phase: Phase) -> Entry {
-    let mut entry = Entry::planned(task(), Attempt(7), None, NOW);
+fn sent(phase: Phase) -> PlacedTask {
+    let mut entry = PlacedTask::planned(task(), Attempt(7), None, NOW);
     entry.phase = phase;
-    entry.sent = (EPOCH, Session(1));
+    entry.sent = (EPOCH, Incarnation(1));
     entry
 }
 
-fn report(session: u64, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Report {
-    Report {
+fn report(incarnation: u64, seq: u64, token: u64, tasks: Vec<TaskStatus>) -> StatusReport {
+    StatusReport {
         machine: "vm-1".into(),
         addr: "10.0.0.1:1".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
-        session: Session(session),
+        incarnation: Incarnation(incarnation),
         seq: Seq(seq),
         token: Epoch(token),
         notice_s: None,
@@ -34,8 +34,8 @@
     }
 }
 
-fn told(state: TaskState, why: Option<Cause>) -> TaskReport {
-    TaskReport {
+fn told(state: TaskState, why: Option<Cause>) -> TaskStatus {
+    TaskStatus {
         task: task(),
         attempt: Attempt(7),
         state,
@@ -48,7 +48,7 @@
 fn a_report_that_omits_a_start_under_way_proves_nothing() {
     let mut m = machine();
     m.entries.push(sent(Phase::Sent));
-    assert_eq!(m.absorb(&report(1, 1, 5, vec![]), EPOCH, NOW), vec![]);
+    assert_eq!(m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW), vec![]);
     assert_eq!(m.entries.len(), 1);
 }
 
@@ -58,7 +58,7 @@
         let mut m = machine();
         m.entries.push(sent(Phase::Sent));
         let gone = vec![Change::Gone(task(), Attempt(7))];
-        assert_eq!(m.absorb(&proof, proof.token, NOW), gone);
+        assert_eq!(m.apply_report(&proof, proof.token, NOW), gone);
         assert!(m.entries.is_empty());
     }
 }
@@ -67,7 +67,10 @@
 fn a_token_that_is_not_this_epochs_proves_nothing() {
     let mut m = machine();
     m.entries.push(sent(Phase::Sent));
-    assert_eq!(m.absorb(&report(1, 1, 6, vec![]), Epoch(7), NOW), vec![]);
+    assert_eq!(
+        m.apply_report(&report(1, 1, 6, vec![]), Epoch(7), NOW),
+        vec![]
+    );
     assert_eq!(m.entries.len(), 1);
 }
 
@@ -75,13 +78,13 @@
 fn old_reports_change_nothing() {
     let mut m = machine();
     m.entries.push(sent(Phase::Sent));
-    m.absorb(
+    m.apply_report(
         &report(1, 9, 5, vec![told(TaskState::Running, None)]),
         EPOCH,
         NOW,
     );
     let late = report(1, 8, 5, vec![told(TaskState::Exited, Some(Cause::Done))]);
-    assert_eq!(m.absorb(&late, EPOCH, NOW), vec![]);
+    assert_eq!(m.apply_report(&late, EPOCH, NOW), vec![]);
     assert_eq!(m.entries[0].phase, Phase::On(TaskState::Running));
 }
 
@@ -92,11 +95,11 @@
     let mut m = machine();
     let mut newest = report(2, 9, 5, vec![]);
     newest.notice_s = Some(10.0);
-    m.absorb(&newest, EPOCH, NOW);
+    m.apply_report(&newest, EPOCH, NOW);
     m.did_not_react(NOW);
     let later = NOW + Span(30_000);
     for copy in [report(2, 8, 4, vec![]), report(1, 90, 6, vec![]), newest] {
-        assert_eq!(m.absorb(&copy, EPOCH, later), vec![]);
+        assert_eq!(m.apply_report(&copy, EPOCH, later), vec![]);
         assert_eq!(m.last_heard, Some(NOW));
         assert_eq!(m.notice, Some(NOW + Span(10_000)));
         assert_eq!((m.acked, m.unanswered), (EPOCH, 1));
@@ -108,10 +111,10 @@
 #[test]
 fn a_new_session_in_spite_of_answers_puts_a_machine_in_doubt() {
     let mut m = machine();
-    m.absorb(&report(1, 1, 5, vec![]), EPOCH, NOW);
+    m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW);
     m.last_answer = Some(NOW);
     assert_eq!(m.unanswered, 0);
-    m.absorb(&report(2, 1, 5, vec![]), EPOCH, NOW + Span(13_000));
+    m.apply_report(&report(2, 1, 5, vec![]), EPOCH, NOW + Span(13_000));
     assert_eq!(m.unanswered, 1);
     m.reacted();
     assert_eq!((m.unanswered, m.deaf_since), (0, None));
@@ -142,7 +145,9 @@
 fn a_lease_is_surely_over_only_after_the_fence_and_the_last_answer() {
     let lease = Span(12_000);
     let mut m = machine();
-    let over = |m: &Machine, at: u64, fence| m.lease_surely_over(Time(NOW.0 + at), lease, fence);
+    let over = |m: &Machine, at: u64, old_leaders_fenced_at| {
+        m.lease_surely_over(Time(NOW.0 + at), lease, old_leaders_fenced_at)
+    };
     assert!(!over(&m, 900_000, None), "an older leader may still answer");
     assert!(!over(&m, 12_400, Some(NOW)));
     assert!(over(&m, 12_600, Some(NOW)));
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -9,7 +9,7 @@
 //! | `book/<page>` | the leader, before a start is sent | tasks that may be on machines; tasks that are done |
 //! | `pub/catalog` | the leader | machine types as last fetched, until jobs depend on others |
 //! | `pub/machine-types` | the leader | the same from then on (see `version_gate`) |
-//! | `pub/seat` | the leader, on its lease | what `pub/leader` held, from then on |
+//! | `pub/leader_slot` | the leader, on its lease | what `pub/leader` held, from then on |
 //! | `pub/known/<node>` | that node, while links between nodes fail | which cancellations it knows |
 
 use crate::store_limits::StoreLimits;
@@ -50,15 +50,15 @@
 }
 
 /// A page's key.
-pub fn page_key(page: PageId) -> String {
+pub fn segment_key(page: SegmentId) -> String {
     format!("{PLACEMENTS}{:016x}", page.0)
 }
 
 /// A page of the placement log. A page is written once and deleted when nothing in it holds any more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PageId(pub u64);
+pub struct SegmentId(pub u64);
 
-impl PageId {
+impl SegmentId {
     /// Not on any page.
     pub const NONE: Self = Self(0);
 
@@ -334,7 +334,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownRecord {
     /// Every cancellation committed up to this revision.
-    pub known_to: Version,
+    #[serde(rename = "known_to")]
+    pub cancellation_watermark: Version,
     /// The node asks the others to write that they know everything up to here.
     #[serde(default)]
     pub asks: Version,
@@ -349,10 +350,10 @@
 
 /// A page of the leader's placement log: what was decided at one time. What holds is the sum of all pages.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct PageRecord {
+pub struct SegmentRecord {
     /// Machines, and what may be on them.
     #[serde(rename = "m", skip_serializing_if = "Vec::is_empty", default)]
-    pub machines: Vec<MachineLine>,
+    pub machines: Vec<SegmentMachine>,
     /// Which tasks of jobs are done: ranges with both ends included.
     #[serde(rename = "d", skip_serializing_if = "Vec::is_empty", default)]
     pub done: Vec<(JobId, Vec<(u32, u32)>)>,
@@ -363,7 +364,7 @@
 
 /// A machine on a page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineLine {
+pub struct SegmentMachine {
     /// Its name.
     #[serde(rename = "n")]
     pub id: MachineId,
--- a/crates/core/src/records/tests.rs
+++ b/crates/core/src/records/tests.rs
@@ -47,12 +47,12 @@
     round::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7}));
     round::<EpochRecord>(json!({"epoch":41}));
     round::<KnownRecord>(json!({"known_to":412,"asks":0}));
-    round::<PageRecord>(
+    round::<SegmentRecord>(
         json!({"m":[{"n":"vm-000231","t":"heron","z":"qu-appelle","s":true,
         "w":1790000000000u64,"p":[["wk-000412",687865857,[0,1,7]]]}],
         "d":[["wk-000398",[[0,3],[9,9]]]],"f":[["wk-000398",4]]}),
     );
-    round::<PageRecord>(json!({}));
+    round::<SegmentRecord>(json!({}));
 }
 
 /// The job record as production declares it.
@@ -161,10 +161,10 @@
 fn stored_keys_keep_their_text() {
     let id: JobId = "wk-000412".parse().expect("an id");
     assert_eq!(job_key(&id), "pub/job/wk-000412");
-    assert_eq!(page_key(PageId(0x2900_0001)), "book/0000000029000001");
+    assert_eq!(segment_key(SegmentId(0x2900_0001)), "book/0000000029000001");
     assert_eq!(
-        PageId::of_name("0000000029000001"),
-        Some(PageId(0x2900_0001))
+        SegmentId::of_name("0000000029000001"),
+        Some(SegmentId(0x2900_0001))
     );
     let keys = [SHARED, JOBS, LEADER, SEAT, ADMIN, EPOCH];
     let recorded = [
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/recovery.rs
@@ -1,28 +1,30 @@
 //! Reading the state back after a take-over, and the leader's commits.
 
-use crate::core::{Core, Purpose};
 use crate::election::epoch_change;
-use crate::io::{StateAnswer, StateCall, Value};
+use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine, Phase};
-use crate::records::{job_key, JobRecord, LeaderRecord, PageId, PageRecord, JOBS, PLACEMENTS};
+use crate::leader::Leader;
+use crate::node::{Node, PendingCall};
+use crate::placement_tracking::{Machine, Phase, PlacedTask};
+use crate::records::{
+    job_key, JobRecord, LeaderRecord, SegmentId, SegmentRecord, JOBS, PLACEMENTS,
+};
 use crate::state_calls::Urgency;
 use crate::store_limits::StoreLimits;
 use crate::units::{Now, Span};
-use rudderreel_wire::ids::{Epoch, JobId, Session, Version};
+use rudderreel_wire::ids::{Epoch, Incarnation, JobId, Version};
 use rudderreel_wire::state::{Change, Condition, Page, Transaction};
 use rudderreel_wire::worker::Cause;
 use std::collections::BTreeSet;
 
 /// What a call of the leader is for.
 #[derive(Clone, Debug)]
-pub enum LeadStep {
+pub enum LeaderCall {
     /// Read back a page of the keys with a prefix, beginning after one; the rest of the prefixes
     /// follow.
     ReadBack(&'static str, Option<String>),
     /// Record a page of the placement log.
-    Page(PageId),
+    Page(SegmentId),
     /// Record that jobs are done.
     Complete(Vec<JobId>),
     /// See what a job's key holds after a commit that failed.
@@ -48,66 +50,66 @@
 /// In the order in which they are read back: jobs come before what refers to them.
 const PREFIXES: [&str; 2] = [JOBS, PLACEMENTS];
 
-impl Core {
+impl Node {
     /// Begins to read the state back.
-    pub(crate) fn read_back(&mut self) {
+    pub(crate) fn start_recovery(&mut self) {
         self.list(PREFIXES[0], None);
     }
 
     fn list(&mut self, prefix: &'static str, after: Option<String>) {
-        let call = StateCall::List(prefix.into(), after.clone());
-        self.lead_call(call, LeadStep::ReadBack(prefix, after));
+        let call = StoreCall::List(prefix.into(), after.clone());
+        self.call_store_as_leader(call, LeaderCall::ReadBack(prefix, after));
     }
 
-    pub(crate) fn lead_call(&mut self, call: StateCall, step: LeadStep) {
-        let Some(lead) = &self.lead else {
+    pub(crate) fn call_store_as_leader(&mut self, call: StoreCall, step: LeaderCall) {
+        let Some(leader) = &self.leader else {
             return;
         };
-        let purpose = Purpose::Lead(lead.epoch_id(), step);
+        let purpose = PendingCall::Leader(leader.term_id(), step);
         self.calls.call(Urgency::Placements, call, purpose);
     }
 
     /// The answer to a leader's call.
-    pub(crate) fn lead_answer(&mut self, step: LeadStep, answer: StateAnswer, now: Now) {
+    pub(crate) fn leader_call_answered(&mut self, step: LeaderCall, answer: StoreAnswer, now: Now) {
         match step {
-            LeadStep::ReadBack(prefix, after) => self.page_back(prefix, after, answer, now),
-            LeadStep::Page(page) => self.page_answered(page, answer, now),
-            LeadStep::Complete(ids) => self.completed(ids, answer, now),
-            LeadStep::JobAgain(id) => self.job_again(id, answer),
-            LeadStep::Raise(epoch) => self.raised(epoch, answer, now),
-            LeadStep::RaiseAgain(epoch) => self.raise_seen(epoch, answer, now),
-            LeadStep::Catalog => {}
-            LeadStep::Gate => self.gate_answered(answer, now),
-            LeadStep::Cascade(jobs) => self.cascaded(jobs, answer, now),
+            LeaderCall::ReadBack(prefix, after) => self.recover_segment(prefix, after, answer, now),
+            LeaderCall::Page(page) => self.page_answered(page, answer, now),
+            LeaderCall::Complete(ids) => self.completed(ids, answer, now),
+            LeaderCall::JobAgain(id) => self.job_again(id, answer),
+            LeaderCall::Raise(epoch) => self.raised(epoch, answer, now),
+            LeaderCall::RaiseAgain(epoch) => self.raise_seen(epoch, answer, now),
+            LeaderCall::Catalog => {}
+            LeaderCall::Gate => self.gate_answered(answer, now),
+            LeaderCall::Cascade(jobs) => self.cascaded(jobs, answer, now),
         }
     }
 
     /// Asks again for a page that was not read: for the same one, and not at once, or an outage
     /// would be filled with such calls.
-    pub(crate) fn read_on(&mut self, now: Now) {
+    pub(crate) fn retry_recovery_read(&mut self, now: Now) {
         let due =
-            (self.lead.as_mut()).and_then(|l| l.read_again.take_if(|(at, ..)| now.time >= *at));
+            (self.leader.as_mut()).and_then(|l| l.read_again.take_if(|(at, ..)| now.time >= *at));
         if let Some((_, prefix, after)) = due {
             self.list(prefix, after);
         }
     }
 
-    fn page_back(
+    fn recover_segment(
         &mut self,
         prefix: &'static str,
         after: Option<String>,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
-        let StateAnswer::Page(page) = answer else {
-            if let Some(lead) = self.lead.as_mut() {
-                lead.read_again = Some((now.time + AGAIN, prefix, after));
+        let StoreAnswer::Page(page) = answer else {
+            if let Some(leader) = self.leader.as_mut() {
+                leader.read_again = Some((now.time + AGAIN, prefix, after));
             }
             return;
         };
         let last = page.items.last().map(|i| i.key.clone());
         let more = page.more;
-        self.take_back(prefix, page, now);
+        self.recover_items(prefix, page, now);
         if more && last.is_some() {
             return self.list(prefix, last);
         }
@@ -117,12 +119,12 @@
             .map_or(0, |i| i + 1);
         match PREFIXES.get(next) {
             Some(next) => self.list(next, None),
-            None => self.became_ready(now),
+            None => self.finish_recovery(now),
         }
     }
 
-    fn take_back(&mut self, prefix: &str, page: Page<Value>, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+    fn recover_items(&mut self, prefix: &str, page: Page<Value>, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         for item in page.items {
@@ -135,12 +137,12 @@
                     // Another node may have told of something newer.
                     self.job_cache.learn_job(id.clone(), item.version, record);
                     let known = self.job_cache.jobs.get(&id)?;
-                    lead.learn_job(&id, known.version, &known.record);
+                    leader.learn_job(&id, known.version, &known.record);
                     Some(())
                 }),
-                _ => PageId::of_name(name).and_then(|page| {
-                    let record: PageRecord = serde_json::from_value(item.value).ok()?;
-                    lead.page_back(page, record, now);
+                _ => SegmentId::of_name(name).and_then(|page| {
+                    let record: SegmentRecord = serde_json::from_value(item.value).ok()?;
+                    leader.recover_segment(page, record, now);
                     Some(())
                 }),
             };
@@ -150,34 +152,34 @@
         }
     }
 
-    fn became_ready(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+    fn finish_recovery(&mut self, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        lead.ready = true;
+        leader.ready = true;
         log::info!(
             "read back {} jobs and {} machines",
-            lead.jobs.len(),
-            lead.machines.len()
+            leader.jobs.len(),
+            leader.machines.len()
         );
-        let early: Vec<_> = std::mem::take(&mut lead.early).into_values().collect();
+        let early: Vec<_> = std::mem::take(&mut leader.early).into_values().collect();
         for report in early {
-            lead.hear(&report, now);
+            leader.reconcile_report(&report, now);
         }
-        lead.wake(now.time);
+        leader.request_cycle(now.time);
         self.refresh_all_dependencies(now);
     }
 
     /// Commits what has changed in the placement log.
     pub(crate) fn flush(&mut self, now: Now) {
-        let Some(lead) = &self.lead else {
+        let Some(leader) = &self.leader else {
             return;
         };
-        if !lead.ready || !lead.lease_valid(now.time) || lead.raised.1 {
+        if !leader.ready || !leader.lease_valid(now.time) || leader.raised.1 {
             return;
         }
         self.close_version_gate(now);
-        if (self.lead.as_ref()).is_none_or(|lead| lead.gate.is_changing_key()) {
+        if (self.leader.as_ref()).is_none_or(|leader| leader.gate.is_changing_key()) {
             return;
         }
         self.flush_placement_log(now);
@@ -186,121 +188,121 @@
     }
 
     /// Raises the epoch if only that shows that a start will not arrive any more.
-    pub(crate) fn rule_out_late_starts(&mut self, now: Now) {
-        let wanted = self.lead.as_ref().is_some_and(|lead| {
-            let may = lead.ready && lead.lease_valid(now.time) && !lead.raised.1;
-            may && !lead.gate.is_changing_key() && lead.wants_fence(now.time)
+    pub(crate) fn bump_epoch_if_needed(&mut self, now: Now) {
+        let wanted = self.leader.as_ref().is_some_and(|leader| {
+            let may = leader.ready && leader.lease_valid(now.time) && !leader.raised.1;
+            may && !leader.gate.is_changing_key() && leader.needs_epoch_bump(now.time)
         });
         if wanted {
-            self.raise_epoch(now);
+            self.bump_epoch(now);
         }
     }
 
     /// Commits that jobs are done.
     fn flush_completions(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let leading = lead.leading();
+        let leadership_condition = leader.leadership_condition();
         let due = |j: &&mut Job| !j.committing && j.is_active() && j.is_complete();
-        let mut done: Vec<&mut Job> = lead.jobs.values_mut().filter(due).collect();
+        let mut done: Vec<&mut Job> = leader.jobs.values_mut().filter(due).collect();
         let mut calls = Vec::new();
         // Many small jobs end at a time: one commit for several.
-        for jobs in done.chunks_mut(lead.limits.operations.min(COMPLETIONS)) {
-            let mut conditions = vec![leading.clone()];
+        for jobs in done.chunks_mut(leader.limits.operations.min(COMPLETIONS)) {
+            let mut conditions = vec![leadership_condition.clone()];
             let mut changes = Vec::new();
             for job in jobs.iter_mut() {
                 job.committing = true;
                 let key = job_key(&job.spec.id);
                 conditions.push(condition(key.clone(), job.version));
-                changes.push(put(key, &done_record(job, &lead.limits, now)));
+                changes.push(put(key, &done_record(job, &leader.limits, now)));
             }
             let ids = jobs.iter().map(|j| j.spec.id.clone()).collect();
-            let call = StateCall::Commit(Transaction {
+            let call = StoreCall::Commit(Transaction {
                 conditions,
                 changes,
             });
-            calls.push((call, LeadStep::Complete(ids)));
+            calls.push((call, LeaderCall::Complete(ids)));
         }
         for (call, step) in calls {
-            self.lead_call(call, step);
+            self.call_store_as_leader(call, step);
         }
     }
 
-    fn completed(&mut self, ids: Vec<JobId>, answer: StateAnswer, now: Now) {
-        if self.lost_by(&answer) {
+    fn completed(&mut self, ids: Vec<JobId>, answer: StoreAnswer, now: Now) {
+        if self.step_down_if_superseded(&answer) {
             return;
         }
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let unsure: Vec<JobId> = match answer {
-            StateAnswer::Committed(version) => {
+            StoreAnswer::Committed(version) => {
                 let ended: BTreeSet<&JobId> = ids.iter().collect();
-                for entry in lead.machines.values_mut().flat_map(|m| &mut m.entries) {
+                for entry in leader.machines.values_mut().flat_map(|m| &mut m.entries) {
                     let done = entry.phase == Phase::Exited(Cause::Done);
                     entry.settled |= done && ended.contains(&entry.task.job);
                 }
                 for id in ids {
-                    if let Some(job) = lead.jobs.get_mut(&id) {
+                    if let Some(job) = leader.jobs.get_mut(&id) {
                         log::info!("{id} is done");
                         job.committing = false;
-                        let record = done_record(job, &lead.limits, now);
-                        lead.finish(&id);
+                        let record = done_record(job, &leader.limits, now);
+                        leader.finish(&id);
                         self.job_cache.learn_job(id, version, record);
                     }
                 }
-                lead.wake(now.time);
+                leader.request_cycle(now.time);
                 Vec::new()
             }
-            StateAnswer::Refused | StateAnswer::Rejected => {
-                lead.commit_again(&ids);
+            StoreAnswer::Refused | StoreAnswer::Rejected => {
+                leader.commit_again(&ids);
                 Vec::new()
             }
-            StateAnswer::Conflict(keys) if !keys.is_empty() => {
+            StoreAnswer::Conflict(keys) if !keys.is_empty() => {
                 // The others were not at fault, and are tried again without these.
                 let (named, others): (Vec<_>, Vec<_>) =
                     ids.into_iter().partition(|id| keys.contains(&job_key(id)));
-                lead.commit_again(&others);
+                leader.commit_again(&others);
                 named
             }
             _ => ids,
         };
         for id in unsure {
-            let call = StateCall::Get(job_key(&id));
-            self.lead_call(call, LeadStep::JobAgain(id));
+            let call = StoreCall::Get(job_key(&id));
+            self.call_store_as_leader(call, LeaderCall::JobAgain(id));
         }
     }
 
-    fn job_again(&mut self, id: JobId, answer: StateAnswer) {
+    fn job_again(&mut self, id: JobId, answer: StoreAnswer) {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
                     self.job_cache.learn_job(id.clone(), item.version, record);
                     let known = self.job_cache.jobs.get(&id);
-                    if let (Some(lead), Some(known)) = (self.lead.as_mut(), known) {
-                        lead.learn_job(&id, known.version, &known.record);
+                    if let (Some(leader), Some(known)) = (self.leader.as_mut(), known) {
+                        leader.learn_job(&id, known.version, &known.record);
                     }
                 }
-                if let Some(job) = self.lead.as_mut().and_then(|l| l.jobs.get_mut(&id)) {
+                if let Some(job) = self.leader.as_mut().and_then(|l| l.jobs.get_mut(&id)) {
                     job.committing = false;
                 }
             }
             // The commit is tried again with the version that is known: if the first try was carried out
             // it fails by that, and the key is read again. (Asking on at once filled an outage with calls.)
             _ => {
-                if let Some(lead) = self.lead.as_mut() {
-                    lead.commit_again(&[id]);
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.commit_again(&[id]);
                 }
             }
         }
     }
 
     /// Whether an answer shows that this node no longer leads; if so, it stops.
-    pub(crate) fn lost_by(&mut self, answer: &StateAnswer) -> bool {
-        let lost = matches!(answer, StateAnswer::Conflict(keys) if self.names_leader_key(keys));
-        let changing = |lead: &Lead| lead.raised.1 || lead.gate.is_changing_key();
-        if lost && !self.lead.as_ref().is_some_and(changing) {
+    pub(crate) fn step_down_if_superseded(&mut self, answer: &StoreAnswer) -> bool {
+        let lost = matches!(answer, StoreAnswer::Conflict(keys) if self.names_leader_key(keys));
+        let changing = |leader: &Leader| leader.raised.1 || leader.gate.is_changing_key();
+        if lost && !self.leader.as_ref().is_some_and(changing) {
             self.step_down("its key has changed");
             return true;
         }
@@ -309,52 +311,56 @@
 
     /// Whether the key that this leader holds is among some.
     pub(crate) fn names_leader_key(&self, keys: &[String]) -> bool {
-        let held = self.lead.as_ref().map(|lead| lead.key.name());
+        let held = self.leader.as_ref().map(|leader| leader.key.name());
         keys.iter().any(|key| Some(key.as_str()) == held)
     }
 
     /// Raises the epoch: whatever was sent under the old one and has not arrived never will.
-    fn raise_epoch(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+    fn bump_epoch(&mut self, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        lead.raised = (now.time, true);
-        let epoch = Epoch(lead.epoch.0 + 1);
-        let record = LeaderRecord::new(self.settings.node.clone(), epoch, lead.lease_id);
-        let call = StateCall::Commit(epoch_change(
-            lead.key,
+        leader.raised = (now.time, true);
+        let epoch = Epoch(leader.epoch.0 + 1);
+        let record = LeaderRecord::new(self.settings.node.clone(), epoch, leader.lease_id);
+        let call = StoreCall::Commit(epoch_change(
+            leader.key,
             &record,
-            lead.version,
-            lead.epoch_version,
+            leader.version,
+            leader.epoch_version,
         ));
-        self.lead_call(call, LeadStep::Raise(epoch));
+        self.call_store_as_leader(call, LeaderCall::Raise(epoch));
     }
 
-    fn raised(&mut self, epoch: Epoch, answer: StateAnswer, now: Now) {
+    fn raised(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
         match answer {
-            StateAnswer::Committed(version) => self.new_epoch(epoch, version, now),
-            StateAnswer::Refused => self.raise_over(),
-            StateAnswer::Conflict(_) => self.step_down("its key has changed"),
-            StateAnswer::NoSuchLease => self.step_down("its lease has ended"),
+            StoreAnswer::Committed(version) => self.new_epoch(epoch, version, now),
+            StoreAnswer::Refused => self.raise_over(),
+            StoreAnswer::Conflict(_) => self.step_down("its key has changed"),
+            StoreAnswer::NoSuchLease => self.step_down("its lease has ended"),
             _ => self.read_raised(epoch),
         }
     }
 
     fn read_raised(&mut self, epoch: Epoch) {
-        let key = self.lead.as_ref().map(|lead| lead.key).unwrap_or_default();
-        let call = StateCall::Get(key.name().into());
-        self.lead_call(call, LeadStep::RaiseAgain(epoch));
+        let key = self
+            .leader
+            .as_ref()
+            .map(|leader| leader.key)
+            .unwrap_or_default();
+        let call = StoreCall::Get(key.name().into());
+        self.call_store_as_leader(call, LeaderCall::RaiseAgain(epoch));
     }
 
     fn raise_over(&mut self) {
-        if let Some(lead) = self.lead.as_mut() {
-            lead.raised.1 = false;
+        if let Some(leader) = self.leader.as_mut() {
+            leader.raised.1 = false;
         }
     }
 
-    fn raise_seen(&mut self, epoch: Epoch, answer: StateAnswer, now: Now) {
+    fn raise_seen(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 let record = LeaderRecord::deserialize_from(&item.value);
                 if record.is_some_and(|r| r.epoch == epoch && r.node == self.settings.node) {
                     self.new_epoch(epoch, item.version, now);
@@ -364,24 +370,24 @@
                     self.step_down("the outcome of raising its epoch is unknown");
                 }
             }
-            StateAnswer::Missing => self.step_down("its key is gone"),
+            StoreAnswer::Missing => self.step_down("its key is gone"),
             _ => self.read_raised(epoch),
         }
     }
 
     fn new_epoch(&mut self, epoch: Epoch, version: Version, now: Now) {
-        self.election.hear_epoch(epoch, now.time);
-        if let Some(lead) = self.lead.as_mut() {
+        self.election.observe_epoch(epoch, now.time);
+        if let Some(leader) = self.leader.as_mut() {
             log::info!("raised the epoch to {epoch}");
-            lead.epoch = epoch;
-            lead.version = version;
-            lead.epoch_version = version;
-            lead.raised = (now.time, false);
+            leader.epoch = epoch;
+            leader.version = version;
+            leader.epoch_version = version;
+            leader.raised = (now.time, false);
         }
     }
 }
 
-impl Lead {
+impl Leader {
     /// Jobs whose completion was not committed: it is tried again.
     fn commit_again(&mut self, ids: &[JobId]) {
         for id in ids {
@@ -393,17 +399,17 @@
 
     /// Tells this lead from others of the same node: answers to calls of an earlier one are
     /// dropped.
-    pub fn epoch_id(&self) -> u64 {
+    pub fn term_id(&self) -> u64 {
         self.lease_id.0
     }
 
     /// The condition that every write of a leader depends on.
-    pub fn leading(&self) -> Condition {
+    pub fn leadership_condition(&self) -> Condition {
         condition(self.key.name().into(), self.version)
     }
 
     /// Takes in a page after a take-over.
-    fn page_back(&mut self, page: PageId, record: PageRecord, now: Now) {
+    fn recover_segment(&mut self, page: SegmentId, record: SegmentRecord, now: Now) {
         self.placement_log.learn(page);
         for (id, ranges) in record.done {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -433,12 +439,12 @@
                     // Of a job that is not known here, since it is done or its record can't be read, the
                     // task may be there all the same. It is stopped as soon as it is heard of.
                     let spec = job.as_ref().map(|job| job.spec.clone());
-                    let mut entry = Entry::planned(task, attempt, spec, now.time);
+                    let mut entry = PlacedTask::planned(task, attempt, spec, now.time);
                     entry.page = page;
                     entry.phase = Phase::Sent;
                     // Sent in an unknown session: only a report that acknowledges this epoch shows
                     // that it is gone.
-                    entry.sent = (Epoch(self.epoch.0.saturating_sub(1)), Session(u64::MAX));
+                    entry.sent = (Epoch(self.epoch.0.saturating_sub(1)), Incarnation(u64::MAX));
                     if let Some(job) = job.as_mut() {
                         job.place(index, &line.id, attempt);
                     }
--- a/crates/core/src/recovery/tests.rs
+++ b/crates/core/src/recovery/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::commands::TeamUsage;
-use crate::testing::{job, lead, running, NOW};
+use crate::testing::{job, leader, running, NOW};
 use crate::units::Resources;
 use rudderreel_wire::ids::{Attempt, MachineId, Seq};
 use rudderreel_wire::job::JobState;
@@ -10,21 +10,24 @@
 /// does not name the job as suspected clears it.
 #[test]
 fn a_new_leader_knows_suspected_jobs() {
-    let mut lead = lead();
+    let mut leader = leader();
     let job = job(1, "sweep", "red", "normal");
     let id = job.spec.id.clone();
-    lead.jobs.insert(id.clone(), job);
-    let page = |tries: &[u32]| PageRecord {
+    leader.jobs.insert(id.clone(), job);
+    let page = |tries: &[u32]| SegmentRecord {
         done: vec![(id.clone(), Vec::new())],
         suspected: tries.iter().map(|n| (id.clone(), *n)).collect(),
-        ..PageRecord::default()
+        ..SegmentRecord::default()
     };
-    lead.page_back(PageId(1), page(&[4]), NOW);
-    assert_eq!(lead.jobs[&id].free_tasks(), 1);
-    lead.page_back(PageId(2), page(&[]), NOW);
-    assert_eq!(lead.jobs[&id].free_tasks(), 4);
-    lead.page_back(PageId(1), page(&[4]), NOW);
-    assert!(!lead.jobs[&id].is_suspected(), "an older page says nothing");
+    leader.recover_segment(SegmentId(1), page(&[4]), NOW);
+    assert_eq!(leader.jobs[&id].free_tasks(), 1);
+    leader.recover_segment(SegmentId(2), page(&[]), NOW);
+    assert_eq!(leader.jobs[&id].free_tasks(), 4);
+    leader.recover_segment(SegmentId(1), page(&[4]), NOW);
+    assert!(
+        !leader.jobs[&id].is_suspected(),
+        "an older page says nothing"
+    );
 }
 
 /// A new leader reads that a task may be on a machine whose job it does not have among those that go on:
@@ -32,13 +35,13 @@
 /// nobody accounted for it: the machine counted as empty, and the page that named it was deleted.
 #[test]
 fn a_task_of_a_job_that_is_not_known_is_accounted_for_until_it_is_surely_gone() {
-    let mut lead = lead();
+    let mut leader = leader();
     let known = job(1, "sweep", "red", "normal");
     let unknown: JobId = "wk-2".parse().expect("an id");
-    lead.jobs.insert(known.spec.id.clone(), known);
+    leader.jobs.insert(known.spec.id.clone(), known);
     let machine = MachineId::from("vm-1");
-    let record = PageRecord {
-        machines: vec![crate::records::MachineLine {
+    let record = SegmentRecord {
+        machines: vec![crate::records::SegmentMachine {
             id: machine.clone(),
             machine_type: "m4".into(),
             zone: "a".into(),
@@ -46,11 +49,11 @@
             since: NOW.wall,
             tasks: vec![(unknown.clone(), Attempt(3), vec![0, 1])],
         }],
-        ..PageRecord::default()
+        ..SegmentRecord::default()
     };
-    lead.epoch = Epoch(5);
-    lead.page_back(PageId(1), record, NOW);
-    let found = &lead.machines[&machine];
+    leader.epoch = Epoch(5);
+    leader.recover_segment(SegmentId(1), record, NOW);
+    let found = &leader.machines[&machine];
     let held = found.entries.iter().filter(|e| e.holds_room()).count();
     assert_eq!(held, 2);
     assert_eq!(
@@ -58,17 +61,17 @@
         Resources::default(),
         "what they take is not known"
     );
-    assert!(lead.tidy_up().is_empty() && !lead.placement_log.is_dead(PageId(1)));
+    assert!(leader.tidy_up().is_empty() && !leader.placement_log.is_dead(SegmentId(1)));
     // One of them is there, and is stopped; the other is not, and surely gone.
     let report = running(&machine, Epoch(5), Seq(1), &unknown.task(1), Attempt(3));
-    lead.hear(&report, NOW);
+    leader.reconcile_report(&report, NOW);
     let stop = Command::Stop {
         task: unknown.task(1),
         attempt: Attempt(3),
         grace_s: 0.0,
     };
-    assert_eq!(lead.commands(&machine, NOW.time, false), vec![stop]);
-    let left: Vec<u32> = (lead.machines[&machine].entries.iter())
+    assert_eq!(leader.commands(&machine, NOW.time, false), vec![stop]);
+    let left: Vec<u32> = (leader.machines[&machine].entries.iter())
         .map(|e| e.task.index)
         .collect();
     assert_eq!(left, [1]);
@@ -78,7 +81,7 @@
 /// of it counted them for their team's limit; one that took over did not know whose they were.
 #[test]
 fn what_is_left_of_a_job_that_is_done_counts_after_a_take_over() {
-    let mut before = lead();
+    let mut before = leader();
     let machine = crate::testing::up(&mut before, "vm-1", "a");
     let gang = job(1, "gang", "red", "normal");
     let id = gang.spec.id.clone();
@@ -87,10 +90,10 @@
     }
     let done = done_record(&before.jobs[&id], &before.limits, NOW);
     assert_eq!(done.state, JobState::Done);
-    let mut after = lead();
+    let mut after = leader();
     after.ready = false;
     after.learn_job(&id, Version(2), &done);
-    let line = crate::records::MachineLine {
+    let line = crate::records::SegmentMachine {
         id: machine.clone(),
         machine_type: "m4".into(),
         zone: "a".into(),
@@ -98,11 +101,11 @@
         since: NOW.wall,
         tasks: vec![(id.clone(), Attempt(1), vec![0, 1])],
     };
-    let record = PageRecord {
+    let record = SegmentRecord {
         machines: vec![line],
-        ..PageRecord::default()
+        ..SegmentRecord::default()
     };
-    after.page_back(PageId(1), record, NOW);
+    after.recover_segment(SegmentId(1), record, NOW);
     after.ready = true;
     let team = after.tree.find(&gang.spec.team).expect("a team");
     assert_eq!(TeamUsage::default().of(&after)[team], gang.need.times(2));
@@ -117,5 +120,5 @@
 #[test]
 fn a_job_that_is_done_is_stored_without_its_submission() {
     let array = job(1, "sweep", "red", "normal");
-    assert_eq!(done_record(&array, &lead().limits, NOW).spec, None);
+    assert_eq!(done_record(&array, &leader().limits, NOW).spec, None);
 }
