--- a/crates/core/src/report_forwarding.rs
+++ b/crates/core/src/report_forwarding.rs
@@ -8,16 +8,17 @@
 //!
 //! If the leader says nothing, workers get 503 at once and try another node.
 
-use crate::core::{Core, PeerView};
 use crate::io::{json, CallId, Output, ReqId};
 use crate::job_cache::JobCache;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::{Node, PeerStatus};
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::ids::{Epoch, MachineId, NodeName, Seq, Session};
+use rudderreel_wire::ids::{Epoch, Incarnation, MachineId, NodeName, Seq};
 use rudderreel_wire::peer::{
-    PassedAnswer, PassedReport, PassedTasks, Reports, ReportsReply, MAX_MESSAGE_BYTES,
+    ForwardedAnswer, ForwardedReport, ForwardedReports, ForwardedReportsReply, ForwardedTasks,
+    MAX_MESSAGE_BYTES,
 };
-use rudderreel_wire::worker::{Report, ReportElsewhere, ReportReply, TaskReport};
+use rudderreel_wire::worker::{ReportRedirect, StatusReport, StatusReportReply, TaskStatus};
 use std::collections::BTreeMap;
 
 /// How long reports are collected before they are passed on, on a node that has enough of a processor.
@@ -57,7 +58,7 @@
 /// A report that waits to be passed on, or for the leader's answer.
 struct Held {
     req: ReqId,
-    report: Report,
+    report: StatusReport,
     whole: bool,
     /// When it came.
     since: Time,
@@ -71,7 +72,7 @@
     open: BTreeMap<CallId, Vec<Held>>,
     next: u64,
     /// By machine: the last list that the leader took in whole.
-    taken: BTreeMap<MachineId, (Session, Seq, Vec<TaskReport>)>,
+    taken: BTreeMap<MachineId, (Incarnation, Seq, Vec<TaskStatus>)>,
     /// Whose memory that is.
     leader: Option<(NodeName, Epoch)>,
     /// When each worker last reported here, and when those that have left were last looked for.
@@ -84,10 +85,10 @@
 }
 
 /// Bytes of a report in a message, roughly.
-fn bytes_of(report: &PassedReport) -> usize {
+fn bytes_of(report: &ForwardedReport) -> usize {
     let list = match &report.tasks {
-        PassedTasks::AsIn(_) => 0,
-        PassedTasks::Whole(text) => text.len(),
+        ForwardedTasks::SameAs(_) => 0,
+        ForwardedTasks::Whole(text) => text.len(),
     };
     REPORT_BYTES + report.machine.len() + list
 }
@@ -108,14 +109,14 @@
     /// Whether a worker may be sent to a peer: if none reaches it, only one now and then, to see
     /// whether it can be reached again. A leader that was cut off from workers looked idle to the
     /// others, and they sent it all of theirs, again and again, until their leases ran out.
-    fn may_send(&self, name: &NodeName, peer: &PeerView, report: Span, now: Time) -> bool {
+    fn may_send(&self, name: &NodeName, peer: &PeerStatus, report: Span, now: Time) -> bool {
         let pause = PAUSES * report.0 / u64::from(peer.workers.max(1));
         let reached = peer.workers > 0 && peer.worker_silence < UNREACHED.max(Span(pause));
         reached || self.trials.get(name).is_none_or(|t| now - *t > TRIAL)
     }
 
     /// The reports that wait longest, as many as a message holds; one at least if any wait.
-    fn next_batch(&self) -> Vec<PassedReport> {
+    fn next_batch(&self) -> Vec<ForwardedReport> {
         let mut bytes = 0;
         let mut batch = Vec::new();
         for held in self.waiting.iter().take(BATCH_REPORTS) {
@@ -129,18 +130,20 @@
         batch
     }
 
-    fn shortened(&self, held: &Held) -> PassedReport {
+    fn shortened(&self, held: &Held) -> ForwardedReport {
         let report = &held.report;
         let as_in = (self.taken.get(&report.machine))
-            .filter(|(session, _, tasks)| *session == report.session && *tasks == report.tasks)
+            .filter(|(incarnation, _, tasks)| {
+                *incarnation == report.incarnation && *tasks == report.tasks
+            })
             .map(|(_, seq, _)| seq.0);
         let tasks = match as_in {
-            Some(seq) if !held.whole => PassedTasks::AsIn(seq),
-            _ => PassedTasks::Whole(json(report)),
+            Some(seq) if !held.whole => ForwardedTasks::SameAs(seq),
+            _ => ForwardedTasks::Whole(json(report)),
         };
-        PassedReport {
+        ForwardedReport {
             machine: report.machine.to_string(),
-            session: report.session.0,
+            incarnation: report.incarnation.0,
             seq: report.seq.0,
             token: report.token.0,
             notice_s: report.notice_s,
@@ -149,9 +152,14 @@
     }
 }
 
-impl Core {
+impl Node {
     /// A worker's report at a node that does not lead. Returns whether it was dealt with.
-    pub(crate) fn pass_on(&mut self, req: ReqId, report: Report, now: Now) -> Option<Report> {
+    pub(crate) fn pass_on(
+        &mut self,
+        req: ReqId,
+        report: StatusReport,
+        now: Now,
+    ) -> Option<StatusReport> {
         let Some(leader) = self.near_leader(now.time) else {
             return Some(report);
         };
@@ -197,7 +205,7 @@
     /// The leader, if it was heard lately. A node that the state service refuses may not have seen its
     /// key change, but hears who leads a later epoch.
     pub(crate) fn near_leader(&self, now: Time) -> Option<NodeName> {
-        let leads = |p: &PeerView| p.leads && now < p.heard + Span(1_500);
+        let leads = |p: &PeerStatus| p.leads && now < p.heard + Span(1_500);
         let recorded = self.job_cache.leader().map(|(_, r)| &r.node);
         let named = recorded.filter(|node| self.peers.get(*node).is_some_and(leads));
         let heard = (self.peers.iter())
@@ -231,17 +239,17 @@
         let report = self.report_interval();
         let mine = self.load(now) + u32::from(!known);
         let weight = |leads: bool, name: &NodeName| {
-            let lead = if leads { LEADER_WEIGHT } else { 1 };
+            let leader = if leads { LEADER_WEIGHT } else { 1 };
             let last = if self.next_is_silent(name, now) {
                 LAST_WEIGHT
             } else {
                 1
             };
-            lead * last
+            leader * last
         };
-        let mine = mine * weight(self.lead.is_some(), &self.settings.node);
+        let mine = mine * weight(self.leader.is_some(), &self.settings.node);
         let (load, peer) = (self.peers.iter())
-            .filter(|(_, p)| now < p.heard + Span(1_500) && p.passes)
+            .filter(|(_, p)| now < p.heard + Span(1_500) && p.forwards_reports)
             .filter(|(name, p)| self.forwarding.may_send(name, p, report, now))
             .map(|(name, p)| {
                 let sent = self.forwarding.sent.get(name).copied().unwrap_or(0);
@@ -262,7 +270,7 @@
 
     /// At the leader: a node that should take this worker's reports.
     pub(crate) fn spread_report(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
-        let machines = (self.lead.as_ref()).map_or(0, |l| l.machines.len() as u32);
+        let machines = (self.leader.as_ref()).map_or(0, |l| l.machines.len() as u32);
         let peer = if self.is_spread(machines) {
             self.lighter(machine, now)
         } else {
@@ -276,7 +284,7 @@
 
     /// Sends a worker to another node.
     pub(crate) fn report_to(&mut self, req: ReqId, report_to: Option<NodeName>) {
-        self.answer(req, 421, json(&ReportElsewhere { report_to }));
+        self.answer(req, 421, json(&ReportRedirect { report_to }));
     }
 
     /// Passes on what has been collected.
@@ -296,8 +304,11 @@
         self.forwarding.next += 1;
         let call = CallId(self.forwarding.next);
         self.forwarding.open.insert(call, held);
-        self.out
-            .push(Output::PassReports(leader, call, Reports { reports }));
+        self.out.push(Output::ForwardReports(
+            leader,
+            call,
+            ForwardedReports { reports },
+        ));
     }
 
     fn not_passed(&mut self, held: Vec<Held>) {
@@ -308,22 +319,22 @@
     }
 
     /// The leader's answer to reports that were passed on.
-    pub(crate) fn passed(&mut self, call: CallId, reply: Option<ReportsReply>, now: Now) {
+    pub(crate) fn passed(&mut self, call: CallId, reply: Option<ForwardedReportsReply>, now: Now) {
         let Some(held) = self.forwarding.open.remove(&call) else {
             return;
         };
         let (token, answers) = match reply {
-            Some(ReportsReply {
+            Some(ForwardedReportsReply {
                 token: Some(token),
                 answers,
             }) if answers.len() == held.len() => (token, answers),
             _ => return self.not_passed(held),
         };
-        self.election.hear_epoch(token, now.time);
+        self.election.observe_epoch(token, now.time);
         for (mut held, answer) in held.into_iter().zip(answers) {
             match answer {
-                PassedAnswer::Answered(commands) => self.pass_back(held, token, commands),
-                PassedAnswer::Whole if !held.whole => {
+                ForwardedAnswer::Answered(commands) => self.pass_back(held, token, commands),
+                ForwardedAnswer::Whole if !held.whole => {
                     held.whole = true;
                     self.forwarding.taken.remove(&held.report.machine);
                     self.forwarding.since.get_or_insert(now.time);
@@ -337,102 +348,104 @@
     fn pass_back(&mut self, held: Held, token: Epoch, commands: Option<String>) {
         let body = match commands {
             Some(body) => body,
-            None => json(&ReportReply {
+            None => json(&StatusReportReply {
                 token,
                 commands: Vec::new(),
             }),
         };
         let report = held.report;
         let same =
-            (self.forwarding.taken.get(&report.machine)).is_some_and(|(session, _, tasks)| {
-                *session == report.session && *tasks == report.tasks
+            (self.forwarding.taken.get(&report.machine)).is_some_and(|(incarnation, _, tasks)| {
+                *incarnation == report.incarnation && *tasks == report.tasks
             });
         if !same || held.whole {
-            let list = (report.session, report.seq, report.tasks);
+            let list = (report.incarnation, report.seq, report.tasks);
             self.forwarding.taken.insert(report.machine, list);
         }
         self.answer(held.req, 200, body);
     }
 
     /// At the leader: reports that a peer passes on.
-    pub(crate) fn reports(&mut self, req: ReqId, passed: Reports, now: Now) {
-        let state_ok = self.election.state_ok(now.time);
+    pub(crate) fn reports(&mut self, req: ReqId, passed: ForwardedReports, now: Now) {
+        let store_reachable = self.election.store_reachable(now.time);
         let majority = self.election.majority();
-        let none = ReportsReply {
+        let none = ForwardedReportsReply {
             token: None,
             answers: Vec::new(),
         };
-        let Some(lead) = self.lead.as_mut() else {
-            return self.out.push(Output::AnswerReports(req, none));
+        let Some(leader) = self.leader.as_mut() else {
+            return self.out.push(Output::AnswerForwardedReports(req, none));
         };
-        if !lead.may_answer(now.time, state_ok, majority) {
-            return self.out.push(Output::AnswerReports(req, none));
+        if !leader.may_answer(now.time, store_reachable, majority) {
+            return self.out.push(Output::AnswerForwardedReports(req, none));
         }
         let answers = (passed.reports.into_iter())
-            .map(|report| lead.take_passed(report, &self.job_cache, now))
+            .map(|report| leader.take_passed(report, &self.job_cache, now))
             .collect();
-        let reply = ReportsReply {
-            token: Some(lead.epoch),
+        let reply = ForwardedReportsReply {
+            token: Some(leader.epoch),
             answers,
         };
-        self.out.push(Output::AnswerReports(req, reply));
+        self.out.push(Output::AnswerForwardedReports(req, reply));
     }
 }
 
-impl Lead {
+impl Leader {
     fn take_passed(
         &mut self,
-        passed: PassedReport,
+        passed: ForwardedReport,
         job_cache: &JobCache,
         now: Now,
-    ) -> PassedAnswer {
+    ) -> ForwardedAnswer {
         let id = MachineId::from(passed.machine.as_str());
-        let whole = matches!(passed.tasks, PassedTasks::Whole(_));
+        let whole = matches!(passed.tasks, ForwardedTasks::Whole(_));
         let report = match passed.tasks {
-            PassedTasks::Whole(text) => match serde_json::from_str::<Report>(&text) {
+            ForwardedTasks::Whole(text) => match serde_json::from_str::<StatusReport>(&text) {
                 Ok(report) if report.machine == id => report,
-                _ => return PassedAnswer::Refused,
+                _ => return ForwardedAnswer::Refused,
             },
-            PassedTasks::AsIn(seq) => match self.as_in(&id, Session(passed.session), Seq(seq)) {
-                Some(mut report) => {
-                    report.seq = Seq(passed.seq);
-                    report.token = Epoch(passed.token);
-                    report.notice_s = passed.notice_s;
-                    report
+            ForwardedTasks::SameAs(seq) => {
+                match self.as_in(&id, Incarnation(passed.incarnation), Seq(seq)) {
+                    Some(mut report) => {
+                        report.seq = Seq(passed.seq);
+                        report.token = Epoch(passed.token);
+                        report.notice_s = passed.notice_s;
+                        report
+                    }
+                    None => return ForwardedAnswer::Whole,
                 }
-                None => return PassedAnswer::Whole,
-            },
+            }
         };
         let answer = self.answer_report(&report, job_cache, now);
         if let Some(machine) = self.machines.get_mut(&id).filter(|_| whole) {
             // What the peer may refer to from now on.
-            if machine.newest == (report.session, report.seq) {
+            if machine.newest == (report.incarnation, report.seq) {
                 machine.list.0 = machine.newest;
             }
         }
         match answer {
-            Some(commands) if commands.is_empty() => PassedAnswer::Answered(None),
+            Some(commands) if commands.is_empty() => ForwardedAnswer::Answered(None),
             Some(commands) => {
                 let token = self.epoch;
-                PassedAnswer::Answered(Some(json(&ReportReply { token, commands })))
+                ForwardedAnswer::Answered(Some(json(&StatusReportReply { token, commands })))
             }
-            None => PassedAnswer::Refused,
+            None => ForwardedAnswer::Refused,
         }
     }
 
     /// A report that lists what an earlier one did, which this leader took in last.
-    fn as_in(&self, id: &MachineId, session: Session, seq: Seq) -> Option<Report> {
+    fn as_in(&self, id: &MachineId, incarnation: Incarnation, seq: Seq) -> Option<StatusReport> {
         let machine = self.machines.get(id)?;
-        if machine.list.0 != (session, seq) || !self.ready {
+        if machine.list.0 != (incarnation, seq) || !self.ready {
             return None;
         }
-        Some(Report {
+        Some(StatusReport {
             machine: id.clone(),
             addr: machine.addr.clone()?,
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            session,
+            incarnation,
             seq,
             token: self.epoch,
             notice_s: None,
--- a/crates/core/src/report_forwarding/tests.rs
+++ b/crates/core/src/report_forwarding/tests.rs
@@ -6,10 +6,10 @@
 fn to_a_node_that_no_worker_reaches_one_is_sent_on_trial() {
     let (mut forwarding, now, report) = (ReportForwarding::default(), Time(1_000_000), Span(6_000));
     let name = NodeName::from("n1");
-    let peer = |workers: u32, silence: u64| PeerView {
+    let peer = |workers: u32, silence: u64| PeerStatus {
         workers,
         worker_silence: Span(silence),
-        ..PeerView::default()
+        ..PeerStatus::default()
     };
     let busy = peer(100, 200);
     let cut = [peer(100, 1_600), peer(0, 200), peer(0, u64::MAX)];
@@ -27,13 +27,13 @@
     assert!(forwarding.may_send(&name, &peer(4, 7_000), report, soon));
 }
 
-fn report(n: usize, tasks: usize) -> Report {
+fn report(n: usize, tasks: usize) -> StatusReport {
     let machine = MachineId::from(format!("vm-{n:06}").as_str());
     let job: rudderreel_wire::ids::JobId = format!("wk-{n:06}").parse().expect("an id");
     let task = rudderreel_wire::ids::Attempt(1);
     let mut report = crate::testing::running(&machine, Epoch(1), Seq(1), &job.task(0), task);
     report.tasks = (0..tasks as u32)
-        .map(|index| TaskReport {
+        .map(|index| TaskStatus {
             task: job.task(index),
             ..report.tasks[0].clone()
         })
@@ -42,16 +42,16 @@
 }
 
 /// A follower that hears a leader of a large fleet.
-fn follower() -> Core {
-    let mut core = crate::testing::core();
-    core.leader_machines = 6_000;
-    let leader = PeerView {
+fn follower() -> Node {
+    let mut node = crate::testing::node();
+    node.leader_machines = 6_000;
+    let leader = PeerStatus {
         heard: NOW.time + LONGEST_WAIT,
         leads: true,
-        ..PeerView::default()
+        ..PeerStatus::default()
     };
-    core.peers.insert("n1".into(), leader);
-    core
+    node.peers.insert("n1".into(), leader);
+    node
 }
 
 /// When four of five nodes are gone, a fleet of 4,000 or 6,000 comes to one node at once. It took a
@@ -60,25 +60,25 @@
 #[test]
 fn every_report_of_a_fleet_that_comes_at_once_is_passed_on() {
     for machines in [4_000, 6_000] {
-        let mut core = follower();
+        let mut node = follower();
         for n in 0..machines {
-            core.pass_on(ReqId(n as u64), report(n, 4), NOW);
+            node.pass_on(ReqId(n as u64), report(n, 4), NOW);
         }
-        assert_eq!(core.forwarding.waiting.len(), machines);
+        assert_eq!(node.forwarding.waiting.len(), machines);
         let late = Now {
             time: NOW.time + LONGEST_WAIT + Span(1),
             ..NOW
         };
-        core.pass_on(ReqId(machines as u64), report(machines, 4), late);
-        let refused = core.out.drain(..).count();
+        node.pass_on(ReqId(machines as u64), report(machines, 4), late);
+        let refused = node.out.drain(..).count();
         assert_eq!(refused, 1, "what would be answered too late is refused");
         let (mut passed, mut now) = (0, NOW);
-        while !core.forwarding.waiting.is_empty() {
-            core.forwarding.open.clear();
+        while !node.forwarding.waiting.is_empty() {
+            node.forwarding.open.clear();
             now.time = now.time + GATHER;
-            core.forwarding_tick(now);
-            for output in core.out.drain(..) {
-                let Output::PassReports(_, _, reports) = output else {
+            node.forwarding_tick(now);
+            for output in node.out.drain(..) {
+                let Output::ForwardReports(_, _, reports) = output else {
                     panic!("{output:?}");
                 };
                 passed += reports.reports.len();
@@ -92,18 +92,18 @@
 /// The number of tasks bounded a batch, and not what their names take.
 #[test]
 fn a_batch_of_long_reports_fits_into_a_message() {
-    let mut core = follower();
+    let mut node = follower();
     for n in 0..600 {
         let mut long = report(n, 10);
         long.addr = "x".repeat(50_000);
-        core.pass_on(ReqId(n as u64), long, NOW);
+        node.pass_on(ReqId(n as u64), long, NOW);
     }
     let mut batches = 0;
-    while !core.forwarding.waiting.is_empty() {
-        let batch = core.forwarding.next_batch();
-        let (count, reports) = (batch.len(), Reports { reports: batch });
+    while !node.forwarding.waiting.is_empty() {
+        let batch = node.forwarding.next_batch();
+        let (count, reports) = (batch.len(), ForwardedReports { reports: batch });
         assert!(bitcode::encode(&reports).len() < MAX_MESSAGE_BYTES);
-        core.forwarding.waiting.drain(..count);
+        node.forwarding.waiting.drain(..count);
         batches += 1;
     }
     assert!(batches > 50, "{batches}");
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -1,14 +1,14 @@
 //! What a leader concludes from workers' reports, and from what is gone.
 
-use crate::job::is_firm;
+use crate::job::is_non_preemptible;
 use crate::job_cache::JobCache;
-use crate::lead::Lead;
-use crate::placement_tracking::{Change, Entry, Machine, Phase, Stop};
-use crate::records::PageId;
+use crate::leader::Leader;
+use crate::placement_tracking::{Change, Machine, Phase, PlacedTask, Stop};
+use crate::records::SegmentId;
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::ids::{Attempt, JobId, MachineId, Session, TaskId};
+use rudderreel_wire::ids::{Attempt, Incarnation, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
-use rudderreel_wire::worker::{Cause, Command, Report, TaskReport, TaskState};
+use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
 
 /// Direct calls a second. They make a start sooner than the next report would; each costs a
 /// connection, so in a rush what can wait is told when it reports.
@@ -20,12 +20,12 @@
 const UNREACHED_CALLS: u32 = 3;
 const UNREACHED: Span = Span(3_000);
 
-impl Lead {
+impl Leader {
     /// Takes a worker's report in and decides its answer: commands, or none if it must not be
     /// answered.
     pub fn answer_report(
         &mut self,
-        report: &Report,
+        report: &StatusReport,
         job_cache: &JobCache,
         now: Now,
     ) -> Option<Vec<Command>> {
@@ -35,8 +35,8 @@
             log::debug!("a report of {} is refused", report.machine);
             return None;
         }
-        self.hear(report, now);
-        let newest = (report.session, report.seq);
+        self.reconcile_report(report, now);
+        let newest = (report.incarnation, report.seq);
         let machine = match self.machines.get_mut(&report.machine) {
             Some(machine) if self.ready => machine,
             _ => return Some(job_cache.stops_of_cancelled(report)),
@@ -51,10 +51,10 @@
     }
 
     /// A worker has answered a direct call.
-    pub fn reacted(&mut self, report: &Report, now: Now) {
+    pub fn reacted(&mut self, report: &StatusReport, now: Now) {
         self.last_reaction = now.time;
         self.unanswered = 0;
-        self.hear(report, now);
+        self.reconcile_report(report, now);
         if let Some(machine) = self.machines.get_mut(&report.machine) {
             machine.reacted();
         }
@@ -77,18 +77,18 @@
 
     /// Whether a machine waits for the start of work that can't wait.
     pub fn is_urgent(&self, machine: &Machine) -> bool {
-        let firm = |e: &&Entry| e.spec.as_ref().is_some_and(|s| is_firm(s));
+        let firm = |e: &&PlacedTask| e.spec.as_ref().is_some_and(|s| is_non_preemptible(s));
         (machine.entries.iter().filter(|e| e.phase == Phase::Planned)).any(|e| firm(&e))
     }
 
     /// Takes in a worker's report.
-    pub fn hear(&mut self, report: &Report, now: Now) {
+    pub fn reconcile_report(&mut self, report: &StatusReport, now: Now) {
         if self.returned.contains_key(&report.machine) {
             return;
         }
         if !self.ready {
             let newer = (self.early.get(&report.machine))
-                .is_none_or(|e| (e.session, e.seq) < (report.session, report.seq));
+                .is_none_or(|e| (e.incarnation, e.seq) < (report.incarnation, report.seq));
             if newer {
                 self.early.insert(report.machine.clone(), report.clone());
             }
@@ -110,13 +110,13 @@
             Machine::new(report.machine.clone(), t, z, report.spot, room, now.wall)
         });
         let was_known = machine.is_known(epoch);
-        let changes = machine.absorb(report, epoch, now.time);
-        let newest = machine.newest == (report.session, report.seq);
-        let same = machine.list.0 .0 == report.session && *machine.list.1 == *report.tasks;
+        let changes = machine.apply_report(report, epoch, now.time);
+        let newest = machine.newest == (report.incarnation, report.seq);
+        let same = machine.list.0 .0 == report.incarnation && *machine.list.1 == *report.tasks;
         if newest && !same {
             machine.list = (machine.newest, report.tasks.as_slice().into());
         }
-        self.unrecorded |= machine.page == PageId::NONE;
+        self.unrecorded |= machine.page == SegmentId::NONE;
         let became_known = !was_known && machine.is_known(epoch);
         let release = report.token;
         for entry in machine.entries.iter_mut().filter(|e| e.unsure) {
@@ -127,14 +127,14 @@
         }
         stop_unknown(machine, now.time);
         for change in changes {
-            self.take_in(&report.machine, change, now);
+            self.apply_task_change(&report.machine, change, now);
         }
         if became_known {
-            self.wake(now.time);
+            self.request_cycle(now.time);
         }
     }
 
-    pub(crate) fn take_in(&mut self, machine: &MachineId, change: Change, now: Now) {
+    pub(crate) fn apply_task_change(&mut self, machine: &MachineId, change: Change, now: Now) {
         match change {
             Change::Started(task, _) => {
                 let image = self.jobs.get(&task.job).map(|j| j.spec.image.clone());
@@ -179,7 +179,7 @@
             Some(stop) => self.note_stop(now.wall, task, machine, stop.why),
             None => self.count(if why == Cause::Done { "done" } else { "failed" }),
         }
-        self.wake(now.time);
+        self.request_cycle(now.time);
         if let Some(m) = self.machines.get_mut(machine) {
             if why == Cause::NoRoom {
                 m.quarantine = m.quarantine.max(now.time + Span(1_000));
@@ -240,7 +240,7 @@
             job.unplace(task.index, machine, attempt);
         }
         self.break_gang(task, attempt, now.time);
-        self.wake(now.time);
+        self.request_cycle(now.time);
     }
 
     /// A gang that lost a task goes on only as a whole, with a new attempt.
@@ -297,11 +297,11 @@
     }
 
     /// A task that is not in the placement log: a late start, or one whose record was dropped.
-    pub(crate) fn adopt(&mut self, machine: &MachineId, told: TaskReport, now: Now) {
+    pub(crate) fn adopt(&mut self, machine: &MachineId, told: TaskStatus, now: Now) {
         let spec = (self.jobs.get(&told.task.job)).map(|j| j.spec.clone());
-        let mut entry = Entry::planned(told.task.clone(), told.attempt, spec, now.time);
-        let session = (self.machines.get(machine)).map_or(Session(0), |m| m.newest.0);
-        entry.sent = (self.epoch, session);
+        let mut entry = PlacedTask::planned(told.task.clone(), told.attempt, spec, now.time);
+        let incarnation = (self.machines.get(machine)).map_or(Incarnation(0), |m| m.newest.0);
+        entry.sent = (self.epoch, incarnation);
         if told.state == TaskState::Exited {
             entry.phase = Phase::Exited(told.why.unwrap_or(Cause::Error));
         } else {
@@ -333,7 +333,7 @@
 
 /// Stops what a report shows to be there of jobs that are not known: nothing else would end it.
 fn stop_unknown(machine: &mut Machine, now: Time) {
-    let there = |e: &&mut Entry| matches!(e.phase, Phase::On(_)) && e.spec.is_none();
+    let there = |e: &&mut PlacedTask| matches!(e.phase, Phase::On(_)) && e.spec.is_none();
     for entry in machine.entries.iter_mut().filter(there) {
         entry.stop.get_or_insert(Stop {
             grace_s: 0.0,
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/reports/tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 use crate::records::JobRecord;
-use crate::testing::{job, lead, run, running, up, NOW};
+use crate::testing::{job, leader, run, running, up, NOW};
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
 
-fn report(machine: &MachineId, seq: u64, task: &TaskId) -> Report {
+fn report(machine: &MachineId, seq: u64, task: &TaskId) -> StatusReport {
     running(machine, Epoch(1), Seq(seq), task, Attempt(1))
 }
 
 /// The answer to a report that came late was empty, and renewed the worker's lease all the same.
 #[test]
 fn the_answer_to_a_late_report_stops_what_is_cancelled() {
-    let mut lead = lead();
-    let id = up(&mut lead, "vm-1", "a");
+    let mut leader = leader();
+    let id = up(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
-    run(&mut lead, &job, 0, &id);
+    run(&mut leader, &job, 0, &id);
     let mut job_cache = JobCache::default();
     let mut record = JobRecord::queued(&job.spec, NOW.wall);
     record.state = JobState::Cancelled;
     job_cache.learn_job(job.spec.id.clone(), Version(5), record);
     let task = job.spec.id.task(0);
-    let newest = lead.answer_report(&report(&id, 5, &task), &JobCache::default(), NOW);
+    let newest = leader.answer_report(&report(&id, 5, &task), &JobCache::default(), NOW);
     assert_eq!(newest, Some(vec![]));
     let stop = Command::Stop {
         task: task.clone(),
         attempt: Attempt(1),
         grace_s: 0.0,
     };
-    let late = lead.answer_report(&report(&id, 3, &task), &job_cache, NOW);
+    let late = leader.answer_report(&report(&id, 3, &task), &job_cache, NOW);
     assert_eq!(late, Some(vec![stop]));
 }
 
@@ -35,17 +35,17 @@
 /// left to save until its machine hangs.
 #[test]
 fn what_saves_is_ended_when_its_job_is_cancelled() {
-    let mut lead = lead();
-    let id = up(&mut lead, "vm-1", "a");
+    let mut leader = leader();
+    let id = up(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
-    run(&mut lead, &job, 0, &id);
+    run(&mut leader, &job, 0, &id);
     let job_id = job.spec.id.clone();
-    lead.stop_on(&id, &job_id, Attempt(1), 20.0, "evicted", NOW.time);
-    let machine = lead.machines.get_mut(&id).expect("a machine");
+    leader.stop_on(&id, &job_id, Attempt(1), 20.0, "evicted", NOW.time);
+    let machine = leader.machines.get_mut(&id).expect("a machine");
     machine.entries[0].phase = Phase::On(TaskState::Saving);
-    assert_eq!(lead.commands(&id, NOW.time, false), vec![]);
-    lead.stop_on(&id, &job_id, Attempt(1), 0.0, "cancelled", NOW.time);
-    let graces: Vec<f64> = (lead.commands(&id, NOW.time, true).iter())
+    assert_eq!(leader.commands(&id, NOW.time, false), vec![]);
+    leader.stop_on(&id, &job_id, Attempt(1), 0.0, "cancelled", NOW.time);
+    let graces: Vec<f64> = (leader.commands(&id, NOW.time, true).iter())
         .filter_map(|c| match c {
             Command::Stop { grace_s, .. } => Some(*grace_s),
             _ => None,
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -5,8 +5,8 @@
 //! are numbers here.
 
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine};
+use crate::leader::Leader;
+use crate::placement_tracking::{Machine, PlacedTask};
 use crate::tree::{amounts, Amounts, KINDS};
 use crate::units::{Now, Resources, Span, Time};
 use rudderreel_wire::ids::{Attempt, Image, JobId, MachineId, TaskId, TypeName, Zone};
@@ -20,7 +20,7 @@
 
 /// A machine that work can be placed on.
 #[derive(Clone, Debug)]
-pub struct Spot {
+pub struct CandidateMachine {
     /// The machine.
     pub id: MachineId,
     /// Its type.
@@ -44,7 +44,7 @@
     /// Replicas on it.
     pub replicas: u32,
     /// Room of work that could be evicted for work of the highest priority.
-    pub evictable: Resources,
+    pub is_preemptible: Resources,
     /// Free room that is held back from evictable work.
     pub held: Resources,
     /// Room of tasks that end by themselves.
@@ -58,7 +58,7 @@
 /// The picture.
 pub struct Snapshot {
     /// Machines that work can be placed on.
-    pub spots: Vec<Spot>,
+    pub candidates: Vec<CandidateMachine>,
     /// By node of the tree: what may be in use, everything not surely gone.
     pub used: Vec<Amounts>,
     /// By node of the tree: what of that counts for shares.
@@ -87,11 +87,11 @@
 }
 
 /// Whether new work may be placed on a machine.
-pub fn usable(machine: &Machine, lead: &Lead, now: Time) -> bool {
-    let fresh = (machine.last_heard).is_some_and(|t| now - t < Span(lead.lease.0 / 2));
-    machine.is_known(lead.epoch)
+pub fn usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
+    let fresh = (machine.last_heard).is_some_and(|t| now - t < Span(leader.lease.0 / 2));
+    machine.is_known(leader.epoch)
         && fresh
-        && !lead.dark.contains_key(&machine.zone)
+        && !leader.partitioned_zones.contains_key(&machine.zone)
         // Heard is not commanded: while its worker leaves calls unanswered it gets nothing new.
         && machine.unanswered == 0
         && machine.notice.is_none()
@@ -107,7 +107,7 @@
 }
 
 /// In how many seconds a task that ends by itself will probably have ended.
-fn seconds_left(entry: &Entry, spec: &JobSpec, now: Time) -> f64 {
+fn seconds_left(entry: &PlacedTask, spec: &JobSpec, now: Time) -> f64 {
     let ran_s = entry.running.map_or(0.0, |since| (now - since).as_secs());
     // What has run longer than its owner thought will run for a while yet.
     let longer_s = ran_s * RUNS_ON;
@@ -116,13 +116,13 @@
 
 impl Snapshot {
     /// Takes the picture.
-    pub fn take(lead: &Lead, now: Now) -> Self {
-        let nodes = lead.tree.nodes.len();
-        let mut picture = Self {
-            spots: Vec::new(),
+    pub fn take(leader: &Leader, now: Now) -> Self {
+        let nodes = leader.tree.nodes.len();
+        let mut snapshot = Self {
+            candidates: Vec::new(),
             used: vec![[0.0; KINDS]; nodes],
             counted: vec![[0.0; KINDS]; nodes],
-            apart: lead.catalog.types.iter().any(|t| t.gpus <= 0.0),
+            apart: leader.catalog.types.iter().any(|t| t.gpus <= 0.0),
             firm: vec![[0.0; KINDS]; nodes],
             share_of_all: vec![[0.0; KINDS]; nodes],
             share: vec![[0.0; KINDS]; nodes],
@@ -136,49 +136,49 @@
         };
         let mut total = [0.0; KINDS];
         let mut all = [0.0; KINDS];
-        for machine in lead.machines.values() {
+        for machine in leader.machines.values() {
             if machine.retire.is_none() && machine.returning.is_none() {
-                add(&mut total, &picture.shared_room(machine));
+                add(&mut total, &snapshot.shared_room(machine));
                 add(&mut all, &amounts(&machine.room));
             }
-            if usable(machine, lead, now.time) {
-                let spot = picture.spot(lead, machine);
-                picture.spots.push(spot);
+            if usable(machine, leader, now.time) {
+                let spot = snapshot.spot(leader, machine);
+                snapshot.candidates.push(spot);
             }
         }
-        for job in lead.jobs.values().filter(|j| !j.places.is_empty()) {
-            picture.count(lead, job);
+        for job in leader.jobs.values().filter(|j| !j.places.is_empty()) {
+            snapshot.count(leader, job);
         }
-        let mut requested = picture.counted.clone();
-        let mut of_all = picture.used.clone();
-        let mut firm = picture.firm.clone();
-        for job in lead.jobs.values().filter(|j| j.is_active()) {
-            picture.image_no(&job.spec.image);
+        let mut requested = snapshot.counted.clone();
+        let mut of_all = snapshot.used.clone();
+        let mut firm = snapshot.firm.clone();
+        for job in leader.jobs.values().filter(|j| j.is_active()) {
+            snapshot.image_no(&job.spec.image);
             let whole = amounts(&job.need.times(job.free_tasks()));
-            let need = picture.for_shares(&whole);
-            if let Some(leaf) = lead.tree.find(&job.spec.team) {
+            let need = snapshot.for_shares(&whole);
+            if let Some(leaf) = leader.tree.find(&job.spec.team) {
                 add(&mut of_all[leaf], &whole);
                 add(&mut requested[leaf], &need);
-                if !job.evictable() {
+                if !job.is_preemptible() {
                     add(&mut firm[leaf], &need);
                 }
             }
         }
         requested[0] = [0.0; KINDS];
         of_all[0] = [0.0; KINDS];
-        picture.share = crate::fair_share::fair_shares(&lead.tree, total, &requested, &firm);
-        picture.share_of_all = crate::fair_share::fair_shares(&lead.tree, all, &of_all, &firm);
-        picture
+        snapshot.share = crate::fair_share::fair_shares(&leader.tree, total, &requested, &firm);
+        snapshot.share_of_all = crate::fair_share::fair_shares(&leader.tree, all, &of_all, &firm);
+        snapshot
     }
 
     /// Counts what a job may have anywhere.
-    fn count(&mut self, lead: &Lead, job: &Job) {
-        self.charge(lead, job, &amounts(&job.need.times(job.placed())));
+    fn count(&mut self, leader: &Leader, job: &Job) {
+        self.charge(leader, job, &amounts(&job.need.times(job.placed())));
         if !is_bound(&job.spec) {
             return;
         }
         for (id, _) in job.places.values().flatten() {
-            if let Some(machine) = lead.machines.get(id) {
+            if let Some(machine) = leader.machines.get(id) {
                 let zone = self.zone_no(&machine.zone);
                 self.note_zone(&job.spec.id, zone, 1);
             }
@@ -205,8 +205,8 @@
         self.images.get(image).copied()
     }
 
-    fn spot(&mut self, lead: &Lead, machine: &Machine) -> Spot {
-        let mut spot = Spot {
+    fn spot(&mut self, leader: &Leader, machine: &Machine) -> CandidateMachine {
+        let mut spot = CandidateMachine {
             id: machine.id.clone(),
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
@@ -218,7 +218,7 @@
             fetching: Vec::new(),
             services: Vec::new(),
             replicas: 0,
-            evictable: Resources::default(),
+            is_preemptible: Resources::default(),
             held: Resources::default(),
             ending: Resources::default(),
             ended_in_s: 0.0,
@@ -240,9 +240,9 @@
                     .ended_in_s
                     .max(seconds_left(entry, spec, self.now.time));
             }
-            let active = lead.jobs.get(&spec.id).is_some_and(|j| j.is_active());
-            if !crate::job::is_firm(spec) && entry.stop.is_none() && active {
-                spot.evictable += entry.need;
+            let active = leader.jobs.get(&spec.id).is_some_and(|j| j.is_active());
+            if !crate::job::is_non_preemptible(spec) && entry.stop.is_none() && active {
+                spot.is_preemptible += entry.need;
             }
         }
         spot
@@ -269,14 +269,14 @@
                 used: &self.used,
                 share: &self.share_of_all,
                 whole: true,
-                picture: self,
+                snapshot: self,
             }
         } else {
             Lending {
                 used: &self.counted,
                 share: &self.share,
                 whole: false,
-                picture: self,
+                snapshot: self,
             }
         }
     }
@@ -298,13 +298,13 @@
     }
 
     /// Adds to what a job's team uses, and all above it.
-    pub fn charge(&mut self, lead: &Lead, job: &Job, need: &Amounts) {
-        if let Some(leaf) = lead.tree.find(&job.spec.team) {
+    pub fn charge(&mut self, leader: &Leader, job: &Job, need: &Amounts) {
+        if let Some(leaf) = leader.tree.find(&job.spec.team) {
             let counted = self.for_shares(need);
-            for node in lead.tree.chain(leaf) {
+            for node in leader.tree.chain(leaf) {
                 add(&mut self.used[node], need);
                 add(&mut self.counted[node], &counted);
-                if !job.evictable() {
+                if !job.is_preemptible() {
                     add(&mut self.firm[node], need);
                 }
             }
@@ -312,8 +312,8 @@
     }
 
     /// Whether a job's team, and all above it, may use so much more.
-    pub fn within_limits(&self, lead: &Lead, job: &Job, need: &Amounts) -> bool {
-        within(lead, job, need, &self.used, &self.firm)
+    pub fn within_limits(&self, leader: &Leader, job: &Job, need: &Amounts) -> bool {
+        within(leader, job, need, &self.used, &self.firm)
     }
 
     /// Tasks of a bound job in each zone.
@@ -349,42 +349,42 @@
     /// Simulates an eviction.
     pub fn evict(
         &mut self,
-        lead: &Lead,
+        leader: &Leader,
         at: usize,
         task: &TaskId,
         attempt: Attempt,
         need: &Resources,
     ) {
         self.evicted.insert((task.clone(), attempt));
-        self.shift(lead, at, task, need, -1);
+        self.shift(leader, at, task, need, -1);
     }
 
     /// Takes a simulated eviction back.
     pub fn restore(
         &mut self,
-        lead: &Lead,
+        leader: &Leader,
         at: usize,
         task: &TaskId,
         attempt: Attempt,
         need: &Resources,
     ) {
         self.evicted.remove(&(task.clone(), attempt));
-        self.shift(lead, at, task, need, 1);
+        self.shift(leader, at, task, need, 1);
     }
 
-    fn shift(&mut self, lead: &Lead, at: usize, task: &TaskId, need: &Resources, sign: i32) {
-        let Some(job) = lead.jobs.get(&task.job) else {
+    fn shift(&mut self, leader: &Leader, at: usize, task: &TaskId, need: &Resources, sign: i32) {
+        let Some(job) = leader.jobs.get(&task.job) else {
             return;
         };
         let amount = amounts(need).map(|x| x * f64::from(sign));
-        self.charge(lead, job, &amount);
-        let spot = &mut self.spots[at];
+        self.charge(leader, job, &amount);
+        let spot = &mut self.candidates[at];
         if sign < 0 {
             spot.free += *need;
-            spot.evictable -= *need;
+            spot.is_preemptible -= *need;
         } else {
             spot.free -= *need;
-            spot.evictable += *need;
+            spot.is_preemptible += *need;
         }
         if job.spec.kind == Kind::Service {
             spot.shift_service(&task.job, sign);
@@ -397,16 +397,16 @@
 
     /// Whether there is room for the urgent work that may come before a machine could be had,
     /// even without one of the machines. Work that would be evicted for it counts as room.
-    pub fn keeps_reserve(&self, lead: &Lead, without: Option<usize>) -> bool {
+    pub fn keeps_reserve(&self, leader: &Leader, without: Option<usize>) -> bool {
         let room = |need: &Resources, image: Option<u32>| -> u32 {
-            (self.spots.iter().enumerate())
+            (self.candidates.iter().enumerate())
                 .filter(|(i, s)| {
                     Some(*i) != without && image.is_some_and(|no| s.images.contains(&no))
                 })
-                .map(|(_, s)| (s.free + s.evictable).count(need))
+                .map(|(_, s)| (s.free + s.is_preemptible).count(need))
                 .sum()
         };
-        lead.reserve(self.now).iter().all(|reserve| {
+        leader.reserve(self.now).iter().all(|reserve| {
             // Room without the image would mean a fetch, so each image has its part.
             let part = reserve.tasks.div_ceil(reserve.images.len().max(1) as u32);
             (reserve.images.iter()).all(|image| room(&reserve.need, self.image(image)) >= part)
@@ -415,23 +415,23 @@
 
     /// Replicas that one machine should hold at most, so that its loss is not felt too much.
     pub fn replica_cap(&self) -> u32 {
-        (self.spots.iter().map(|s| s.replicas).sum::<u32>() / 4).max(4)
+        (self.candidates.iter().map(|s| s.replicas).sum::<u32>() / 4).max(4)
     }
 
     /// Holds free room back for urgent work that may come before a machine could be had, where its
     /// image is. A single team needs none: its own work yields by priority.
-    pub fn hold_reserve(&mut self, lead: &Lead) {
-        if lead.tree.nodes.len() <= 2 {
+    pub fn hold_reserve(&mut self, leader: &Leader) {
+        if leader.tree.nodes.len() <= 2 {
             return;
         }
-        for spot in &mut self.spots {
+        for spot in &mut self.candidates {
             spot.held = Resources::default();
         }
-        for reserve in lead.reserve(self.now) {
+        for reserve in leader.reserve(self.now) {
             let images: Vec<u32> = (reserve.images.iter())
                 .filter_map(|i| self.image(i))
                 .collect();
-            let mut places: Vec<(usize, i64, usize)> = (self.spots.iter().enumerate())
+            let mut places: Vec<(usize, i64, usize)> = (self.candidates.iter().enumerate())
                 .filter(|(_, s)| s.room.gpus == 0 && !s.spot)
                 .filter(|(_, s)| (s.free - s.held).holds(&reserve.need))
                 .map(|(i, s)| {
@@ -442,7 +442,7 @@
             places.sort_unstable();
             let mut left = reserve.tasks;
             for (_, _, i) in places {
-                let spot = &mut self.spots[i];
+                let spot = &mut self.candidates[i];
                 let n = (spot.free - spot.held).count(&reserve.need).min(left);
                 spot.held += reserve.need.times(n);
                 left -= n;
@@ -456,7 +456,7 @@
     }
 }
 
-impl Spot {
+impl CandidateMachine {
     /// Notes a replica more or less.
     pub fn shift_service(&mut self, job: &JobId, change: i32) {
         self.replicas = self.replicas.saturating_add_signed(change);
@@ -489,7 +489,7 @@
     /// By node of the tree: fair share.
     pub share: &'a [Amounts],
     whole: bool,
-    picture: &'a Snapshot,
+    snapshot: &'a Snapshot,
 }
 
 impl Lending<'_> {
@@ -499,22 +499,28 @@
         if self.whole {
             need
         } else {
-            self.picture.for_shares(&need)
+            self.snapshot.for_shares(&need)
         }
     }
 }
 
 /// Whether a job's team, and all above it, may use so much more than is used.
-pub fn within(lead: &Lead, job: &Job, need: &Amounts, used: &[Amounts], firm: &[Amounts]) -> bool {
-    let Some(leaf) = lead.tree.find(&job.spec.team) else {
+pub fn within(
+    leader: &Leader,
+    job: &Job,
+    need: &Amounts,
+    used: &[Amounts],
+    firm: &[Amounts],
+) -> bool {
+    let Some(leaf) = leader.tree.find(&job.spec.team) else {
         return false;
     };
-    lead.tree.chain(leaf).all(|node| {
-        let team = &lead.tree.nodes[node];
+    leader.tree.chain(leaf).all(|node| {
+        let team = &leader.tree.nodes[node];
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + 1e-9)
         };
-        fits(&used[node], &team.limit) && (job.evictable() || fits(&firm[node], &team.quota))
+        fits(&used[node], &team.limit) && (job.is_preemptible() || fits(&firm[node], &team.quota))
     })
 }
 
--- a/crates/core/src/state_calls.rs
+++ b/crates/core/src/state_calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service: what each is for, and how many may go out.
 
-use crate::io::{CallId, Output, StateCall};
+use crate::io::{CallId, Output, StoreCall};
 use crate::units::Time;
 use std::collections::{HashMap, VecDeque};
 
@@ -16,12 +16,12 @@
 }
 
 /// Keeps this node's part of the state service's limits with one bucket of tokens.
-pub struct StateCalls<P> {
+pub struct StoreCalls<P> {
     next: u64,
     rate: f64,
     tokens: f64,
     filled: Time,
-    queues: [VecDeque<(StateCall, P)>; 3],
+    queues: [VecDeque<(StoreCall, P)>; 3],
     open: HashMap<CallId, P>,
     /// Whose turn it is when both users' calls and the leader's wait.
     placements_next: bool,
@@ -30,7 +30,7 @@
 /// Calls that may be open at once: more would only queue up in the shell.
 const MAX_OPEN: usize = 12;
 
-impl<P> StateCalls<P> {
+impl<P> StoreCalls<P> {
     /// `rate` is how many calls a second this node may make.
     pub fn new(rate: f64) -> Self {
         Self {
@@ -55,7 +55,7 @@
     }
 
     /// Queues a call.
-    pub fn call(&mut self, urgency: Urgency, call: StateCall, purpose: P) {
+    pub fn call(&mut self, urgency: Urgency, call: StoreCall, purpose: P) {
         self.queues[urgency as usize].push_back((call, purpose));
     }
 
@@ -86,7 +86,7 @@
     /// The next call that may go out. Leases may use the last tokens. Users' calls and the leader's
     /// take turns: whichever always went first could keep the other waiting for ever. (A leader that
     /// got many questions once read its log back for 690 s, and nothing ran meanwhile.)
-    fn next_call(&mut self) -> Option<(StateCall, P)> {
+    fn next_call(&mut self) -> Option<(StoreCall, P)> {
         let (tokens, open) = (self.tokens, self.open.len());
         if tokens >= 1.0 && open < MAX_OPEN + 4 {
             if let Some(call) = self.queues[Urgency::Lease as usize].pop_front() {
--- a/crates/core/src/state_calls/tests.rs
+++ b/crates/core/src/state_calls/tests.rs
@@ -3,10 +3,10 @@
 /// What can't be asked for in time must be refused at once, not queued without bound.
 #[test]
 fn users_calls_do_not_pile_up() {
-    let mut calls = StateCalls::new(5.0);
+    let mut calls = StoreCalls::new(5.0);
     let mut queued = 0;
     while !calls.is_behind() {
-        calls.call(Urgency::User, StateCall::Get("pub/job/wk-1".into()), ());
+        calls.call(Urgency::User, StoreCall::Get("pub/job/wk-1".into()), ());
         queued += 1;
     }
     assert_eq!(queued, 6);
@@ -18,9 +18,9 @@
 /// A leader to which users put more questions than it may ask on never read its log back.
 #[test]
 fn neither_users_nor_the_leader_wait_for_ever() {
-    let mut calls = StateCalls::new(10.0);
+    let mut calls = StoreCalls::new(10.0);
     let mut out = Vec::new();
-    let key = |s: &str| StateCall::Get(s.into());
+    let key = |s: &str| StoreCall::Get(s.into());
     calls.call(Urgency::Placements, key("book/1"), "placements");
     for second in 1..4u64 {
         for _ in 0..20 {
@@ -34,7 +34,7 @@
     }
     let asked = |name: &str| {
         let of =
-            |o: &&Output| matches!(o, Output::State(_, StateCall::Get(k)) if k.starts_with(name));
+            |o: &&Output| matches!(o, Output::State(_, StoreCall::Get(k)) if k.starts_with(name));
         out.iter().filter(of).count()
     };
     assert_eq!((asked("book/"), asked("pub/") > 8), (1, true));
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/statement.rs
@@ -1,7 +1,7 @@
 //! Simulate first, commit later: a log of decisions over the snapshot, kept whole or dropped whole.
 
 use crate::job::Job;
-use crate::lead::Lead;
+use crate::leader::Leader;
 use crate::snapshot::{is_bound, Snapshot};
 use crate::tree::amounts;
 use rudderreel_wire::ids::{MachineId, TaskId};
@@ -24,11 +24,18 @@
 
 impl Statement {
     /// Places a task on a machine of the snapshot.
-    pub fn place(&mut self, lead: &Lead, picture: &mut Snapshot, job: &Job, index: u32, at: usize) {
-        picture.charge(lead, job, &amounts(&job.need));
-        picture.note_taken(&job.spec.id, 1);
-        let image = picture.image(&job.spec.image);
-        let spot = &mut picture.spots[at];
+    pub fn place(
+        &mut self,
+        leader: &Leader,
+        snapshot: &mut Snapshot,
+        job: &Job,
+        index: u32,
+        at: usize,
+    ) {
+        snapshot.charge(leader, job, &amounts(&job.need));
+        snapshot.note_taken(&job.spec.id, 1);
+        let image = snapshot.image(&job.spec.image);
+        let spot = &mut snapshot.candidates[at];
         spot.free -= job.need;
         if job.spec.kind == Kind::Service {
             spot.shift_service(&job.spec.id, 1);
@@ -41,7 +48,7 @@
             machine: spot.id.clone(),
         };
         if is_bound(&job.spec) {
-            picture.note_zone(&job.spec.id, zone, 1);
+            snapshot.note_zone(&job.spec.id, zone, 1);
         }
         self.log.push((placement, at, fetches));
     }
@@ -57,12 +64,12 @@
     }
 
     /// Takes everything back.
-    pub fn discard(self, lead: &Lead, picture: &mut Snapshot, job: &Job) {
+    pub fn discard(self, leader: &Leader, snapshot: &mut Snapshot, job: &Job) {
         let back = amounts(&job.need).map(|x| -x);
         for (placement, at, fetches) in self.log.into_iter().rev() {
-            picture.charge(lead, job, &back);
-            picture.note_taken(&job.spec.id, -1);
-            let spot = &mut picture.spots[at];
+            snapshot.charge(leader, job, &back);
+            snapshot.note_taken(&job.spec.id, -1);
+            let spot = &mut snapshot.candidates[at];
             spot.free += job.need;
             if job.spec.kind == Kind::Service {
                 spot.shift_service(&placement.task.job, -1);
@@ -72,7 +79,7 @@
             }
             let zone = spot.zone_no;
             if is_bound(&job.spec) {
-                picture.note_zone(&job.spec.id, zone, -1);
+                snapshot.note_zone(&job.spec.id, zone, -1);
             }
         }
     }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -1,16 +1,16 @@
 //! A small leader for unit tests.
 
-use crate::core::Core;
-use crate::election::Won;
+use crate::election::ElectionWin;
 use crate::job::Job;
-use crate::lead::Lead;
-use crate::placement_tracking::{Entry, Machine, Phase};
+use crate::leader::Leader;
+use crate::node::Node;
+use crate::placement_tracking::{Machine, Phase, PlacedTask};
 use crate::records::LeaderKey;
 use crate::tree::TeamTree;
 use crate::units::{Now, Time, Wall};
-use rudderreel_wire::ids::{Attempt, Epoch, LeaseId, MachineId, Seq, Session, TaskId, Version};
+use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, LeaseId, MachineId, Seq, TaskId, Version};
 use rudderreel_wire::settings::Settings;
-use rudderreel_wire::worker::{Report, TaskReport, TaskState};
+use rudderreel_wire::worker::{StatusReport, TaskState, TaskStatus};
 
 /// The moment that tests begin at.
 pub const NOW: Now = Now {
@@ -60,39 +60,39 @@
 }
 
 /// A node that is alone.
-pub fn core() -> Core {
-    Core::new(settings())
+pub fn node() -> Node {
+    Node::new(settings())
 }
 
 /// A leader with two teams, one machine type of 4 CPUs in two zones, and nothing else.
-pub fn lead() -> Lead {
+pub fn leader() -> Leader {
     let settings = Settings::parse(SETTINGS).expect("settings");
     let tree = TeamTree::from_limits(&settings.params.teams);
-    let won = Won {
+    let won = ElectionWin {
         epoch: Epoch(1),
         lease: LeaseId(1),
         lease_sent: NOW.time,
         key: LeaderKey::Common,
         version: Version(1),
     };
-    let mut lead = Lead::new(&settings, tree, won, NOW.time);
-    lead.ready = true;
+    let mut leader = Leader::new(&settings, tree, won, NOW.time);
+    leader.ready = true;
     let catalog = serde_json::json!({"hulls": [{"label": "m4", "vcpus": 4.0, "gpus": 0.0,
         "memoryGb": 16.0, "cacheGb": 50.0, "fetchGbPerS": 1.0, "rate": 1.0,
         "marketPrice": 0.3, "startupS": 40.0, "berths": ["a", "b"]}]});
-    lead.learn_catalog(serde_json::from_value(catalog).expect("a catalog"));
-    lead
+    leader.learn_catalog(serde_json::from_value(catalog).expect("a catalog"));
+    leader
 }
 
 /// Adds a machine that was just heard.
-pub fn up(lead: &mut Lead, id: &str, zone: &str) -> MachineId {
-    let room = lead.room_of(&"m4".into());
+pub fn up(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
+    let room = leader.room_of(&"m4".into());
     let mut machine = Machine::new(id.into(), "m4".into(), zone.into(), false, room, NOW.wall);
     machine.last_heard = Some(NOW.time);
-    machine.acked = lead.epoch;
+    machine.acked = leader.epoch;
     machine.addr = Some("10.0.0.1:1".into());
     let id = machine.id.clone();
-    lead.machines.insert(id.clone(), machine);
+    leader.machines.insert(id.clone(), machine);
     id
 }
 
@@ -114,8 +114,8 @@
 }
 
 /// Has a task of a job run on a machine since long ago.
-pub fn run(lead: &mut Lead, job: &Job, index: u32, machine: &MachineId) {
-    let job = lead
+pub fn run(leader: &mut Leader, job: &Job, index: u32, machine: &MachineId) {
+    let job = leader
         .jobs
         .entry(job.spec.id.clone())
         .or_insert_with(|| job.clone());
@@ -123,10 +123,10 @@
     job.place(index, machine, attempt);
     job.begun = true;
     let task = job.spec.id.task(index);
-    let mut entry = Entry::planned(task, attempt, Some(job.spec.clone()), Time(1));
+    let mut entry = PlacedTask::planned(task, attempt, Some(job.spec.clone()), Time(1));
     entry.phase = Phase::On(TaskState::Running);
     entry.running = Some(Time(1));
-    if let Some(machine) = lead.machines.get_mut(machine) {
+    if let Some(machine) = leader.machines.get_mut(machine) {
         machine.entries.push(entry);
     }
 }
@@ -138,18 +138,18 @@
     seq: Seq,
     task: &TaskId,
     attempt: Attempt,
-) -> Report {
-    Report {
+) -> StatusReport {
+    StatusReport {
         machine: machine.clone(),
         addr: "10.0.0.1:1".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
-        session: Session(1),
+        incarnation: Incarnation(1),
         seq,
         token,
         notice_s: None,
-        tasks: vec![TaskReport {
+        tasks: vec![TaskStatus {
             task: task.clone(),
             attempt,
             state: TaskState::Running,
--- a/crates/core/src/user_requests.rs
+++ b/crates/core/src/user_requests.rs
@@ -6,15 +6,15 @@
 use crate::acceptance::{put_job, NewJob};
 use crate::admin::Latency;
 use crate::confirmation::{Confirmation, Unconfirmed};
-use crate::core::{Core, Purpose};
-use crate::io::{error_body, json, Output, ReqId, StateAnswer, StateCall, UserRequest};
+use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use crate::job_cache::KnownJob;
+use crate::node::{Node, PendingCall};
 use crate::records::{job_key, JobRecord};
 use crate::state_calls::Urgency;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobAnswer, JobState, JobStatus};
-use rudderreel_wire::peer::{Forward, PassedSubmission};
+use rudderreel_wire::peer::{Forward, ForwardedSubmission};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A user's request that is being served.
@@ -30,7 +30,7 @@
 
 /// What a call for users is for.
 #[derive(Clone, Debug)]
-pub enum UserStep {
+pub enum UserCall {
     /// Read the job, then serve the request by what it says.
     Read(Waiting),
     /// Create the job.
@@ -92,12 +92,12 @@
     pub(crate) fn job(&self) -> &JobId {
         match &self.request {
             UserRequest::Submit(spec) => &spec.id,
-            UserRequest::Status(id) | UserRequest::Withdraw(id) => id,
+            UserRequest::Status(id) | UserRequest::Cancel(id) => id,
         }
     }
 }
 
-impl Core {
+impl Node {
     /// A user's request, from the user or from a peer.
     pub(crate) fn user(&mut self, req: ReqId, request: UserRequest, from_peer: bool, now: Now) {
         let waiting = Waiting {
@@ -111,7 +111,7 @@
         if self.is_final(waiting.job()) {
             return self.tell(waiting, now);
         }
-        if !self.election.state_ok(now.time) {
+        if !self.election.store_reachable(now.time) {
             return self.forward_or_refuse(waiting, now);
         }
         self.serve(waiting, now);
@@ -127,7 +127,7 @@
         }
         let known = self.job_cache.jobs.get(waiting.job()).cloned();
         match (&waiting.request, known) {
-            (UserRequest::Withdraw(_), Some(known)) => self.cancel(waiting, known, None, now),
+            (UserRequest::Cancel(_), Some(known)) => self.cancel(waiting, known, None, now),
             (_, Some(_)) => self.confirm_later(waiting, now),
             // That there is no such job is confirmed like anything else.
             (UserRequest::Status(_), None) if self.job_cache.complete => {
@@ -142,9 +142,10 @@
         }
     }
 
-    pub(crate) fn user_call(&mut self, call: StateCall, step: UserStep) {
+    pub(crate) fn user_call(&mut self, call: StoreCall, step: UserCall) {
         self.user_requests.open += 1;
-        self.calls.call(Urgency::User, call, Purpose::User(step));
+        self.calls
+            .call(Urgency::User, call, PendingCall::User(step));
     }
 
     /// Cancels a job for its user, or with a dependency.
@@ -157,7 +158,7 @@
     ) {
         let record = known.record.cancelled(now.wall, by, &self.limits);
         let call = put_job(waiting.job(), known.version, &record, &BTreeMap::new());
-        self.user_call(call, UserStep::Cancel(waiting, Box::new(record)));
+        self.user_call(call, UserCall::Cancel(waiting, Box::new(record)));
     }
 
     /// Answers a request about a job that can't become ready any more: its record is written first.
@@ -175,27 +176,27 @@
 
     fn read(&mut self, waiting: Waiting) {
         let key = job_key(waiting.job());
-        self.user_call(StateCall::Get(key), UserStep::Read(waiting));
+        self.user_call(StoreCall::Get(key), UserCall::Read(waiting));
     }
 
     /// The answer to a call for users.
-    pub(crate) fn user_answer(&mut self, step: UserStep, answer: StateAnswer, now: Now) {
+    pub(crate) fn user_answer(&mut self, step: UserCall, answer: StoreAnswer, now: Now) {
         self.user_requests.open = self.user_requests.open.saturating_sub(1);
         match step {
-            UserStep::Read(waiting) => self.was_read(waiting, answer, now),
-            UserStep::Create(waiting, job) => self.was_created(waiting, *job, answer, now),
-            UserStep::ReadDependency(waiting, id) => {
+            UserCall::Read(waiting) => self.was_read(waiting, answer, now),
+            UserCall::Create(waiting, job) => self.was_created(waiting, *job, answer, now),
+            UserCall::ReadDependency(waiting, id) => {
                 self.dependency_was_read(waiting, id, answer, now)
             }
-            UserStep::Cancel(waiting, record) => self.was_cancelled(waiting, *record, answer, now),
-            UserStep::Confirm(confirmation) => self.was_confirmed(confirmation, answer, now),
-            UserStep::ReadFor(id, members) => self.was_read_for(id, members, answer, now),
+            UserCall::Cancel(waiting, record) => self.was_cancelled(waiting, *record, answer, now),
+            UserCall::Confirm(confirmation) => self.was_confirmed(confirmation, answer, now),
+            UserCall::ReadFor(id, members) => self.was_read_for(id, members, answer, now),
         }
     }
 
-    fn was_read(&mut self, waiting: Waiting, answer: StateAnswer, now: Now) {
+    fn was_read(&mut self, waiting: Waiting, answer: StoreAnswer, now: Now) {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
                     return self.refuse(waiting.req, "unreadable record");
                 };
@@ -204,17 +205,17 @@
                 // What the cache has learned since is newer still.
                 let newest = self.job_cache.jobs.get(waiting.job()).cloned();
                 match (&waiting.request, newest) {
-                    (UserRequest::Withdraw(_), Some(known)) if !known.record.is_final() => {
+                    (UserRequest::Cancel(_), Some(known)) if !known.record.is_final() => {
                         self.cancel(waiting, known, None, now)
                     }
                     _ => self.tell_read(waiting, now),
                 }
             }
             // It was read before what the cache has learned since.
-            StateAnswer::Missing if self.job_cache.jobs.contains_key(waiting.job()) => {
+            StoreAnswer::Missing if self.job_cache.jobs.contains_key(waiting.job()) => {
                 self.again(waiting, now)
             }
-            StateAnswer::Missing => match &waiting.request {
+            StoreAnswer::Missing => match &waiting.request {
                 UserRequest::Submit(spec) => match self.never_runs(spec) {
                     Some(Ok(())) => self.create(waiting, now),
                     Some(Err(why)) => self.answer(waiting.req, 422, error_body(&why.to_string())),
@@ -238,17 +239,17 @@
         &mut self,
         waiting: Waiting,
         record: JobRecord,
-        answer: StateAnswer,
+        answer: StoreAnswer,
         now: Now,
     ) {
         self.user_requests.cancelling.remove(waiting.job());
         match answer {
-            StateAnswer::Committed(version) => {
+            StoreAnswer::Committed(version) => {
                 let id = waiting.job().clone();
                 self.job_cache.learn_job(id, version, record);
                 self.tell(waiting, now);
             }
-            StateAnswer::Conflict(_) | StateAnswer::Unknown => self.again(waiting, now),
+            StoreAnswer::Conflict(_) | StoreAnswer::Unknown => self.again(waiting, now),
             _ => self.forward_or_refuse(waiting, now),
         }
     }
@@ -329,15 +330,15 @@
     /// told at once when to come back.
     pub(crate) fn forward_or_refuse(&mut self, waiting: Waiting, now: Now) {
         let peer = (self.peers.iter())
-            .find(|(_, p)| p.state_ok && now.time < p.heard + Span(1_500))
+            .find(|(_, p)| p.store_reachable && now.time < p.heard + Span(1_500))
             .map(|(name, _)| name.clone());
         let early = now.time < waiting.since + Span(1_000);
         match peer {
             Some(peer) if !waiting.from_peer && early => {
                 let forward = match &waiting.request {
-                    UserRequest::Submit(spec) => Forward::Submit(PassedSubmission::text(spec)),
+                    UserRequest::Submit(spec) => Forward::Submit(ForwardedSubmission::text(spec)),
                     UserRequest::Status(id) => Forward::Status(id.to_string()),
-                    UserRequest::Withdraw(id) => Forward::Withdraw(id.to_string()),
+                    UserRequest::Cancel(id) => Forward::Cancel(id.to_string()),
                 };
                 self.out.push(Output::Forward(peer, waiting.req, forward));
                 self.user_requests.forwarded.insert(waiting.req, waiting);
--- a/crates/core/src/version_gate.rs
+++ b/crates/core/src/version_gate.rs
@@ -17,13 +17,13 @@
 //!
 //! While nothing depends on anything all versions serve and lead together.
 
-use crate::core::Core;
-use crate::election::Seat;
-use crate::io::{ReqId, StateAnswer, StateCall, UserRequest, Value};
+use crate::election::LeaderSlot;
+use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
 use crate::job_cache::JobCache;
-use crate::lead::Lead;
+use crate::leader::Leader;
+use crate::node::Node;
 use crate::records::{LeaderKey, LeaderRecord, CATALOG, LEADER, MACHINE_TYPES, SEAT};
-use crate::recovery::{condition, put, LeadStep};
+use crate::recovery::{condition, put, LeaderCall};
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::{NodeName, Version};
@@ -35,7 +35,7 @@
 
 /// What a leader is doing to close the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateStep {
+pub enum VersionGateStep {
     /// Nothing.
     Idle,
     /// The commit that moves the leader's key is open. Until its outcome is known nothing else is
@@ -50,7 +50,7 @@
     MovingCatalog,
 }
 
-impl GateStep {
+impl VersionGateStep {
     /// Whether the key that every write depends on may be changing.
     pub fn is_changing_key(self) -> bool {
         matches!(
@@ -67,11 +67,11 @@
     }
 
     /// The leader's seat as it is known here.
-    pub fn seat(&self) -> Seat<'_> {
+    pub fn leader_slot(&self) -> LeaderSlot<'_> {
         match self.leader() {
-            None => Seat::Vacant(self.superseded()),
-            Some(leader) if self.is_outdated(&leader.1) => Seat::Outdated(leader),
-            Some(_) => Seat::Taken(self.leader_key()),
+            None => LeaderSlot::Vacant(self.superseded()),
+            Some(leader) if self.is_outdated(&leader.1) => LeaderSlot::Outdated(leader),
+            Some(_) => LeaderSlot::Taken(self.leader_key()),
         }
     }
 
@@ -81,7 +81,7 @@
     }
 }
 
-impl Lead {
+impl Leader {
     /// Its record, as its key holds it.
     fn record(&self, node: &NodeName) -> LeaderRecord {
         LeaderRecord::new(node.clone(), self.epoch, self.lease_id)
@@ -91,7 +91,10 @@
     /// on, and are sent again by the other.
     fn change_key(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
-            conditions: vec![self.leading(), condition(SEAT.into(), Version(0))],
+            conditions: vec![
+                self.leadership_condition(),
+                condition(SEAT.into(), Version(0)),
+            ],
             changes: vec![
                 put(LEADER.into(), &record.tombstone(None)),
                 Change::Put {
@@ -104,7 +107,7 @@
     }
 }
 
-impl Core {
+impl Node {
     /// A user's request that a peer forwards.
     pub(crate) fn forwarded(
         &mut self,
@@ -123,21 +126,21 @@
 
     /// Has the leader close the gate once a job depends on others.
     pub(crate) fn close_version_gate(&mut self, now: Now) {
-        let Some(lead) = self.lead.as_ref() else {
+        let Some(leader) = self.leader.as_ref() else {
             return;
         };
-        let due = match lead.gate {
-            GateStep::Idle => self.job_cache.dependencies_in_use(),
-            GateStep::ChangingKeyAgain(at) => now.time >= at,
+        let due = match leader.gate {
+            VersionGateStep::Idle => self.job_cache.dependencies_in_use(),
+            VersionGateStep::ChangingKeyAgain(at) => now.time >= at,
             _ => false,
         };
         if !due {
             return;
         }
-        if lead.key == LeaderKey::Common {
-            let record = lead.record(&self.settings.node);
-            let call = StateCall::Commit(lead.change_key(&record));
-            return self.gate_call(GateStep::ChangingKey, call);
+        if leader.key == LeaderKey::Common {
+            let record = leader.record(&self.settings.node);
+            let call = StoreCall::Commit(leader.change_key(&record));
+            return self.gate_call(VersionGateStep::ChangingKey, call);
         }
         if self.job_cache.catalog_moved && !self.job_cache.catalog_for_all {
             return;
@@ -149,76 +152,76 @@
                     key: CATALOG.into(),
                 },
             ];
-            let call = StateCall::Commit(Transaction {
-                conditions: vec![lead.leading()],
+            let call = StoreCall::Commit(Transaction {
+                conditions: vec![leader.leadership_condition()],
                 changes,
             });
-            self.gate_call(GateStep::MovingCatalog, call);
+            self.gate_call(VersionGateStep::MovingCatalog, call);
         }
     }
 
-    fn gate_call(&mut self, step: GateStep, call: StateCall) {
-        if let Some(lead) = self.lead.as_mut() {
-            lead.gate = step;
-            self.lead_call(call, LeadStep::Gate);
+    fn gate_call(&mut self, step: VersionGateStep, call: StoreCall) {
+        if let Some(leader) = self.leader.as_mut() {
+            leader.gate = step;
+            self.call_store_as_leader(call, LeaderCall::Gate);
         }
     }
 
     /// The answer to a call that closes the gate.
-    pub(crate) fn gate_answered(&mut self, answer: StateAnswer, now: Now) {
-        let step = self.lead.as_ref().map(|lead| lead.gate);
+    pub(crate) fn gate_answered(&mut self, answer: StoreAnswer, now: Now) {
+        let step = self.leader.as_ref().map(|leader| leader.gate);
         match step {
-            Some(GateStep::ChangingKey) => self.key_changed(answer, now),
-            Some(GateStep::ReadingKey) => self.key_was_read(answer, now),
-            Some(GateStep::MovingCatalog) => self.catalog_moved(answer),
+            Some(VersionGateStep::ChangingKey) => self.key_changed(answer, now),
+            Some(VersionGateStep::ReadingKey) => self.key_was_read(answer, now),
+            Some(VersionGateStep::MovingCatalog) => self.catalog_moved(answer),
             _ => {}
         }
     }
 
-    fn set_gate(&mut self, step: GateStep) {
-        if let Some(lead) = self.lead.as_mut() {
-            lead.gate = step;
+    fn set_gate(&mut self, step: VersionGateStep) {
+        if let Some(leader) = self.leader.as_mut() {
+            leader.gate = step;
         }
     }
 
-    fn key_changed(&mut self, answer: StateAnswer, now: Now) {
+    fn key_changed(&mut self, answer: StoreAnswer, now: Now) {
         match answer {
-            StateAnswer::Committed(version) => self.holds_gated_key(version),
-            StateAnswer::Refused => self.set_gate(GateStep::Idle),
-            StateAnswer::NoSuchLease => self.step_down("its lease has ended"),
-            StateAnswer::Conflict(_) => {
-                self.gate_call(GateStep::ReadingKey, StateCall::Get(SEAT.into()))
+            StoreAnswer::Committed(version) => self.holds_gated_key(version),
+            StoreAnswer::Refused => self.set_gate(VersionGateStep::Idle),
+            StoreAnswer::NoSuchLease => self.step_down("its lease has ended"),
+            StoreAnswer::Conflict(_) => {
+                self.gate_call(VersionGateStep::ReadingKey, StoreCall::Get(SEAT.into()))
             }
-            _ => self.set_gate(GateStep::ChangingKeyAgain(now.time + AGAIN)),
+            _ => self.set_gate(VersionGateStep::ChangingKeyAgain(now.time + AGAIN)),
         }
     }
 
-    fn key_was_read(&mut self, answer: StateAnswer, now: Now) {
+    fn key_was_read(&mut self, answer: StoreAnswer, now: Now) {
         match answer {
-            StateAnswer::Found(item) => {
+            StoreAnswer::Found(item) => {
                 let record = LeaderRecord::deserialize_from(&item.value);
-                let lease = self.lead.as_ref().map(|lead| lead.lease_id);
+                let lease = self.leader.as_ref().map(|leader| leader.lease_id);
                 if record.is_some_and(|record| Some(record.lease) == lease) {
                     self.holds_gated_key(item.version);
                 } else {
                     self.step_down("its key has changed");
                 }
             }
-            StateAnswer::Missing => self.step_down("its key is gone"),
-            _ => self.set_gate(GateStep::ChangingKeyAgain(now.time + AGAIN)),
+            StoreAnswer::Missing => self.step_down("its key is gone"),
+            _ => self.set_gate(VersionGateStep::ChangingKeyAgain(now.time + AGAIN)),
         }
     }
 
     /// The key behind the gate is this leader's.
     fn holds_gated_key(&mut self, version: Version) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         log::info!("the leader's key is {SEAT} from now on, since jobs depend on others");
-        lead.gate = GateStep::Idle;
-        lead.key = LeaderKey::Gated;
-        lead.version = version;
-        let record = lead.record(&self.settings.node);
+        leader.gate = VersionGateStep::Idle;
+        leader.key = LeaderKey::Gated;
+        leader.version = version;
+        let record = leader.record(&self.settings.node);
         let tombstone = record.tombstone(None);
         let cache = &mut self.job_cache;
         cache.learn_leader(LeaderKey::Common, version, Some((version, tombstone)));
@@ -226,19 +229,19 @@
     }
 
     /// What was not carried out, or may not have been, is tried again.
-    fn catalog_moved(&mut self, answer: StateAnswer) {
-        if let StateAnswer::Committed(_) = answer {
+    fn catalog_moved(&mut self, answer: StoreAnswer) {
+        if let StoreAnswer::Committed(_) = answer {
             self.job_cache.catalog_moved = true;
             self.job_cache.catalog_for_all = false;
         }
-        self.set_gate(GateStep::Idle);
-        self.lost_by(&answer);
+        self.set_gate(VersionGateStep::Idle);
+        self.step_down_if_superseded(&answer);
     }
 
     /// Keeps the machine types for the other nodes. Once jobs depend on others they are stored where the
     /// gate keeps them.
     pub(crate) fn keep_catalog(&mut self, catalog: &Catalog) {
-        let Some(lead) = (self.lead.as_ref()).filter(|_| !self.job_cache.dependencies_in_use())
+        let Some(leader) = (self.leader.as_ref()).filter(|_| !self.job_cache.dependencies_in_use())
         else {
             return;
         };
@@ -246,11 +249,11 @@
         let Some(stored) = self.storable(catalog) else {
             return;
         };
-        let call = StateCall::Commit(Transaction {
-            conditions: vec![lead.leading()],
+        let call = StoreCall::Commit(Transaction {
+            conditions: vec![leader.leadership_condition()],
             changes: vec![put(CATALOG.into(), &stored)],
         });
-        self.lead_call(call, LeadStep::Catalog);
+        self.call_store_as_leader(call, LeaderCall::Catalog);
     }
 
     /// The machine types, if they are small enough to be stored.
--- a/crates/core/src/version_gate/tests.rs
+++ b/crates/core/src/version_gate/tests.rs
@@ -1,33 +1,35 @@
 use super::*;
-use crate::election::LEASE;
+use crate::election::LEADER_LEASE_TTL;
 use crate::records::RECORD_FORMAT;
-use crate::testing::{core, lead, NOW};
+use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
 
 /// A leader that has just won, on a node that has read everything.
-fn leader() -> Core {
-    let mut core = core();
-    core.job_cache.complete = true;
-    core.lead = Some(lead());
-    core
+fn leading_node() -> Node {
+    let mut node = node();
+    node.job_cache.complete = true;
+    node.leader = Some(leader());
+    node
 }
 
 /// A superseded leader may go on by its own clock, so nothing is concluded from leases before that is over.
 #[test]
 fn the_fence_comes_after_a_superseded_leader_has_surely_stopped() {
-    let fence_of = |core: &mut Core| {
-        core.note_fence(NOW.time);
-        core.lead.as_ref().and_then(|lead| lead.fence)
+    let fence_of = |node: &mut Node| {
+        node.update_old_leaders_fenced_at(NOW.time);
+        node.leader
+            .as_ref()
+            .and_then(|leader| leader.old_leaders_fenced_at)
     };
-    let mut alone = leader();
+    let mut alone = leading_node();
     let before = fence_of(&mut alone).expect("a fence");
-    assert!(before < NOW.time + LEASE);
-    let mut after = leader();
+    assert!(before < NOW.time + LEADER_LEASE_TTL);
+    let mut after = leading_node();
     after.job_cache.dependencies_seen = true;
-    assert!(fence_of(&mut after).expect("a fence") > NOW.time + LEASE);
-    let mut unread = leader();
+    assert!(fence_of(&mut after).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
+    let mut unread = leading_node();
     unread.job_cache.complete = false;
-    assert!(fence_of(&mut unread).expect("a fence") > NOW.time + LEASE);
+    assert!(fence_of(&mut unread).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
 }
 
 /// While nothing depends on anything, leaders of both versions are left alone; then only newer ones are.
@@ -40,40 +42,52 @@
     let mut cache = JobCache::default();
     let old = Some((Version(3), record(0)));
     cache.learn_leader(LeaderKey::Common, Version(3), old);
-    assert!(matches!(cache.seat(), Seat::Taken(LeaderKey::Common)));
+    assert!(matches!(
+        cache.leader_slot(),
+        LeaderSlot::Taken(LeaderKey::Common)
+    ));
     cache.dependencies_seen = true;
-    assert!(matches!(cache.seat(), Seat::Outdated((Version(3), _))));
+    assert!(matches!(
+        cache.leader_slot(),
+        LeaderSlot::Outdated((Version(3), _))
+    ));
     let tombstone = record(0).tombstone(Some(LeaseId(1)));
     cache.learn_leader(LeaderKey::Common, Version(5), Some((Version(5), tombstone)));
-    assert!(matches!(cache.seat(), Seat::Vacant(Some((Version(5), _)))));
+    assert!(matches!(
+        cache.leader_slot(),
+        LeaderSlot::Vacant(Some((Version(5), _)))
+    ));
     let new = Some((Version(6), record(RECORD_FORMAT)));
     cache.learn_leader(LeaderKey::Gated, Version(6), new);
-    assert!(matches!(cache.seat(), Seat::Taken(LeaderKey::Gated)));
+    assert!(matches!(
+        cache.leader_slot(),
+        LeaderSlot::Taken(LeaderKey::Gated)
+    ));
 }
 
 /// The commit that moves the key is repeated when its outcome is not known; if it fails then, an earlier
 /// try was perhaps carried out, and the leader leads on by the other key.
 #[test]
 fn a_leader_finds_out_that_its_key_was_moved_after_all() {
-    let mut core = leader();
-    core.job_cache.dependencies_seen = true;
-    core.close_version_gate(NOW);
-    core.gate_answered(StateAnswer::Unknown, NOW);
-    let gate = |core: &Core| core.lead.as_ref().map(|lead| lead.gate);
-    assert!(gate(&core).is_some_and(GateStep::is_changing_key));
-    core.close_version_gate(NOW);
+    let mut node = leading_node();
+    node.job_cache.dependencies_seen = true;
+    node.close_version_gate(NOW);
+    node.gate_answered(StoreAnswer::Unknown, NOW);
+    let gate = |node: &Node| node.leader.as_ref().map(|leader| leader.gate);
+    assert!(gate(&node).is_some_and(VersionGateStep::is_changing_key));
+    node.close_version_gate(NOW);
     assert!(
-        matches!(gate(&core), Some(GateStep::ChangingKeyAgain(_))),
+        matches!(gate(&node), Some(VersionGateStep::ChangingKeyAgain(_))),
         "not at once"
     );
     let later = Now {
         time: NOW.time + AGAIN,
         ..NOW
     };
-    core.close_version_gate(later);
-    core.gate_answered(StateAnswer::Conflict(vec![LEADER.into()]), later);
-    assert_eq!(gate(&core), Some(GateStep::ReadingKey));
-    let lease = core.lead.as_ref().map(|lead| lead.lease_id);
+    node.close_version_gate(later);
+    node.gate_answered(StoreAnswer::Conflict(vec![LEADER.into()]), later);
+    assert_eq!(gate(&node), Some(VersionGateStep::ReadingKey));
+    let lease = node.leader.as_ref().map(|leader| leader.lease_id);
     let record = LeaderRecord::new("n0".into(), Epoch(1), lease.expect("a lease"));
     let item = rudderreel_wire::state::Item {
         key: SEAT.into(),
@@ -81,14 +95,14 @@
         version: Version(8),
         lease,
     };
-    core.gate_answered(StateAnswer::Found(item), later);
-    let lead = core.lead.as_ref().expect("it leads on");
-    assert_eq!((lead.key, lead.version), (LeaderKey::Gated, Version(8)));
+    node.gate_answered(StoreAnswer::Found(item), later);
+    let leader = node.leader.as_ref().expect("it leads on");
+    assert_eq!((leader.key, leader.version), (LeaderKey::Gated, Version(8)));
     // Another's key there means that it has lost.
-    let mut lost = leader();
+    let mut lost = leading_node();
     lost.job_cache.dependencies_seen = true;
     lost.close_version_gate(NOW);
-    lost.gate_answered(StateAnswer::Conflict(vec![LEADER.into()]), NOW);
-    lost.gate_answered(StateAnswer::Missing, NOW);
-    assert!(lost.lead.is_none());
+    lost.gate_answered(StoreAnswer::Conflict(vec![LEADER.into()]), NOW);
+    lost.gate_answered(StoreAnswer::Missing, NOW);
+    assert!(lost.leader.is_none());
 }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -1,26 +1,26 @@
 //! Workers' reports, as a node answers them, and calls to workers.
 
 use crate::commands::TeamUsage;
-use crate::core::Core;
 use crate::io::{json, DirectOutcome, Output, ReqId};
+use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::MachineId;
-use rudderreel_wire::worker::{DirectCommands, Report, ReportReply};
+use rudderreel_wire::worker::{DirectCommands, StatusReport, StatusReportReply};
 
 /// A call that could not be made is tried again after so long.
 const NOT_CALLED: Span = Span(300);
 
-impl Core {
-    pub(crate) fn report(&mut self, req: ReqId, report: Report, now: Now) {
+impl Node {
+    pub(crate) fn report(&mut self, req: ReqId, report: StatusReport, now: Now) {
         self.last_report = Some(now.time);
-        let state_ok = self.election.state_ok(now.time);
+        let store_reachable = self.election.store_reachable(now.time);
         let majority = self.election.majority();
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             let Some(report) = self.pass_on(req, report, now) else {
                 return;
             };
-            if self.election.cares(now.time) && report.token <= self.election.epoch {
-                let reply = ReportReply {
+            if self.election.stands_in_for_leader(now.time) && report.token <= self.election.epoch {
+                let reply = StatusReportReply {
                     token: self.election.epoch,
                     commands: self.job_cache.stops_of_cancelled(&report),
                 };
@@ -28,18 +28,18 @@
             }
             return self.report_elsewhere(req, now.time);
         };
-        if !lead.may_answer(now.time, state_ok, majority) {
+        if !leader.may_answer(now.time, store_reachable, majority) {
             return self.refuse(req, "leading is in doubt");
         }
-        match lead.answer_report(&report, &self.job_cache, now) {
+        match leader.answer_report(&report, &self.job_cache, now) {
             Some(commands) => {
-                let token = lead.epoch;
+                let token = leader.epoch;
                 if commands.is_empty() {
                     if let Some(peer) = self.spread_report(&report.machine, now.time) {
                         return self.report_to(req, Some(peer));
                     }
                 }
-                self.answer(req, 200, json(&ReportReply { token, commands }))
+                self.answer(req, 200, json(&StatusReportReply { token, commands }))
             }
             None => self.refuse(req, "not entitled"),
         }
@@ -50,18 +50,18 @@
     /// refused did so until the leases ran out, since the one still took the other for the leader.)
     fn report_elsewhere(&mut self, req: ReqId, now: Time) {
         let recorded = self.job_cache.leader().map(|(_, r)| r.node.clone());
-        let recorded = recorded.filter(|_| self.election.state_ok(now));
+        let recorded = recorded.filter(|_| self.election.store_reachable(now));
         let leader = self.near_leader(now).or(recorded);
         self.report_to(req, leader.filter(|node| *node != self.settings.node));
     }
 
     /// Sends starts that have been recorded, what can't wait first.
     pub(crate) fn push_starts(&mut self, machines: &[MachineId], now: Now) {
-        let Some(lead) = self.lead.as_ref() else {
+        let Some(leader) = self.leader.as_ref() else {
             return;
         };
         let mut order: Vec<(bool, &MachineId)> = (machines.iter())
-            .filter_map(|id| Some((lead.is_urgent(lead.machines.get(id)?), id)))
+            .filter_map(|id| Some((leader.is_urgent(leader.machines.get(id)?), id)))
             .collect();
         // The rest is told when it reports, which is soon.
         let behind = self.backlog.is_behind(now.time);
@@ -77,31 +77,31 @@
 
     /// Sends waiting commands to a worker directly.
     pub(crate) fn push_direct(&mut self, id: &MachineId, usage: &TeamUsage, now: Now) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let Some(machine) = lead.machines.get(id) else {
+        let Some(machine) = leader.machines.get(id) else {
             return;
         };
         let Some(addr) = machine.addr.clone() else {
             return;
         };
-        let session = machine.newest.0;
-        if !lead.wants_direct(machine, now.time) || !lead.may_call(now.time) {
+        let incarnation = machine.newest.0;
+        if !leader.wants_direct(machine, now.time) || !leader.may_call(now.time) {
             return;
         }
-        let commands = lead.commands_within(id, usage, now.time, true);
+        let commands = leader.commands_within(id, usage, now.time, true);
         if commands.is_empty() {
             return;
         }
-        lead.calls_left -= 1.0;
-        if let Some(machine) = lead.machines.get_mut(id) {
+        leader.calls_left -= 1.0;
+        if let Some(machine) = leader.machines.get_mut(id) {
             machine.direct_open = true;
             machine.direct_after = now.time + Span(200);
         }
         let body = DirectCommands {
-            token: lead.epoch,
-            session,
+            token: leader.epoch,
+            incarnation,
             commands,
         };
         self.out.push(Output::Direct {
@@ -114,11 +114,11 @@
     /// Asks a worker that has missed a report, or is in doubt, for one: commands that command
     /// nothing.
     pub(crate) fn probe(&mut self, id: &MachineId) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let token = lead.epoch;
-        let Some(machine) = lead.machines.get_mut(id) else {
+        let token = leader.epoch;
+        let Some(machine) = leader.machines.get_mut(id) else {
             return;
         };
         let (Some(addr), false) = (machine.addr.clone(), machine.direct_open) else {
@@ -127,7 +127,7 @@
         machine.direct_open = true;
         let body = DirectCommands {
             token,
-            session: machine.newest.0,
+            incarnation: machine.newest.0,
             commands: Vec::new(),
         };
         self.out.push(Output::Direct {
@@ -144,27 +144,27 @@
         outcome: DirectOutcome,
         now: Now,
     ) {
-        let Some(lead) = self.lead.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let unsure = matches!(outcome, DirectOutcome::Unknown);
-        lead.direct_ended(&id, &body.commands, unsure);
+        leader.direct_ended(&id, &body.commands, unsure);
         match outcome {
-            DirectOutcome::Executed(report) => lead.reacted(&report, now),
+            DirectOutcome::Executed(report) => leader.reacted(&report, now),
             DirectOutcome::Rejected(Some(report)) => {
-                if report.token > lead.epoch {
+                if report.token > leader.epoch {
                     return log::warn!("{id} follows a higher token");
                 }
-                lead.reacted(&report, now);
+                leader.reacted(&report, now);
             }
             DirectOutcome::NotCalled => {
                 // Too many wait already: it is tried again, but not at once.
-                if let Some(machine) = lead.machines.get_mut(&id) {
+                if let Some(machine) = leader.machines.get_mut(&id) {
                     machine.direct_after = now.time + NOT_CALLED;
                 }
             }
             _ => {
-                lead.did_not_answer(&id, now.time);
+                leader.did_not_answer(&id, now.time);
             }
         }
     }
--- a/crates/core/tests/sim/added.rs
+++ b/crates/core/tests/sim/added.rs
@@ -3,11 +3,11 @@
 
 use super::world::{Plan, Trouble, World};
 use super::{day, unfinished};
-use rudderreel_core::{Core, Input, Output, StateAnswer, StateCall};
-use rudderreel_wire::ids::{Epoch, JobId, MachineId, Seq, Session, Version};
+use rudderreel_core::{Input, Node, Output, StoreAnswer, StoreCall};
+use rudderreel_wire::ids::{Epoch, Incarnation, JobId, MachineId, Seq, Version};
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::state::Page;
-use rudderreel_wire::worker::{Report, TaskReport, TaskState};
+use rudderreel_wire::worker::{StatusReport, TaskState, TaskStatus};
 
 fn alone(only: Trouble, nodes: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
@@ -74,15 +74,18 @@
     world.run_until(40_000);
     // The zone in which the leader is not.
     let leader = world.leader().expect("a leader");
-    let dark = ["b", "a"][leader % 2];
+    let partitioned_zones = ["b", "a"][leader % 2];
     let there = |world: &World| -> Vec<MachineId> {
-        let all = world.workers.iter().filter(|(_, w)| w.zone() == dark);
+        let all = world
+            .workers
+            .iter()
+            .filter(|(_, w)| w.zone() == partitioned_zones);
         all.map(|(id, _)| id.clone()).collect()
     };
     let before = there(&world);
     assert!(before.len() >= 10, "{} machines", before.len());
     let until = world.now + 15_000;
-    world.cut_zone(dark, until);
+    world.cut_zone(partitioned_zones, until);
     world.run_until(until);
     let gone = before.iter().filter(|id| !world.cloud.has(id)).count();
     assert_eq!(gone, 0, "machines were given up");
@@ -113,7 +116,11 @@
     world.run_until(until - 10_000);
     assert_ne!(world.leader(), Some(old), "it goes on leading");
     // A worker that finds no node for a while may lose its lease.
-    let lost = world.workers.values().filter(|w| w.session.0 > 1).count();
+    let lost = world
+        .workers
+        .values()
+        .filter(|w| w.incarnation.0 > 1)
+        .count();
     assert!(lost <= 3, "{lost} leases ran out");
 }
 
@@ -176,14 +183,14 @@
     }
 }
 
-fn report(machine: &MachineId, session: u64, seq: u64) -> Report {
-    Report {
+fn report(machine: &MachineId, incarnation: u64, seq: u64) -> StatusReport {
+    StatusReport {
         machine: machine.clone(),
         addr: "10.2.0.1:1".into(),
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
-        session: Session(session),
+        incarnation: Incarnation(incarnation),
         seq: Seq(seq),
         token: Epoch(1),
         notice_s: None,
@@ -207,7 +214,7 @@
     let mut high = report(&known, 900, 1);
     high.token = Epoch(1 << 60);
     let mut foreign = report(&MachineId::from("vm-999998"), 1, 1);
-    foreign.tasks = vec![TaskReport {
+    foreign.tasks = vec![TaskStatus {
         task: stranger.task(7),
         attempt: rudderreel_wire::ids::Attempt(9),
         state: TaskState::Running,
@@ -230,8 +237,8 @@
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-fn page() -> StateAnswer {
-    StateAnswer::Page(Page {
+fn page() -> StoreAnswer {
+    StoreAnswer::Page(Page {
         items: Vec::new(),
         more: false,
         revision: Version(7),
@@ -243,8 +250,8 @@
 #[test]
 fn a_lost_watch_is_taken_up_again() {
     let mut world = World::of(560, Plan::default());
-    let mut core = Core::new(world.settings_of(0));
-    let answer = |core: &mut Core, world: &mut World, first: Input, good: bool| -> bool {
+    let mut core = Node::new(world.settings_of(0));
+    let answer = |core: &mut Node, world: &mut World, first: Input, good: bool| -> bool {
         let mut next = Some(first);
         for _ in 0..200 {
             world.now += 20;
@@ -254,11 +261,11 @@
                 match output {
                     Output::Watch(_) => return true,
                     Output::State(id, call) => {
-                        let list = matches!(call, StateCall::List(..));
+                        let list = matches!(call, StoreCall::List(..));
                         let got = if good && list {
                             page()
                         } else {
-                            StateAnswer::Refused
+                            StoreAnswer::Refused
                         };
                         let at = world.clock_of(0);
                         outputs.extend(core.step(Input::State(id, at.time, got), at));
--- a/crates/core/tests/sim/answers.rs
+++ b/crates/core/tests/sim/answers.rs
@@ -2,20 +2,20 @@
 
 use super::gap::replicas;
 use super::world::{Plan, World};
-use rudderreel_core::{CallId, Core, Input, Output, ReqId, StateAnswer, StateCall, UserRequest};
+use rudderreel_core::{CallId, Input, Node, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use rudderreel_wire::ids::{JobId, Version};
-use rudderreel_wire::peer::{Announcement, AnnouncementReply, CancelledJob};
+use rudderreel_wire::peer::{CancelledJob, ReplicateCancellations, ReplicateCancellationsReply};
 use rudderreel_wire::state::{Event, Item, Page};
 use serde_json::{json, Value};
 
 /// A node alone with its test, which answers its calls.
-struct Node {
-    core: Core,
+struct SingleNode {
+    node: Node,
     world: World,
     out: Vec<Output>,
 }
 
-impl Node {
+impl SingleNode {
     /// One of so many nodes, that has read an empty state service.
     fn new(nodes: usize) -> Self {
         let plan = Plan {
@@ -24,28 +24,28 @@
             ..Plan::default()
         };
         let world = World::of(570, plan);
-        let core = Core::new(world.settings_of(0));
+        let node = Node::new(world.settings_of(0));
         let mut node = Self {
-            core,
+            node,
             world,
             out: Vec::new(),
         };
         node.wait(1_000);
         while let Some((id, call)) = node.call(|_| true) {
             let answer = match call {
-                StateCall::List(..) => StateAnswer::Page(Page {
+                StoreCall::List(..) => StoreAnswer::Page(Page {
                     items: Vec::new(),
                     more: false,
                     revision: Version(10),
                 }),
                 // Somebody else leads.
-                StateCall::Get(key) if key == "pub/leader" => StateAnswer::Found(Item {
+                StoreCall::Get(key) if key == "pub/leader" => StoreAnswer::Found(Item {
                     value: json!({"node": "n1", "epoch": 3, "lease": 7}),
                     key,
                     version: Version(9),
                     lease: None,
                 }),
-                _ => StateAnswer::Refused,
+                _ => StoreAnswer::Refused,
             };
             node.answer(id, answer);
         }
@@ -55,7 +55,7 @@
     fn step(&mut self, input: Input) {
         self.world.now += 1;
         let now = self.world.clock_of(0);
-        self.out.extend(self.core.step(input, now));
+        self.out.extend(self.node.step(input, now));
     }
 
     fn wait(&mut self, ms: u64) {
@@ -66,7 +66,7 @@
     }
 
     /// Takes the next call to the state service of a kind.
-    fn call(&mut self, wanted: impl Fn(&StateCall) -> bool) -> Option<(CallId, StateCall)> {
+    fn call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
         let of = |o: &Output| matches!(o, Output::State(_, call) if wanted(call));
         let at = self.out.iter().position(of)?;
         match self.out.remove(at) {
@@ -76,12 +76,12 @@
     }
 
     /// Waits for such a call.
-    fn expect(&mut self, wanted: impl Fn(&StateCall) -> bool) -> CallId {
+    fn expect(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> CallId {
         self.wait(100);
         self.call(wanted).expect("a call").0
     }
 
-    fn answer(&mut self, id: CallId, answer: StateAnswer) {
+    fn answer(&mut self, id: CallId, answer: StoreAnswer) {
         let sent = self.world.clock_of(0).time;
         self.step(Input::State(id, sent, answer));
     }
@@ -114,14 +114,14 @@
     }
 
     /// Everybody else knows everything up to a revision.
-    fn all_know(&mut self, known_to: u64) {
+    fn all_know(&mut self, cancellation_watermark: u64) {
         for peer in ["n1", "n2"] {
-            let told = Announcement {
+            let told = ReplicateCancellations {
                 from: peer.into(),
-                known_to: Version(known_to),
+                cancellation_watermark: Version(cancellation_watermark),
                 cancelled: Vec::new(),
             };
-            self.step(Input::Announced(ReqId(900), told));
+            self.step(Input::ReplicateCancellations(ReqId(900), told));
         }
     }
 }
@@ -135,8 +135,8 @@
     json!({"state": state, "submitted": 5, "tasks": 2, "spec": spec})
 }
 
-fn item(version: u64, state: &str) -> StateAnswer {
-    StateAnswer::Found(Item {
+fn item(version: u64, state: &str) -> StoreAnswer {
+    StoreAnswer::Found(Item {
         key: format!("pub/job/{}", id()),
         value: record(state),
         version: Version(version),
@@ -144,33 +144,33 @@
     })
 }
 
-fn is_check(call: &StateCall) -> bool {
-    matches!(call, StateCall::Commit(t) if t.changes.is_empty())
+fn is_check(call: &StoreCall) -> bool {
+    matches!(call, StoreCall::Commit(t) if t.changes.is_empty())
 }
 
-fn is_read(call: &StateCall) -> bool {
-    matches!(call, StateCall::Get(key) if key.starts_with("pub/job/"))
+fn is_read(call: &StoreCall) -> bool {
+    matches!(call, StoreCall::Get(key) if key.starts_with("pub/job/"))
 }
 
 /// Told by the state service that there was no such job, a node said so, although it had learned by then
 /// that it was accepted elsewhere.
 #[test]
 fn no_job_is_unknown_that_was_accepted_meanwhile() {
-    let mut node = Node::new(3);
+    let mut node = SingleNode::new(3);
     node.ask(1, UserRequest::Status(id()));
     let check = node.expect(is_check);
     node.watched(&id(), 20, record("pending"));
-    node.answer(check, StateAnswer::Committed(Version(19)));
+    node.answer(check, StoreAnswer::Committed(Version(19)));
     assert_eq!(node.told(1), None);
     let read = node.expect(is_read);
     node.answer(read, item(20, "pending"));
     assert_eq!(node.told(1).map(|(status, _)| status), Some(200));
     // The same for a read that found nothing.
-    let mut node = Node::new(3);
-    node.ask(1, UserRequest::Withdraw(id()));
+    let mut node = SingleNode::new(3);
+    node.ask(1, UserRequest::Cancel(id()));
     let read = node.expect(is_read);
     node.watched(&id(), 20, record("pending"));
-    node.answer(read, StateAnswer::Missing);
+    node.answer(read, StoreAnswer::Missing);
     assert_eq!(node.told(1), None);
 }
 
@@ -178,13 +178,13 @@
 /// that the job is cancelled.
 #[test]
 fn what_was_read_is_not_told_when_something_newer_is_known() {
-    let mut node = Node::new(3);
+    let mut node = SingleNode::new(3);
     node.watched(&id(), 20, record("pending"));
     node.ask(1, UserRequest::Status(id()));
     let check = node.expect(is_check);
     node.answer(
         check,
-        StateAnswer::Conflict(vec![format!("pub/job/{}", id())]),
+        StoreAnswer::Conflict(vec![format!("pub/job/{}", id())]),
     );
     let read = node.expect(is_read);
     node.watched(&id(), 30, record("aborted"));
@@ -198,7 +198,7 @@
 /// A job that another node cancelled before the answer to its creation came is not told as pending.
 #[test]
 fn a_job_is_told_as_cancelled_by_the_node_that_created_it() {
-    let mut node = Node::new(3);
+    let mut node = SingleNode::new(3);
     let catalog = json!({"hulls": [{"label": "m4", "vcpus": 4.0, "gpus": 0.0, "memoryGb": 16.0,
         "cacheGb": 10.0, "fetchGbPerS": 1.0, "rate": 1.0, "marketPrice": 0.3, "startupS": 4.0,
         "berths": ["a", "b"]}]});
@@ -209,10 +209,10 @@
     };
     node.step(Input::Watched(Version(11), vec![event]));
     node.ask(1, UserRequest::Submit(Box::new(replicas(1, 2))));
-    let create = node.expect(|c| matches!(c, StateCall::Commit(t) if !t.changes.is_empty()));
+    let create = node.expect(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
     node.watched(&id(), 31, record("aborted"));
     node.all_know(31);
-    node.answer(create, StateAnswer::Committed(Version(30)));
+    node.answer(create, StoreAnswer::Committed(Version(30)));
     assert_eq!(node.told(1).expect("an answer").1["bearing"], "aborted");
 }
 
@@ -221,14 +221,14 @@
 #[test]
 fn a_cancellation_is_told_when_a_majority_knows() {
     for nodes in [3, 5] {
-        let mut node = Node::new(nodes);
+        let mut node = SingleNode::new(nodes);
         node.watched(&id(), 20, record("pending"));
-        node.ask(1, UserRequest::Withdraw(id()));
-        let commit = node.expect(|c| matches!(c, StateCall::Commit(t) if !t.changes.is_empty()));
-        node.answer(commit, StateAnswer::Committed(Version(21)));
+        node.ask(1, UserRequest::Cancel(id()));
+        let commit = node.expect(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
+        node.answer(commit, StoreAnswer::Committed(Version(21)));
         assert_eq!(node.told(1), None);
         let told = |o: &Output| match o {
-            Output::Announce(peer, a) => Some((peer.clone(), a.cancelled.clone())),
+            Output::ReplicateCancellations(peer, a) => Some((peer.clone(), a.cancelled.clone())),
             _ => None,
         };
         let announced: Vec<_> = node.out.iter().filter_map(told).collect();
@@ -244,23 +244,25 @@
         for (n, (peer, _)) in announced.iter().enumerate() {
             let enough = n + 1 > nodes / 2;
             assert_eq!(node.told(1).is_some(), enough, "{n} others of {nodes} know");
-            let known_to = Version(20);
-            let reply = Some(AnnouncementReply { known_to });
-            node.step(Input::AnnounceReply(peer.clone(), reply));
+            let cancellation_watermark = Version(20);
+            let reply = Some(ReplicateCancellationsReply {
+                cancellation_watermark,
+            });
+            node.step(Input::ReplicateCancellationsReply(peer.clone(), reply));
         }
         assert_eq!(node.told(1).expect("an answer").1["bearing"], "aborted");
     }
-    let mut node = Node::new(3);
+    let mut node = SingleNode::new(3);
     node.watched(&id(), 20, record("aborted"));
     node.ask(1, UserRequest::Status(id()));
-    node.step(Input::AnnounceReply("n1".into(), None));
-    node.step(Input::AnnounceReply("n2".into(), None));
+    node.step(Input::ReplicateCancellationsReply("n1".into(), None));
+    node.step(Input::ReplicateCancellationsReply("n2".into(), None));
     node.wait(400);
     assert_eq!(node.told(1).expect("a refusal").0, 503);
     // It asks the others to write what they know, and is asked again when one has.
-    let writes = |c: &StateCall| matches!(c, StateCall::Commit(t) if t.conditions.is_empty());
+    let writes = |c: &StoreCall| matches!(c, StoreCall::Commit(t) if t.conditions.is_empty());
     let written = node.expect(writes);
-    node.answer(written, StateAnswer::Committed(Version(22)));
+    node.answer(written, StoreAnswer::Committed(Version(22)));
     let event = Event::Put {
         key: "pub/known/n2".into(),
         value: json!({"known_to": 22, "asks": 0}),
@@ -283,7 +285,7 @@
         ("done", true),
         ("aborted", true),
     ] {
-        let mut node = Node::new(3);
+        let mut node = SingleNode::new(3);
         node.watched(&id(), 20, record(state));
         node.all_know(20);
         let mut other = replicas(1, 3);
@@ -293,20 +295,20 @@
         node.ask(1, UserRequest::Submit(Box::new(other)));
         if state == "pending" {
             let check = node.expect(is_check);
-            node.answer(check, StateAnswer::Committed(Version(20)));
+            node.answer(check, StoreAnswer::Committed(Version(20)));
         }
         let (status, body) = node.told(1).expect("an answer");
         assert_eq!((status, &body["bearing"]), (200, &json!(state)), "{odd}");
         if state != "pending" {
-            node.ask(2, UserRequest::Withdraw(id()));
+            node.ask(2, UserRequest::Cancel(id()));
             let (status, body) = node.told(2).expect("an answer");
             assert_eq!((status, &body["bearing"]), (200, &json!(state)));
         }
     }
-    let mut node = Node::new(3);
-    node.ask(1, UserRequest::Withdraw(id()));
+    let mut node = SingleNode::new(3);
+    node.ask(1, UserRequest::Cancel(id()));
     let read = node.expect(is_read);
-    node.answer(read, StateAnswer::Missing);
+    node.answer(read, StoreAnswer::Missing);
     assert_eq!(node.told(1).map(|(status, _)| status), Some(404));
     // Without the machine types, and without the state service, it is refused at once.
     node.ask(2, UserRequest::Submit(Box::new(replicas(2, 1))));
--- a/crates/core/tests/sim/fleet.rs
+++ b/crates/core/tests/sim/fleet.rs
@@ -74,7 +74,7 @@
     part(&mut world, "steady", 30_000);
     let up = world.workers.len();
     assert!(up * 10 >= machines * 7, "{up} machines");
-    let (leader, now) = (world.leading().expect("a leader"), world.now);
+    let (leader, now) = (world.leadership_condition().expect("a leader"), world.now);
     world.bring_about(Trouble::LeaderEnds, leader, now);
     part(&mut world, "the leader ends", 20_000);
     world.bring_about(Trouble::AllEnd, 0, now);
@@ -122,7 +122,7 @@
     assert!(up >= 3_000, "{up} machines");
     (1..5).for_each(|node| world.end_for(node, 15_000));
     part(&mut world, "one node for all workers", 20_000);
-    assert!(world.leading().is_some());
+    assert!(world.leadership_condition().is_some());
     world.calm();
     finish(&mut world);
 }
--- a/crates/core/tests/sim/gap.rs
+++ b/crates/core/tests/sim/gap.rs
@@ -55,7 +55,7 @@
     Withdrawal,
     Poll,
     RepeatedSubmission,
-    Forwarded,
+    ForwardReply,
 }
 
 /// What else goes wrong.
@@ -94,7 +94,7 @@
 /// Asks until the user is told that a job is cancelled, or a moment has come.
 fn ask_until_told(world: &mut World, node: usize, id: &JobId, path: Path, until: u64) {
     let asked = match path {
-        Path::Withdrawal | Path::Forwarded => Asked::Withdraw,
+        Path::Withdrawal | Path::ForwardReply => Asked::Cancel,
         Path::Poll => Asked::Status,
         Path::RepeatedSubmission => Asked::Submit,
     };
@@ -121,7 +121,7 @@
     }
     world.cut_state(old, end);
     let asked = node(1);
-    if case.path == Path::Forwarded {
+    if case.path == Path::ForwardReply {
         world.cut_state(asked, end);
     }
     if also == Also::OnlyTellerServed {
@@ -133,7 +133,7 @@
         Path::Withdrawal => {}
         Path::Poll | Path::RepeatedSubmission => world.withdraw_and_leave(node(2), &ids[0]),
         // The state service refused it with the leader, and it has noticed that by now.
-        Path::Forwarded => world.run_until(world.now + 800),
+        Path::ForwardReply => world.run_until(world.now + 800),
     }
     if also == Also::AnotherReturns {
         world.end_for(node(2), 100);
@@ -141,7 +141,7 @@
     // The old leader's lease must not have ended when the service goes.
     let patience = match (also, case.path) {
         (Also::NoLinks, _) => 6_000,
-        (_, Path::Forwarded) => 900,
+        (_, Path::ForwardReply) => 900,
         _ => 1_600,
     };
     let latest = world.now + patience;
@@ -173,7 +173,11 @@
     // The world checks the rule all the time. The outage is far longer than it allows.
     world.run_until(end);
     assert_eq!(world.on_machines(&ids[0]), 0);
-    let lost = world.workers.values().filter(|w| w.session.0 > 1).count();
+    let lost = world
+        .workers
+        .values()
+        .filter(|w| w.incarnation.0 > 1)
+        .count();
     world.calm();
     world.run_until(world.now + 100_000);
     assert_eq!(world.jobs[&ids[0]].last, Some(JobState::Cancelled));
@@ -188,7 +192,7 @@
         Path::Withdrawal,
         Path::Poll,
         Path::RepeatedSubmission,
-        Path::Forwarded,
+        Path::ForwardReply,
     ];
     for (n, path) in paths.into_iter().enumerate() {
         for (nodes, spread) in [(3, false), (5, false), (5, true)] {
@@ -252,7 +256,7 @@
         world.run_until(world.now + 500);
         let (from, mut told) = (world.now, None);
         while world.now < end {
-            world.user_asks(alone, &ids[0], Asked::Withdraw);
+            world.user_asks(alone, &ids[0], Asked::Cancel);
             world.run_until(world.now + 400);
             if told.is_none() && world.jobs[&ids[0]].cancelled_at.is_some() {
                 told = Some(world.now - from);
@@ -276,7 +280,11 @@
         world.cut_state((old + 1) % 5, end);
         world.run_until(end - 1_000);
         assert_ne!(world.leader(), Some(old));
-        let lost = world.workers.values().filter(|w| w.session.0 > 1).count();
+        let lost = world
+            .workers
+            .values()
+            .filter(|w| w.incarnation.0 > 1)
+            .count();
         assert_eq!(lost, 0, "leases ran out");
         assert_eq!(world.on_machines(&ids[0]), 2);
     }
@@ -298,7 +306,7 @@
             world.run_until(world.now + 15);
         }
         world.run_until(world.now + 30 + u64::from(n) / 2);
-        world.user_asks(node, &id, Asked::Withdraw);
+        world.user_asks(node, &id, Asked::Cancel);
         world.run_until(world.now + 700);
     }
     assert_eq!(world.starts_of_cancelled, vec![]);
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -151,7 +151,7 @@
 /// Withdraws a job until its user is told how it ended.
 pub fn withdraw(world: &mut World, node: usize, id: &JobId) -> JobState {
     for _ in 0..60 {
-        world.user_asks(node, id, Asked::Withdraw);
+        world.user_asks(node, id, Asked::Cancel);
         world.run_until(world.now + 300);
         if let Some(state @ (JobState::Cancelled | JobState::Done)) = world.jobs[id].last {
             return state;
@@ -333,7 +333,7 @@
         let spec = step(second, &[second - 1]);
         let second = spec.id.clone();
         world.add_job(spec);
-        world.user_asks(1, &first, Asked::Withdraw);
+        world.user_asks(1, &first, Asked::Cancel);
         world.run_until(world.now + u64::from(round));
         world.user_asks(2, &second, Asked::Submit);
         world.run_until(world.now + 2_000);
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -43,7 +43,7 @@
     let end = world.now + ms;
     while world.now < end {
         world.run_until(world.now + LOOK_MS);
-        if let Some(leader) = world.leading() {
+        if let Some(leader) = world.leadership_condition() {
             if leaders.last() != Some(&leader) {
                 leaders.push(leader);
             }
@@ -72,11 +72,13 @@
 fn a_leader_that_can_not_keep_up_makes_way() {
     for seed in [901, 902] {
         let mut world = world(seed, plan());
-        let leader = world.leading().expect("a leader");
+        let leader = world.leadership_condition().expect("a leader");
         world.slow_down(leader, 8.0);
         let leaders = leaders_during(&mut world, 60_000);
         assert!(
-            world.leading().is_some_and(|now| now != leader),
+            world
+                .leadership_condition()
+                .is_some_and(|now| now != leader),
             "{leaders:?}"
         );
         assert!(leaders.len() <= 3, "it settles: {leaders:?}");
@@ -98,7 +100,7 @@
 #[test]
 fn two_slow_candidates_do_not_lead_by_turns() {
     let mut world = world(921, plan());
-    let leader = world.leading().expect("a leader");
+    let leader = world.leadership_condition().expect("a leader");
     let slow = (0..NODES).filter(|node| *node != leader).take(2);
     slow.for_each(|node| world.slow_down(node, 8.0));
     world.end_for(leader, 5_000);
@@ -131,7 +133,7 @@
         world.end_for(node, 5_000);
         world.run_until(world.now + 15_000);
     }
-    assert!(world.leading().is_some());
+    assert!(world.leadership_condition().is_some());
     finish(&mut world);
 }
 
@@ -139,7 +141,7 @@
 #[test]
 fn a_cut_leader_beside_a_slow_state_service() {
     let mut world = world(951, plan());
-    let leader = world.leading().expect("a leader");
+    let leader = world.leadership_condition().expect("a leader");
     let until = world.now + 40_000;
     world.bring_about(Trouble::SlowState, leader, until);
     world.cut_workers(leader, until);
@@ -154,7 +156,7 @@
     let mut world = world(961, plan());
     (0..NODES).for_each(|node| world.slow_down(node, 5.0));
     world.run_until(world.now + 8_000);
-    let leader = world.leading().expect("a leader");
+    let leader = world.leadership_condition().expect("a leader");
     world.end_for(leader, 4_000);
     let leaders = leaders_during(&mut world, 60_000);
     assert!(leaders.len() <= 4, "{leaders:?}");
--- a/crates/core/tests/sim/stores.rs
+++ b/crates/core/tests/sim/stores.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for the state service and the cloud, plain and small.
 
-use rudderreel_core::{CloudAnswer, CloudCall, StateAnswer, StateCall, Value};
+use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::cloud::{
     Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, Rent,
 };
@@ -217,32 +217,32 @@
         (!events.is_empty()).then_some((Version(self.revision), events))
     }
 
-    pub fn call(&mut self, call: &StateCall, now: u64) -> StateAnswer {
+    pub fn call(&mut self, call: &StoreCall, now: u64) -> StoreAnswer {
         if self.down {
-            return StateAnswer::Refused;
+            return StoreAnswer::Refused;
         }
         self.expire(now);
         let changes = match call {
-            StateCall::Commit(t) => t.changes.len() as u64,
+            StoreCall::Commit(t) => t.changes.len() as u64,
             _ => 0,
         };
-        if let StateCall::Commit(transaction) = call {
+        if let StoreCall::Commit(transaction) = call {
             if !self.takes(transaction) {
                 self.rejected += 1;
-                return StateAnswer::Rejected;
+                return StoreAnswer::Rejected;
             }
         }
         let (rps, write_rps) = (self.limits.rps, self.limits.write_rps);
         if !self.requests.take(1, rps, now) || !self.writes.take(changes, write_rps, now) {
             self.limited += 1;
-            return StateAnswer::Refused;
+            return StoreAnswer::Refused;
         }
         match call {
-            StateCall::Get(key) => match self.keys.get(key) {
-                Some(item) => StateAnswer::Found(item.clone()),
-                None => StateAnswer::Missing,
+            StoreCall::Get(key) => match self.keys.get(key) {
+                Some(item) => StoreAnswer::Found(item.clone()),
+                None => StoreAnswer::Missing,
             },
-            StateCall::List(prefix, after) => {
+            StoreCall::List(prefix, after) => {
                 let later = |key: &String| after.as_ref().is_none_or(|a| key > a);
                 let mut items: Vec<Item<Value>> = (self.keys.values())
                     .filter(|i| i.key.starts_with(prefix) && later(&i.key))
@@ -253,13 +253,13 @@
                 let more = items.len() > page;
                 items.truncate(page);
                 let revision = Version(self.revision);
-                StateAnswer::Page(Page {
+                StoreAnswer::Page(Page {
                     items,
                     more,
                     revision,
                 })
             }
-            StateCall::Commit(t) => {
+            StoreCall::Commit(t) => {
                 let version = |key: &String| self.keys.get(key).map_or(Version(0), |i| i.version);
                 let failed: Vec<String> = (t.conditions.iter())
                     .filter(|c| version(&c.key) != c.version)
@@ -272,10 +272,10 @@
                     Change::Delete { .. } => false,
                 });
                 if dead {
-                    return StateAnswer::NoSuchLease;
+                    return StoreAnswer::NoSuchLease;
                 }
                 if !failed.is_empty() {
-                    return StateAnswer::Conflict(failed);
+                    return StoreAnswer::Conflict(failed);
                 }
                 if !t.changes.is_empty() {
                     self.revision += 1;
@@ -283,23 +283,23 @@
                 for change in &t.changes {
                     self.apply(change);
                 }
-                StateAnswer::Committed(Version(self.revision))
+                StoreAnswer::Committed(Version(self.revision))
             }
-            StateCall::NewLease(ttl) => {
+            StoreCall::NewLease(ttl) => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*ttl, now + ttl));
-                StateAnswer::Lease(LeaseId(self.next_lease))
+                StoreAnswer::Lease(LeaseId(self.next_lease))
             }
-            StateCall::Renew(id) => match self.leases.get_mut(&id.0) {
+            StoreCall::Renew(id) => match self.leases.get_mut(&id.0) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
-                    StateAnswer::Done
+                    StoreAnswer::Done
                 }
-                None => StateAnswer::Missing,
+                None => StoreAnswer::Missing,
             },
-            StateCall::EndLease(id) => {
+            StoreCall::EndLease(id) => {
                 self.end(id.0);
-                StateAnswer::Done
+                StoreAnswer::Done
             }
         }
     }
--- a/crates/core/tests/sim/worker.rs
+++ b/crates/core/tests/sim/worker.rs
@@ -2,9 +2,9 @@
 
 use super::world::Told;
 use rudderreel_wire::cloud::Rent;
-use rudderreel_wire::ids::{Attempt, Epoch, JobId, MachineId, Seq, Session, TaskId};
+use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::Kind;
-use rudderreel_wire::worker::{Cause, Command, Report, TaskReport, TaskState};
+use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub struct Task {
@@ -39,7 +39,7 @@
     gang_wait_ms: u64,
     id: MachineId,
     rent: Rent,
-    pub session: Session,
+    pub incarnation: Incarnation,
     seq: u64,
     pub token: Epoch,
     /// When the last answered report was sent.
@@ -66,7 +66,7 @@
             gang_wait_ms,
             id,
             rent,
-            session: Session(1),
+            incarnation: Incarnation(1),
             seq: 0,
             token: Epoch(0),
             answered: now,
@@ -91,7 +91,7 @@
     /// Back at once under the same name, in its next session, with nothing on it.
     pub fn reboot(&mut self) {
         self.tasks.clear();
-        self.session.0 += 1;
+        self.incarnation.0 += 1;
     }
 
     /// Kills everything once the lease has run out.
@@ -102,20 +102,20 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> StatusReport {
         self.seq += 1;
-        Report {
+        StatusReport {
             machine: self.id.clone(),
             addr: "10.2.0.1:1".into(),
             machine_type: self.rent.machine_type.clone(),
             zone: self.rent.zone.clone(),
             spot: self.rent.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: Seq(self.seq),
             token: self.token,
             notice_s: None,
             tasks: (self.tasks.values())
-                .map(|t| TaskReport {
+                .map(|t| TaskStatus {
                     task: t.task.clone(),
                     attempt: t.attempt,
                     state: t.state,
--- a/crates/core/tests/sim/world.rs
+++ b/crates/core/tests/sim/world.rs
@@ -23,18 +23,18 @@
 use rudderreel_core::units::{Now, Time, Wall};
 use rudderreel_core::AdminRequest;
 use rudderreel_core::{
-    CallId, CloudAnswer, Core, DirectOutcome, Input, Output, ReqId, StateAnswer, UserRequest,
+    CallId, CloudAnswer, DirectOutcome, Input, Node, Output, ReqId, StoreAnswer, UserRequest,
 };
 use rudderreel_wire::admin::AdminSettings;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, NodeName, Version};
 use rudderreel_wire::job::{JobSpec, JobState, Kind, Priority};
 use rudderreel_wire::peer::{
-    Announcement, AnnouncementReply, Forward, HeartbeatReply, PassedSubmission, Reports,
-    ReportsReply, SenderVersion,
+    Forward, ForwardedReports, ForwardedReportsReply, ForwardedSubmission, HeartbeatReply,
+    ReplicateCancellations, ReplicateCancellationsReply, SenderVersion,
 };
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::worker::{
-    Command, DirectCommands, Report, ReportElsewhere, ReportReply, TaskState,
+    Command, DirectCommands, ReportRedirect, StatusReport, StatusReportReply, TaskState,
 };
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -47,7 +47,7 @@
     Beat(usize, Time),
     Admin,
     Passed(usize, u32, CallId),
-    Announced(usize, u32),
+    ReplicateCancellations(usize, u32),
     /// A submission that can't be accepted.
     Odd(JobId),
     /// A late copy: whoever sent it is not there any more.
@@ -58,7 +58,7 @@
 pub enum Asked {
     Submit,
     Status,
-    Withdraw,
+    Cancel,
 }
 
 enum Event {
@@ -66,19 +66,19 @@
     /// A node whose steps take time can go on.
     Free(usize, u32),
     Input(usize, u32, Input),
-    State(usize, u32, CallId, Time, rudderreel_core::StateCall),
-    Late(rudderreel_core::StateCall),
+    State(usize, u32, CallId, Time, rudderreel_core::StoreCall),
+    Late(rudderreel_core::StoreCall),
     Watch(usize, u32, Version),
     Cloud(usize, u32, CallId, rudderreel_core::CloudCall),
     Direct(usize, u32, MachineId, DirectCommands, bool),
-    Copy(usize, Box<Report>),
+    Copy(usize, Box<StatusReport>),
     Sweep(usize),
     Look(usize, JobId, Asked),
-    Pass(usize, usize, u32, CallId, Reports),
-    Announce(usize, usize, u32, Announcement),
+    Pass(usize, usize, u32, CallId, ForwardedReports),
+    ReplicateCancellations(usize, usize, u32, ReplicateCancellations),
     Beat(usize, usize, u32, rudderreel_wire::peer::Heartbeat),
     Forward(usize, usize, u32, ReqId, Forward),
-    Report(MachineId),
+    StatusReport(MachineId),
     Answer(MachineId, u64, u64, u16, String),
     User,
     Fault,
@@ -87,8 +87,8 @@
     Upgrade(usize),
 }
 
-struct Node {
-    core: Option<Core>,
+struct SimulatedNode {
+    core: Option<Node>,
     version: NodeVersion,
     life: u32,
     drift: f64,
@@ -130,7 +130,7 @@
     pub now: u64,
     rng: StdRng,
     settings: Vec<Settings>,
-    nodes: Vec<Node>,
+    nodes: Vec<SimulatedNode>,
     /// By a node's life and the text of a transaction: when it had the answer that this is too large.
     rejected: BTreeMap<(usize, u32, String), Time>,
     pub store: Store,
@@ -154,7 +154,7 @@
     cancel_at_end_until: u64,
     close_looks_until: u64,
     /// Copies of reports that are kept for the next leader, and the epoch that was seen last.
-    kept: Vec<Report>,
+    kept: Vec<StatusReport>,
     epoch_seen: u64,
     /// Jobs all of whose tasks have ended.
     ended: BTreeSet<JobId>,
@@ -166,7 +166,7 @@
     /// Nodes that can't reach one another.
     pub cut_pairs: Vec<(usize, usize)>,
     /// A zone that is cut off from everything, and until when. It goes on inside.
-    dark: Option<(&'static str, u64)>,
+    partitioned_zones: Option<(&'static str, u64)>,
     /// Since when there are no troubles.
     calm_since: Option<u64>,
     admin_answer: Option<(u16, String)>,
@@ -211,7 +211,7 @@
     pub fn of(seed: u64, plan: Plan) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings: Vec<Settings> = (0..plan.nodes).map(|n| plan.settings(n)).collect();
-        let nodes = (0..plan.nodes).map(|_| Node {
+        let nodes = (0..plan.nodes).map(|_| SimulatedNode {
             core: None,
             version: NodeVersion::Current,
             life: 0,
@@ -257,7 +257,7 @@
             starts_of_cancelled: Vec::new(),
             next_check: 0,
             cut_pairs: Vec::new(),
-            dark: None,
+            partitioned_zones: None,
             calm_since: None,
             admin_answer: None,
             collects: false,
@@ -308,7 +308,7 @@
     }
 
     fn start(&mut self, node: usize) {
-        self.nodes[node].core = Some(Core::new(self.settings[node].clone()));
+        self.nodes[node].core = Some(Node::new(self.settings[node].clone()));
         self.nodes[node].life += 1;
         self.nodes[node].askers.clear();
         self.nodes[node].work.forget();
@@ -402,13 +402,13 @@
                 self.after(hop, Event::Input(node, life, Input::Cloud(id, answer)));
             }
             Event::Direct(node, life, id, body, late) => self.direct(node, life, id, body, late),
-            Event::Beat(from, to, life, beat) => {
+            Event::Beat(from, to, life, heartbeat) => {
                 if self.alive(from, life)
                     && self.nodes[to].core.is_some()
                     && self.connected(from, to)
                 {
                     let req = self.ask(to, Asker::Beat(from, self.clock(from).time));
-                    self.step(to, Input::Heartbeat(req, beat));
+                    self.step(to, Input::Heartbeat(req, heartbeat));
                 }
             }
             Event::Forward(from, to, life, req, forward) => {
@@ -420,7 +420,7 @@
                 let any = SenderVersion::KnowsDependencies;
                 let (request, sender) = match forward {
                     Forward::Submit(text) => {
-                        let passed = PassedSubmission::parse(&text).expect("a submission");
+                        let passed = ForwardedSubmission::parse(&text).expect("a submission");
                         (UserRequest::Submit(Box::new(passed.spec)), passed.sender)
                     }
                     Forward::Admin(path) => {
@@ -428,25 +428,25 @@
                         return self.step(to, Input::Admin(asked, request, false));
                     }
                     Forward::Status(id) => (UserRequest::Status(id.parse().expect("an id")), any),
-                    Forward::Withdraw(id) => {
-                        (UserRequest::Withdraw(id.parse().expect("an id")), any)
-                    }
+                    Forward::Cancel(id) => (UserRequest::Cancel(id.parse().expect("an id")), any),
                 };
-                self.step(to, Input::Forwarded(asked, request, sender));
+                self.step(to, Input::ForwardedRequest(asked, request, sender));
             }
             Event::Look(node, id, asked) => self.user_asks(node, &id, asked),
-            Event::Report(id) => self.report(&id),
+            Event::StatusReport(id) => self.report(&id),
             Event::Copy(node, report) => {
                 if self.nodes[node].core.is_some() {
                     let req = self.ask(node, Asker::Nobody);
-                    self.step(node, Input::Report(req, report));
+                    self.step(node, Input::StatusReport(req, report));
                 }
             }
             Event::Pass(from, to, life, id, reports) => self.pass(from, to, life, id, reports),
-            Event::Announce(from, to, life, told) => self.announce(from, to, life, told),
+            Event::ReplicateCancellations(from, to, life, told) => {
+                self.announce(from, to, life, told)
+            }
             Event::Sweep(round) => self.sweep(round),
-            Event::Answer(id, session, sent, status, body) => {
-                self.answered(&id, session, sent, status, &body)
+            Event::Answer(id, incarnation, sent, status, body) => {
+                self.answered(&id, incarnation, sent, status, &body)
             }
             Event::User => self.user(),
             Event::Fault => self.fault(),
@@ -528,8 +528,10 @@
 
     /// Whether a cut zone lies between two places.
     fn apart(&self, a: &str, b: &str) -> bool {
-        let dark = self.dark.filter(|(_, until)| self.now < *until);
-        dark.is_some_and(|(zone, _)| (a == zone) != (b == zone))
+        let partitioned_zones = self
+            .partitioned_zones
+            .filter(|(_, until)| self.now < *until);
+        partitioned_zones.is_some_and(|(zone, _)| (a == zone) != (b == zone))
     }
 
     fn ask(&mut self, node: usize, asker: Asker) -> ReqId {
@@ -559,15 +561,17 @@
                     req, status, body, ..
                 } => self.answer(node, req, status, body),
                 Output::AnswerHeartbeat(req, reply) => self.beat_back(node, req, reply),
-                Output::AnswerReports(req, reply) => self.reports_back(node, req, reply),
-                Output::PassReports(peer, id, reports) => {
+                Output::AnswerForwardedReports(req, reply) => self.reports_back(node, req, reply),
+                Output::ForwardReports(peer, id, reports) => {
                     let to = self.node_of(&peer);
                     self.after(hop, Event::Pass(node, to, life, id, reports));
                 }
-                Output::AnswerAnnounced(req, reply) => self.announced_back(node, req, reply),
-                Output::Announce(peer, told) => {
+                Output::AnswerReplicateCancellations(req, reply) => {
+                    self.announced_back(node, req, reply)
+                }
+                Output::ReplicateCancellations(peer, told) => {
                     let to = self.node_of(&peer);
-                    self.after(hop, Event::Announce(node, to, life, told));
+                    self.after(hop, Event::ReplicateCancellations(node, to, life, told));
                 }
                 Output::State(id, call) => {
                     self.after(hop, Event::State(node, life, id, now.time, call))
@@ -584,9 +588,9 @@
                     self.note_starts(&body.commands);
                     self.after(hop, Event::Direct(node, life, machine, body, false))
                 }
-                Output::Heartbeat(beat) => {
+                Output::Heartbeat(heartbeat) => {
                     for to in (0..self.plan.nodes).filter(|to| *to != node) {
-                        self.after(hop, Event::Beat(node, to, life, beat.clone()));
+                        self.after(hop, Event::Beat(node, to, life, heartbeat.clone()));
                     }
                 }
                 Output::Forward(peer, req, forward) => {
@@ -603,59 +607,61 @@
             .expect("a peer")
     }
 
-    fn announce(&mut self, from: usize, to: usize, life: u32, told: Announcement) {
+    fn announce(&mut self, from: usize, to: usize, life: u32, told: ReplicateCancellations) {
         let name = self.settings[to].node.clone();
         let lost = self.faults && self.rng.random_bool(0.02);
         let gone = self.nodes[to].core.is_none() || !self.connected(from, to);
         if lost && !gone {
             // It arrives, and the answer is lost.
             let req = self.ask(to, Asker::Nobody);
-            self.step(to, Input::Announced(req, told));
+            self.step(to, Input::ReplicateCancellations(req, told));
         } else if !gone {
-            let req = self.ask(to, Asker::Announced(from, life));
-            return self.step(to, Input::Announced(req, told));
+            let req = self.ask(to, Asker::ReplicateCancellations(from, life));
+            return self.step(to, Input::ReplicateCancellations(req, told));
         }
         self.after(
             600,
-            Event::Input(from, life, Input::AnnounceReply(name, None)),
+            Event::Input(from, life, Input::ReplicateCancellationsReply(name, None)),
         );
     }
 
-    fn announced_back(&mut self, node: usize, req: ReqId, reply: AnnouncementReply) {
-        if let Some(Asker::Announced(from, life)) = self.nodes[node].askers.remove(&req) {
+    fn announced_back(&mut self, node: usize, req: ReqId, reply: ReplicateCancellationsReply) {
+        if let Some(Asker::ReplicateCancellations(from, life)) =
+            self.nodes[node].askers.remove(&req)
+        {
             let (hop, name) = (self.hop(), self.settings[node].node.clone());
-            let input = Input::AnnounceReply(name, Some(reply));
+            let input = Input::ReplicateCancellationsReply(name, Some(reply));
             self.after(hop, Event::Input(from, life, input));
         }
     }
 
-    fn pass(&mut self, from: usize, to: usize, life: u32, id: CallId, reports: Reports) {
+    fn pass(&mut self, from: usize, to: usize, life: u32, id: CallId, reports: ForwardedReports) {
         let lost = self.faults && self.rng.random_bool(0.02);
         let gone = self.nodes[to].core.is_none() || !self.connected(from, to);
         if lost || gone {
             if lost && !gone {
                 // The reports arrive, and the answer is lost.
                 let req = self.ask(to, Asker::Nobody);
-                self.step(to, Input::Reports(req, reports));
+                self.step(to, Input::ForwardedReports(req, reports));
             }
             return self.after(
                 1_000,
-                Event::Input(from, life, Input::ReportsReply(id, None)),
+                Event::Input(from, life, Input::ForwardedReportsReply(id, None)),
             );
         }
         let req = self.ask(to, Asker::Passed(from, life, id));
         if self.plan.steps_take_time {
             // The sender does not wait for ever; an answer that comes later finds nobody.
-            let none = Input::ReportsReply(id, None);
+            let none = Input::ForwardedReportsReply(id, None);
             self.after(step_times::BATCH_WAITS_MS, Event::Input(from, life, none));
         }
-        self.step(to, Input::Reports(req, reports));
+        self.step(to, Input::ForwardedReports(req, reports));
     }
 
-    fn reports_back(&mut self, node: usize, req: ReqId, reply: ReportsReply) {
+    fn reports_back(&mut self, node: usize, req: ReqId, reply: ForwardedReportsReply) {
         if let Some(Asker::Passed(from, life, id)) = self.nodes[node].askers.remove(&req) {
             let hop = self.hop();
-            let input = Input::ReportsReply(id, Some(reply));
+            let input = Input::ForwardedReportsReply(id, Some(reply));
             self.after(hop, Event::Input(from, life, input));
         }
     }
@@ -679,7 +685,7 @@
         life: u32,
         id: CallId,
         sent: Time,
-        call: rudderreel_core::StateCall,
+        call: rudderreel_core::StoreCall,
     ) {
         let mut hop = self.hop();
         if self.now < self.state_slow_until {
@@ -698,11 +704,11 @@
             return self.blink(node);
         }
         let is_write =
-            matches!(&call, rudderreel_core::StateCall::Commit(t) if !t.changes.is_empty());
+            matches!(&call, rudderreel_core::StoreCall::Commit(t) if !t.changes.is_empty());
         let late = self.now < self.late_writes_until && self.rng.random_bool(0.3);
         let lost = self.now < self.lost_answers_until && self.rng.random_bool(0.3);
         let answer = if self.store.down || cut {
-            StateAnswer::Refused
+            StoreAnswer::Refused
         } else if is_write && (late || lost) {
             if lost {
                 self.store.call(&call, self.now);
@@ -710,7 +716,7 @@
                 let delay = self.rng.random_range(2_000..12_000);
                 self.after(delay, Event::Late(call));
             }
-            let input = Input::State(id, sent, StateAnswer::Unknown);
+            let input = Input::State(id, sent, StoreAnswer::Unknown);
             return self.after(1_200, Event::Input(node, life, input));
         } else if self.faults && self.rng.random_bool(0.01) {
             // The answer is lost; the call may be carried out, now, later or never.
@@ -720,13 +726,13 @@
             }
             self.after(
                 1_000,
-                Event::Input(node, life, Input::State(id, sent, StateAnswer::Unknown)),
+                Event::Input(node, life, Input::State(id, sent, StoreAnswer::Unknown)),
             );
             return;
         } else {
             self.store.call(&call, self.now)
         };
-        if matches!(answer, StateAnswer::Rejected) {
+        if matches!(answer, StoreAnswer::Rejected) {
             self.note_rejected(node, life, sent, &repeat, hop);
         }
         if self.faults && self.rng.random_bool(0.01) && self.alive(node, life) {
@@ -746,10 +752,10 @@
         node: usize,
         life: u32,
         sent: Time,
-        call: &rudderreel_core::StateCall,
+        call: &rudderreel_core::StoreCall,
         hop: u64,
     ) {
-        let rudderreel_core::StateCall::Commit(transaction) = call else {
+        let rudderreel_core::StoreCall::Commit(transaction) = call else {
             return;
         };
         let text = serde_json::to_string(transaction).expect("JSON");
@@ -811,7 +817,7 @@
             return self.after(800, Event::Input(node, life, input));
         }
         worker.expire(self.now, self.plan.lease_s * 1_000);
-        let done = body.token >= worker.token && body.session == worker.session;
+        let done = body.token >= worker.token && body.incarnation == worker.incarnation;
         if done {
             worker.token = body.token;
             for command in &body.commands {
@@ -835,7 +841,7 @@
         for (id, offer) in self.cloud.booted(self.now) {
             let worker = Worker::new(id.clone(), offer, self.plan.gang_wait_s * 1_000, self.now);
             self.workers.insert(id.clone(), worker);
-            self.after(10, Event::Report(id));
+            self.after(10, Event::StatusReport(id));
         }
         for id in self.cloud.gone() {
             self.workers.remove(&id);
@@ -860,13 +866,13 @@
         };
         if worker.hung_until > self.now {
             let until = worker.hung_until;
-            return self.after(until - self.now, Event::Report(id.clone()));
+            return self.after(until - self.now, Event::StatusReport(id.clone()));
         }
         worker.expire(self.now, self.plan.lease_s * 1_000);
         let completed = worker.work(self.now, results);
         let node = worker.node;
         let report = worker.report();
-        let session = worker.session.0;
+        let incarnation = worker.incarnation.0;
         let cut = apart[node]
             || worker.cut_until > self.now
             || self.nodes[node].cut_workers_until > self.now;
@@ -877,7 +883,7 @@
             // No answer reaches it, so it tries one node after the other.
             worker.node = (node + 1) % nodes;
         }
-        self.after(next, Event::Report(id.clone()));
+        self.after(next, Event::StatusReport(id.clone()));
         if completed {
             self.jobs_ended();
         }
@@ -888,7 +894,7 @@
             return;
         }
         let sent = self.now;
-        let req = self.ask(node, Asker::Worker(id.clone(), sent | (session << 48)));
+        let req = self.ask(node, Asker::Worker(id.clone(), sent | (incarnation << 48)));
         let late = self.faults && self.rng.random_bool(0.02);
         let hop = if late {
             self.rng.random_range(2_000..9_000)
@@ -907,12 +913,12 @@
         if self.now < self.for_next_until && self.kept.len() < 200 {
             self.kept.push(report.clone());
         }
-        let input = Input::Report(req, Box::new(report));
+        let input = Input::StatusReport(req, Box::new(report));
         self.after(hop, Event::Input(node, life.unwrap_or(0), input));
     }
 
     /// Who leads, by the state service.
-    pub fn leading(&self) -> Option<usize> {
+    pub fn leadership_condition(&self) -> Option<usize> {
         let moved = self.store.is_set("pub/leader", "superseded");
         let key = if moved { "pub/seat" } else { "pub/leader" };
         let name = self.store.text(key, "node")?;
@@ -929,12 +935,12 @@
                 "{id} was accepted: {status} {body}"
             ),
             Asker::Worker(id, tag) => {
-                if let Ok(reply) = serde_json::from_str::<ReportReply>(&body) {
+                if let Ok(reply) = serde_json::from_str::<StatusReportReply>(&body) {
                     self.note_starts(&reply.commands);
                 }
                 let hop = self.hop();
-                let (sent, session) = (tag & 0xffff_ffff_ffff, tag >> 48);
-                self.after(hop, Event::Answer(id, session, sent, status, body));
+                let (sent, incarnation) = (tag & 0xffff_ffff_ffff, tag >> 48);
+                self.after(hop, Event::Answer(id, incarnation, sent, status, body));
             }
             Asker::User(id, asked, at) => {
                 if status != 503 {
@@ -950,12 +956,15 @@
                 let input = Input::ForwardReply(req, Some((status, body)));
                 self.after(hop, Event::Input(from, life, input));
             }
-            Asker::Beat(..) | Asker::Passed(..) | Asker::Announced(..) | Asker::Nobody => {}
+            Asker::Beat(..)
+            | Asker::Passed(..)
+            | Asker::ReplicateCancellations(..)
+            | Asker::Nobody => {}
             Asker::Admin => self.admin_answer = Some((status, body)),
         }
     }
 
-    fn answered(&mut self, id: &MachineId, session: u64, sent: u64, status: u16, body: &str) {
+    fn answered(&mut self, id: &MachineId, incarnation: u64, sent: u64, status: u16, body: &str) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -964,12 +973,12 @@
             return;
         }
         worker.expire(now, self.plan.lease_s * 1_000);
-        if now > sent + 4_000 || worker.session.0 != session {
+        if now > sent + 4_000 || worker.incarnation.0 != incarnation {
             return;
         }
         match status {
             200 => {
-                let reply: ReportReply = serde_json::from_str(body).expect("a reply");
+                let reply: StatusReportReply = serde_json::from_str(body).expect("a reply");
                 if reply.token < worker.token {
                     return;
                 }
@@ -980,7 +989,7 @@
                 }
             }
             421 => {
-                let to: ReportElsewhere = serde_json::from_str(body).expect("a reply");
+                let to: ReportRedirect = serde_json::from_str(body).expect("a reply");
                 let to = to.report_to;
                 let found =
                     (0..self.plan.nodes).find(|i| Some(&self.settings[*i].node) == to.as_ref());
@@ -1003,10 +1012,10 @@
     }
 
     /// A report that reaches a node, and the status of its answer.
-    pub fn inject(&mut self, node: usize, report: Report) -> u16 {
+    pub fn inject(&mut self, node: usize, report: StatusReport) -> u16 {
         self.admin_answer = None;
         let req = self.ask(node, Asker::Admin);
-        self.step(node, Input::Report(req, Box::new(report)));
+        self.step(node, Input::StatusReport(req, Box::new(report)));
         self.run_until(self.now + 1_500);
         self.admin_answer.take().expect("an answer").0
     }
@@ -1027,13 +1036,13 @@
 }
 
 /// Commits that a node may end in the middle of: of an election, of raising the epoch, of starts.
-fn is_delicate(call: &rudderreel_core::StateCall) -> bool {
+fn is_delicate(call: &rudderreel_core::StoreCall) -> bool {
     match call {
-        rudderreel_core::StateCall::Commit(t) => {
+        rudderreel_core::StoreCall::Commit(t) => {
             let leads = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
             t.conditions.iter().any(|c| leads(&c.key)) && !t.changes.is_empty()
         }
-        rudderreel_core::StateCall::NewLease(_) => true,
+        rudderreel_core::StoreCall::NewLease(_) => true,
         _ => false,
     }
 }
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -50,7 +50,7 @@
         if !self.plan.measures {
             return self.step_core(node, input, now);
         }
-        let kind = (self.leading() == Some(node), kind_of(&input));
+        let kind = (self.leadership_condition() == Some(node), kind_of(&input));
         let begun = Instant::now();
         let outputs = self.step_core(node, input, now);
         let took = begun.elapsed();
@@ -67,13 +67,15 @@
 fn kind_of(input: &Input) -> &'static str {
     match input {
         Input::Tick => "tick",
-        Input::User(..) | Input::Forwarded(..) => "user",
-        Input::Report(..) => "report",
+        Input::User(..) | Input::ForwardedRequest(..) => "user",
+        Input::StatusReport(..) => "report",
         Input::Health(..) | Input::Admin(..) => "admin",
         Input::Heartbeat(..) | Input::HeartbeatReply(..) => "heartbeat",
-        Input::Reports(..) => "batch of reports",
-        Input::ReportsReply(..) => "reply to a batch",
-        Input::Announced(..) | Input::AnnounceReply(..) => "announcement",
+        Input::ForwardedReports(..) => "batch of reports",
+        Input::ForwardedReportsReply(..) => "reply to a batch",
+        Input::ReplicateCancellations(..) | Input::ReplicateCancellationsReply(..) => {
+            "announcement"
+        }
         Input::ForwardReply(..) => "reply to a user",
         Input::State(..) => "state service",
         Input::Watched(..) | Input::WatchLost => "watch",
@@ -85,12 +87,16 @@
 /// The kind and the bytes of what goes to peers, the state service, the cloud and workers.
 fn message(output: &Output) -> Option<(&'static str, usize)> {
     Some(match output {
-        Output::Heartbeat(beat) => ("heartbeat", bitcode::encode(beat).len()),
+        Output::Heartbeat(heartbeat) => ("heartbeat", bitcode::encode(heartbeat).len()),
         Output::AnswerHeartbeat(_, reply) => ("heartbeat reply", bitcode::encode(reply).len()),
-        Output::PassReports(_, _, reports) => ("batch of reports", bitcode::encode(reports).len()),
-        Output::AnswerReports(_, reply) => ("reply to a batch", bitcode::encode(reply).len()),
-        Output::Announce(_, told) => ("announcement", bitcode::encode(told).len()),
-        Output::State(_, rudderreel_core::StateCall::Commit(transaction)) => {
+        Output::ForwardReports(_, _, reports) => {
+            ("batch of reports", bitcode::encode(reports).len())
+        }
+        Output::AnswerForwardedReports(_, reply) => {
+            ("reply to a batch", bitcode::encode(reply).len())
+        }
+        Output::ReplicateCancellations(_, told) => ("announcement", bitcode::encode(told).len()),
+        Output::State(_, rudderreel_core::StoreCall::Commit(transaction)) => {
             let bytes = serde_json::to_vec(transaction).expect("JSON").len();
             ("commit", bytes)
         }
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -4,7 +4,7 @@
 //! `Debug` text, so renaming a type or a field leaves the digest as it is and a changed decision does not.
 
 use super::World;
-use rudderreel_core::{CloudCall, Output, StateCall};
+use rudderreel_core::{CloudCall, Output, StoreCall};
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hasher};
 
@@ -40,20 +40,20 @@
                 self.kind("heartbeat reply", req.0);
                 self.bytes(&bitcode::encode(reply));
             }
-            Output::AnswerReports(req, reply) => {
+            Output::AnswerForwardedReports(req, reply) => {
                 self.kind("reports reply", req.0);
                 self.bytes(&bitcode::encode(reply));
             }
-            Output::AnswerAnnounced(req, reply) => {
+            Output::AnswerReplicateCancellations(req, reply) => {
                 self.kind("announcement reply", req.0);
                 self.bytes(&bitcode::encode(reply));
             }
-            Output::Announce(peer, announcement) => {
+            Output::ReplicateCancellations(peer, announcement) => {
                 self.kind("announcement", 0);
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(announcement));
             }
-            Output::PassReports(peer, call, reports) => {
+            Output::ForwardReports(peer, call, reports) => {
                 self.kind("reports", call.0);
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(reports));
@@ -89,24 +89,24 @@
         }
     }
 
-    fn state_call(&mut self, call: &StateCall) {
+    fn state_call(&mut self, call: &StoreCall) {
         match call {
-            StateCall::Get(key) => {
+            StoreCall::Get(key) => {
                 self.kind("get", 0);
                 self.text(key);
             }
-            StateCall::List(prefix, after) => {
+            StoreCall::List(prefix, after) => {
                 self.kind("list", 0);
                 self.text(prefix);
                 self.json(after);
             }
-            StateCall::Commit(transaction) => {
+            StoreCall::Commit(transaction) => {
                 self.kind("commit", 0);
                 self.json(transaction);
             }
-            StateCall::NewLease(ttl_ms) => self.kind("new lease", *ttl_ms),
-            StateCall::Renew(lease) => self.kind("renew", lease.0),
-            StateCall::EndLease(lease) => self.kind("end lease", lease.0),
+            StoreCall::NewLease(ttl_ms) => self.kind("new lease", *ttl_ms),
+            StoreCall::Renew(lease) => self.kind("renew", lease.0),
+            StoreCall::EndLease(lease) => self.kind("end lease", lease.0),
         }
     }
 
--- a/crates/core/tests/sim/world/step_times.rs
+++ b/crates/core/tests/sim/world/step_times.rs
@@ -53,8 +53,8 @@
     fn next(&mut self) -> Option<Waiting> {
         let rank = |waiting: &Waiting| match waiting.input {
             Input::Tick => 0,
-            Input::User(..) | Input::Forwarded(..) | Input::Admin(..) => 2,
-            Input::Report(..) | Input::Reports(..) => 2,
+            Input::User(..) | Input::ForwardedRequest(..) | Input::Admin(..) => 2,
+            Input::StatusReport(..) | Input::ForwardedReports(..) => 2,
             _ => 1,
         };
         let first = (self.waiting.iter().enumerate()).min_by_key(|(at, w)| (rank(w), *at));
@@ -76,10 +76,10 @@
 fn cost_us(input: &Input) -> u64 {
     match input {
         Input::Tick => 300,
-        Input::Reports(_, batch) => 3_000 + 600 * batch.reports.len() as u64,
+        Input::ForwardedReports(_, batch) => 3_000 + 600 * batch.reports.len() as u64,
         Input::Direct(..) => 6_000,
         Input::State(..) | Input::Cloud(..) => 3_500,
-        Input::ReportsReply(..) | Input::HeartbeatReply(..) => 1_500,
+        Input::ForwardedReportsReply(..) | Input::HeartbeatReply(..) => 1_500,
         _ => 3_000,
     }
 }
@@ -125,11 +125,11 @@
 
     fn take(&mut self, node: usize, input: Input, waited: u64) {
         match input {
-            Input::Report(req, _) if waited > WORKER_WAITS_MS => {
+            Input::StatusReport(req, _) if waited > WORKER_WAITS_MS => {
                 self.answer(node, req, 503, "{}".into());
             }
             // Its sender has been told already that there is no answer.
-            Input::Reports(..) if waited > BATCH_WAITS_MS => {}
+            Input::ForwardedReports(..) if waited > BATCH_WAITS_MS => {}
             input => self.take_timed(node, input),
         }
     }
--- a/crates/core/tests/sim/world/troubles.rs
+++ b/crates/core/tests/sim/world/troubles.rs
@@ -98,7 +98,7 @@
 impl World {
     /// Cuts a zone off from everything.
     pub fn cut_zone(&mut self, zone: &'static str, until: u64) {
-        self.dark = Some((zone, until));
+        self.partitioned_zones = Some((zone, until));
         for node in (0..self.plan.nodes).filter(|n| zone_of(*n) == zone) {
             self.nodes[node].cut_state_until = until;
         }
@@ -167,7 +167,7 @@
 
     /// Brings a trouble about, at a node if it is one of nodes, until a moment if it lasts.
     pub fn bring_about(&mut self, trouble: Trouble, node: usize, long: u64) {
-        let leader = self.leading().unwrap_or(node);
+        let leader = self.leadership_condition().unwrap_or(node);
         let mut until = long;
         match trouble {
             Trouble::NodeEnds => self.crash(node),
@@ -233,13 +233,13 @@
             let (id, machine) = running[self.rng.random_range(0..running.len())].clone();
             let delay = self.rng.random_range(0..200);
             let node = self.rng.random_range(0..self.plan.nodes);
-            self.after(delay, Event::Look(node, id.clone(), Asked::Withdraw));
+            self.after(delay, Event::Look(node, id.clone(), Asked::Cancel));
             // The request is repeated until it is answered.
             for again in 1..20 {
                 let node = self.rng.random_range(0..self.plan.nodes);
                 self.after(
                     delay + again * 1_000,
-                    Event::Look(node, id.clone(), Asked::Withdraw),
+                    Event::Look(node, id.clone(), Asked::Cancel),
                 );
             }
             if self.rng.random_bool(0.5) {
@@ -286,7 +286,7 @@
         self.cancel_at_end_until = 0;
         self.close_looks_until = 0;
         self.cut_pairs.clear();
-        self.dark = None;
+        self.partitioned_zones = None;
         self.cloud.down = false;
         for worker in self.workers.values_mut() {
             worker.cut_until = 0;
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -15,7 +15,7 @@
             self.ended.insert(id.clone());
             if self.now < self.cancel_at_end_until && self.rng.random_bool(0.6) {
                 let node = self.rng.random_range(0..self.plan.nodes);
-                self.user_asks(node, &id, Asked::Withdraw);
+                self.user_asks(node, &id, Asked::Cancel);
                 self.look_closely(&id);
             }
         }
@@ -56,7 +56,7 @@
         let asked = if !told.accepted || self.rng.random_bool(0.05) {
             Asked::Submit
         } else if self.rng.random_bool(if service { 0.05 } else { 0.02 }) {
-            Asked::Withdraw
+            Asked::Cancel
         } else {
             Asked::Status
         };
@@ -93,9 +93,9 @@
         let request = match asked {
             Asked::Submit => UserRequest::Submit(Box::new(self.jobs[id].spec.clone())),
             Asked::Status => UserRequest::Status(id.clone()),
-            Asked::Withdraw => UserRequest::Withdraw(id.clone()),
+            Asked::Cancel => UserRequest::Cancel(id.clone()),
         };
-        if asked == Asked::Withdraw {
+        if asked == Asked::Cancel {
             self.jobs.get_mut(id).expect("a job").withdrawn = true;
         }
         if self.nodes[node].core.is_some() {
@@ -155,7 +155,7 @@
                 let node = self.rng.random_range(0..self.plan.nodes);
                 self.after(
                     delay + again * 4_000,
-                    Event::Look(node, id.clone(), Asked::Withdraw),
+                    Event::Look(node, id.clone(), Asked::Cancel),
                 );
             }
         }
@@ -189,7 +189,7 @@
             .collect();
         if !over.is_empty() {
             let id = over[self.rng.random_range(0..over.len())].clone();
-            self.user_asks(node, &id, Asked::Withdraw);
+            self.user_asks(node, &id, Asked::Cancel);
             self.look_closely(&id);
         }
     }
@@ -297,7 +297,7 @@
                 let node = self.rng.random_range(0..self.plan.nodes);
                 self.jobs.get_mut(id).expect("a job").withdrawn = true;
                 let delay = self.rng.random_range(0..12);
-                self.after(delay, Event::Look(node, id.clone(), Asked::Withdraw));
+                self.after(delay, Event::Look(node, id.clone(), Asked::Cancel));
             }
         }
     }
@@ -306,6 +306,6 @@
     pub fn withdraw_and_leave(&mut self, node: usize, id: &JobId) {
         self.jobs.get_mut(id).expect("a job").withdrawn = true;
         let req = self.ask(node, Asker::Nobody);
-        self.step(node, Input::User(req, UserRequest::Withdraw(id.clone())));
+        self.step(node, Input::User(req, UserRequest::Cancel(id.clone())));
     }
 }
--- a/crates/core/tests/sim/world/versions.rs
+++ b/crates/core/tests/sim/world/versions.rs
@@ -5,7 +5,7 @@
 //! fields that it does not know are hidden from it, and records that it can't read are unreadable.
 
 use super::*;
-use rudderreel_core::{CloudCall, StateCall};
+use rudderreel_core::{CloudCall, StoreCall};
 use rudderreel_wire::state::{Change, Event as WatchEvent, Item};
 
 /// Which version of the program a node runs.
@@ -38,18 +38,18 @@
 fn read_by_production(input: Input) -> Input {
     match input {
         Input::User(req, request) => Input::User(req, without_dependencies(request)),
-        Input::Forwarded(req, request, sender) => {
-            Input::Forwarded(req, without_dependencies(request), sender)
+        Input::ForwardedRequest(req, request, sender) => {
+            Input::ForwardedRequest(req, without_dependencies(request), sender)
         }
-        Input::State(id, sent, StateAnswer::Found(item)) => {
-            Input::State(id, sent, StateAnswer::Found(read_item(item)))
+        Input::State(id, sent, StoreAnswer::Found(item)) => {
+            Input::State(id, sent, StoreAnswer::Found(read_item(item)))
         }
-        Input::State(id, sent, StateAnswer::Page(mut page)) => {
+        Input::State(id, sent, StoreAnswer::Page(mut page)) => {
             page.items = (page.items.into_iter())
                 .filter(|item| is_known(&item.key))
                 .map(read_item)
                 .collect();
-            Input::State(id, sent, StateAnswer::Page(page))
+            Input::State(id, sent, StoreAnswer::Page(page))
         }
         Input::Watched(revision, events) => {
             let events = events.into_iter().filter_map(read_event).collect();
@@ -74,8 +74,8 @@
 }
 
 /// A call to the state service as production makes it.
-fn written_by_production(call: StateCall) -> StateCall {
-    let StateCall::Commit(mut transaction) = call else {
+fn written_by_production(call: StoreCall) -> StoreCall {
+    let StoreCall::Commit(mut transaction) = call else {
         return call;
     };
     for change in &mut transaction.changes {
@@ -83,7 +83,7 @@
             keep_production_fields(key, value);
         }
     }
-    StateCall::Commit(transaction)
+    StoreCall::Commit(transaction)
 }
 
 fn without_dependencies(request: UserRequest) -> UserRequest {
@@ -168,7 +168,7 @@
 
     /// Whether every node runs the version under test: only then do users name dependencies.
     pub(super) fn is_upgraded(&self) -> bool {
-        let current = |node: &Node| node.version == NodeVersion::Current;
+        let current = |node: &SimulatedNode| node.version == NodeVersion::Current;
         self.upgraded || self.nodes.iter().all(current)
     }
 
@@ -190,6 +190,6 @@
     pub(super) fn asks_cloud(&self, node: usize, call: &CloudCall) -> bool {
         let catalog = matches!(call, CloudCall::Catalog);
         let production = self.nodes[node].version == NodeVersion::Production;
-        !(catalog && production) || self.leading() == Some(node)
+        !(catalog && production) || self.leadership_condition() == Some(node)
     }
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -192,7 +192,7 @@
 );
 number_id!(
     /// A worker's session.
-    Session
+    Incarnation
 );
 number_id!(
     /// Orders a worker's messages within a session.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -19,25 +19,25 @@
     /// Whether the sender leads that epoch.
     pub leads: bool,
     /// Whether the state service answers the sender.
-    pub state_ok: bool,
+    pub store_reachable: bool,
     /// Whether the sender asks for a word.
-    pub asks_word: bool,
+    pub requests_lease_vote: bool,
     /// Machines that the leader knows.
     pub machines: u32,
     /// Workers that report to the sender.
     pub workers: u32,
     /// Whether the sender hears the leader, so that it can pass workers' reports on.
-    pub passes: bool,
+    pub forwards_reports: bool,
     /// Milliseconds since a worker last reported to the sender, whatever it was answered.
     pub worker_silence_ms: u64,
     /// Zones that the leader takes for cut off, and for how many milliseconds it has heard nothing of
     /// them: one that follows it could not tell.
-    pub dark: Vec<(String, u64)>,
+    pub partitioned_zones: Vec<(String, u64)>,
     /// The leader's counts of tasks, for display, now and then.
     pub counts: Option<Vec<Count>>,
     /// Every cancellation committed up to this revision is known to the sender; 0 if it has not read
     /// the jobs since it started.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
 }
 
 /// A cancelled job, as one node tells another of it.
@@ -57,27 +57,27 @@
 
 /// Cancellations that a node makes known to the others before any user is told of them.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Announcement {
+pub struct ReplicateCancellations {
     /// Who sends it.
     pub from: String,
     /// As in a heartbeat.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
     /// The jobs.
     pub cancelled: Vec<CancelledJob>,
 }
 
 /// Answer to an announcement: everything in it is known to this node from now on.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct AnnouncementReply {
+pub struct ReplicateCancellationsReply {
     /// As in a heartbeat.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
 }
 
 /// What a node must know before a word counts for it.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Catchup {
     /// With these, every cancellation up to here is known to the node that asked for the word.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
     /// What it lacked.
     pub cancelled: Vec<CancelledJob>,
 }
@@ -101,14 +101,14 @@
     /// The highest epoch that the answering node knows, the heartbeat's included.
     pub epoch: Epoch,
     /// Whether the state service answers this node.
-    pub state_ok: bool,
+    pub store_reachable: bool,
     /// The word that lets a leader go on through an outage of the state service: this node gets
     /// no answer from it, knows of no higher epoch, and will not campaign for a while.
-    pub word: bool,
+    pub grants_lease_vote: bool,
     /// Milliseconds since a worker last reported here, whatever it was answered.
     pub worker_silence_ms: u64,
     /// Every cancellation committed up to this revision is known to this node.
-    pub known_to: Version,
+    pub cancellation_watermark: Version,
     /// With a word, and on the way to one: the cancellations that the asking node lacks.
     pub catchup: Option<Catchup>,
 }
@@ -116,12 +116,12 @@
 /// A user's request, forwarded by a node that the state service does not answer.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum Forward {
-    /// A submission, as JSON that was checked (see [`PassedSubmission`]).
+    /// A submission, as JSON that was checked (see [`ForwardedSubmission`]).
     Submit(String),
     /// A status request.
     Status(String),
     /// A withdrawal.
-    Withdraw(String),
+    Cancel(String),
     /// A path of the administration API that only the leader can answer.
     Admin(String),
 }
@@ -137,14 +137,14 @@
 
 /// A submission as one node passes it to another.
 #[derive(Clone, Debug)]
-pub struct PassedSubmission {
+pub struct ForwardedSubmission {
     /// What was submitted.
     pub spec: JobSpec,
     /// Who passes it on.
     pub sender: SenderVersion,
 }
 
-impl PassedSubmission {
+impl ForwardedSubmission {
     /// The text that passes a submission on. A version that knows no dependencies reads it, too.
     pub fn text(spec: &JobSpec) -> String {
         let mut value = serde_json::to_value(spec).unwrap_or_default();
@@ -168,7 +168,7 @@
 
 /// Answer to a forwarded request.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Forwarded {
+pub struct ForwardReply {
     /// HTTP status.
     pub status: u16,
     /// JSON body.
@@ -177,18 +177,18 @@
 
 /// Reports that workers sent to a node that does not lead, passed on to the leader.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct Reports {
+pub struct ForwardedReports {
     /// The reports.
-    pub reports: Vec<PassedReport>,
+    pub reports: Vec<ForwardedReport>,
 }
 
 /// A report that is passed on.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct PassedReport {
+pub struct ForwardedReport {
     /// The machine.
     pub machine: String,
     /// The worker's session.
-    pub session: u64,
+    pub incarnation: u64,
     /// Orders messages within the session.
     pub seq: u64,
     /// Highest token the worker has seen.
@@ -196,30 +196,30 @@
     /// Seconds until the cloud takes the machine away.
     pub notice_s: Option<f64>,
     /// What it lists.
-    pub tasks: PassedTasks,
+    pub tasks: ForwardedTasks,
 }
 
 /// The tasks of a report that is passed on.
 #[derive(Clone, Debug, Encode, Decode)]
-pub enum PassedTasks {
+pub enum ForwardedTasks {
     /// The same as in the message of this number of the same session, which the leader took in.
-    AsIn(u64),
+    SameAs(u64),
     /// The whole report, as JSON.
     Whole(String),
 }
 
 /// What the leader says to reports that were passed on.
 #[derive(Clone, Debug, Encode, Decode)]
-pub struct ReportsReply {
+pub struct ForwardedReportsReply {
     /// The token, if the node leads and may answer workers.
     pub token: Option<Epoch>,
     /// By report.
-    pub answers: Vec<PassedAnswer>,
+    pub answers: Vec<ForwardedAnswer>,
 }
 
 /// What the leader says to one report.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
-pub enum PassedAnswer {
+pub enum ForwardedAnswer {
     /// It is answered; the commands, as JSON, if there are any.
     Answered(Option<String>),
     /// The whole report is wanted.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! Reports of workers and commands for them.
 
-use crate::ids::{Attempt, Epoch, MachineId, NodeName, Seq, Session, TaskId, TypeName, Zone};
+use crate::ids::{Attempt, Epoch, Incarnation, MachineId, NodeName, Seq, TaskId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 /// Where a task stands on its machine.
@@ -54,7 +54,7 @@
 
 /// One task in a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// The task.
     #[serde(rename = "take")]
     pub task: TaskId,
@@ -74,7 +74,7 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Report {
+pub struct StatusReport {
     /// The machine.
     #[serde(rename = "deck")]
     pub machine: MachineId,
@@ -91,7 +91,7 @@
     pub spot: bool,
     /// The worker's session.
     #[serde(rename = "watch")]
-    pub session: Session,
+    pub incarnation: Incarnation,
     /// Orders messages within the session.
     #[serde(rename = "tally")]
     pub seq: Seq,
@@ -103,7 +103,7 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "takes", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command for a worker.
@@ -147,7 +147,7 @@
 
 /// The answer to a report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct StatusReportReply {
     /// The leader's token.
     #[serde(rename = "helm")]
     pub token: Epoch,
@@ -158,7 +158,7 @@
 
 /// The answer of a node that is not entitled.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ReportElsewhere {
+pub struct ReportRedirect {
     /// Where to report instead.
     #[serde(rename = "harbour", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<NodeName>,
@@ -172,7 +172,7 @@
     pub token: Epoch,
     /// The session that they are meant for.
     #[serde(rename = "watch")]
-    pub session: Session,
+    pub incarnation: Incarnation,
     /// What to do.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/crates/wire/tests/peer_compatibility.rs
+++ b/crates/wire/tests/peer_compatibility.rs
@@ -6,9 +6,9 @@
 use rudderreel_wire::ids::{Epoch, Version};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::peer::{
-    Announcement, AnnouncementReply, CancelledJob, Catchup, Count, Forward, Forwarded, Heartbeat,
-    HeartbeatReply, PassedAnswer, PassedReport, PassedSubmission, PassedTasks, Reports,
-    ReportsReply, SenderVersion,
+    CancelledJob, Catchup, Count, Forward, ForwardReply, ForwardedAnswer, ForwardedReport,
+    ForwardedReports, ForwardedReportsReply, ForwardedSubmission, ForwardedTasks, Heartbeat,
+    HeartbeatReply, ReplicateCancellations, ReplicateCancellationsReply, SenderVersion,
 };
 use serde_json::{json, Value};
 use std::fmt::Debug;
@@ -41,34 +41,34 @@
 
 #[test]
 fn heartbeats() {
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         from: "deckhand-1".into(),
         epoch: Epoch(41),
         leads: true,
-        state_ok: false,
-        asks_word: true,
+        store_reachable: false,
+        requests_lease_vote: true,
         machines: 798,
         workers: 160,
-        passes: true,
+        forwards_reports: true,
         worker_silence_ms: 1_250,
-        dark: vec![("qu-appelle".into(), 9_000)],
+        partitioned_zones: vec![("qu-appelle".into(), 9_000)],
         counts: Some(vec![Count {
             job: "wk-000405".into(),
             done: 3,
             running: 13,
         }]),
-        known_to: Version(433),
+        cancellation_watermark: Version(433),
     };
-    check(&beat, "0a6465636b68616e642d310629010001021e0304a00104e204010a71752d617070656c6c65042823010109776b2d3030303430350403040d04b101");
+    check(&heartbeat, "0a6465636b68616e642d310629010001021e0304a00104e204010a71752d617070656c6c65042823010109776b2d3030303430350403040d04b101");
     let reply = HeartbeatReply {
         from: "deckhand-2".into(),
         epoch: Epoch(41),
-        state_ok: false,
-        word: true,
+        store_reachable: false,
+        grants_lease_vote: true,
         worker_silence_ms: 300,
-        known_to: Version(431),
+        cancellation_watermark: Version(431),
         catchup: Some(Catchup {
-            known_to: Version(431),
+            cancellation_watermark: Version(431),
             cancelled: vec![cancelled()],
         }),
     };
@@ -77,14 +77,14 @@
 
 #[test]
 fn announcements() {
-    let announcement = Announcement {
+    let announcement = ReplicateCancellations {
         from: "deckhand-0".into(),
-        known_to: Version(411),
+        cancellation_watermark: Version(411),
         cancelled: vec![cancelled()],
     };
     check(&announcement, "0a6465636b68616e642d30049b010109776b2d303030333938049c01007b6c50c4a001000000f04450c4a00100000428");
-    let reply = AnnouncementReply {
-        known_to: Version(412),
+    let reply = ReplicateCancellationsReply {
+        cancellation_watermark: Version(412),
     };
     check(&reply, "049c01");
 }
@@ -96,12 +96,12 @@
         "000d7b226964223a22776b2d31227d",
     );
     check(&Forward::Status("wk-1".into()), "0104776b2d31");
-    check(&Forward::Withdraw("wk-1".into()), "0204776b2d31");
+    check(&Forward::Cancel("wk-1".into()), "0204776b2d31");
     check(
         &Forward::Admin("/admin/stops".into()),
         "030c2f61646d696e2f73746f7073",
     );
-    let answer = Forwarded {
+    let answer = ForwardReply {
         status: 200,
         body: "{}".into(),
     };
@@ -116,44 +116,46 @@
         "precedence":"urgent","takes":16,"vcpus":8.0,"gpus":1.0,"memoryGb":64.0,"pressing":"img-07",
         "pullGb":6.2,"hulls":["g8"],"berth":null,"together":true,"scatter":false,"driftwood":true,
         "expectedS":240.0,"snapshotS":30.0,"stowS":4.0,"dueS":900.0});
-    let by_production = PassedSubmission::parse(&submission.to_string()).expect("a submission");
+    let by_production = ForwardedSubmission::parse(&submission.to_string()).expect("a submission");
     assert_eq!(by_production.sender, SenderVersion::BeforeDependencies);
-    let text = PassedSubmission::text(&by_production.spec);
-    let passed = PassedSubmission::parse(&text).expect("a submission");
+    let text = ForwardedSubmission::text(&by_production.spec);
+    let passed = ForwardedSubmission::parse(&text).expect("a submission");
     assert_eq!(passed.sender, SenderVersion::KnowsDependencies);
     assert_eq!(passed.spec, by_production.spec);
     let mut dependent = submission;
     dependent["awaits"] = json!(["wk-000398"]);
     let spec: JobSpec = serde_json::from_value(dependent.clone()).expect("a submission");
-    let text: Value = serde_json::from_str(&PassedSubmission::text(&spec)).expect("JSON");
+    let text: Value = serde_json::from_str(&ForwardedSubmission::text(&spec)).expect("JSON");
     assert_eq!(text, dependent);
-    assert!(PassedSubmission::parse("[]").is_none() && PassedSubmission::parse("{}").is_none());
+    assert!(
+        ForwardedSubmission::parse("[]").is_none() && ForwardedSubmission::parse("{}").is_none()
+    );
 }
 
 #[test]
 fn reports_that_are_passed_on() {
-    let report = |tasks: PassedTasks| PassedReport {
+    let report = |tasks: ForwardedTasks| ForwardedReport {
         machine: "vm-000231".into(),
-        session: 1,
+        incarnation: 1,
         seq: 88,
         token: 41,
         notice_s: Some(19.5),
         tasks,
     };
-    let reports = Reports {
+    let reports = ForwardedReports {
         reports: vec![
-            report(PassedTasks::AsIn(87)),
-            report(PassedTasks::Whole("{\"takes\":[]}".into())),
+            report(ForwardedTasks::SameAs(87)),
+            report(ForwardedTasks::Whole("{\"takes\":[]}".into())),
         ],
     };
     check(&reports, "020909766d2d303030323331766d2d3030303233310601010658580629290300000000000080334000000000008033400206570c7b2274616b6573223a5b5d7d");
-    let reply = ReportsReply {
+    let reply = ForwardedReportsReply {
         token: Some(Epoch(41)),
         answers: vec![
-            PassedAnswer::Answered(Some("[]".into())),
-            PassedAnswer::Answered(None),
-            PassedAnswer::Whole,
-            PassedAnswer::Refused,
+            ForwardedAnswer::Answered(Some("[]".into())),
+            ForwardedAnswer::Answered(None),
+            ForwardedAnswer::Whole,
+            ForwardedAnswer::Refused,
         ],
     };
     check(&reply, "010629043f01025b5d");
--- a/crates/wire/tests/recorded_forms.rs
+++ b/crates/wire/tests/recorded_forms.rs
@@ -7,7 +7,7 @@
 use rudderreel_wire::job::{JobAnswer, JobState, JobStatus, Kind, Priority};
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::state::{Committed, Events, Item, Lease, LeaseRequest, Page, Transaction};
-use rudderreel_wire::worker::{Cause, Report, ReportElsewhere, TaskState};
+use rudderreel_wire::worker::{Cause, ReportRedirect, StatusReport, TaskState};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value};
 use std::fmt::Debug;
@@ -21,13 +21,16 @@
 }
 
 /// Each value is written as its word, and read from it.
-fn assert_words<T>(words: &[(T, &str)])
+fn assert_words<T>(lease_votes: &[(T, &str)])
 where
     T: DeserializeOwned + Serialize + PartialEq + Debug,
 {
-    for (value, word) in words {
-        assert_eq!(serde_json::to_value(value).expect("JSON"), json!(word));
-        let read: T = serde_json::from_value(json!(word)).expect(word);
+    for (value, grants_lease_vote) in lease_votes {
+        assert_eq!(
+            serde_json::to_value(value).expect("JSON"),
+            json!(grants_lease_vote)
+        );
+        let read: T = serde_json::from_value(json!(grants_lease_vote)).expect(grants_lease_vote);
         assert_eq!(read, *value);
     }
 }
@@ -79,9 +82,9 @@
 fn answers_to_users_and_workers_keep_their_fields() {
     assert_round_trip::<JobAnswer>(json!({"id":"wk-1","bearing":"pending"}));
     assert_round_trip::<JobStatus>(json!({"id":"wk-1","bearing":"running","done":1,"running":2}));
-    assert_round_trip::<ReportElsewhere>(json!({"harbour":"deckhand-1"}));
-    assert_round_trip::<ReportElsewhere>(json!({}));
-    assert_round_trip::<Report>(json!({"deck":"vm-1","addr":"10.1.0.2:9000","hull":"g8",
+    assert_round_trip::<ReportRedirect>(json!({"harbour":"deckhand-1"}));
+    assert_round_trip::<ReportRedirect>(json!({}));
+    assert_round_trip::<StatusReport>(json!({"deck":"vm-1","addr":"10.1.0.2:9000","hull":"g8",
         "berth":"a","driftwood":true,"watch":2,"tally":88,"helm":41,"recallS":19.5,
         "takes":[{"take":"wk-1/3","launch":2,"bearing":"exited","cause":"halted","stored":true}]}));
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -4,7 +4,9 @@
 use rudderreel_wire::job::{JobSpec, Kind, Priority};
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::state::{Events, Transaction};
-use rudderreel_wire::worker::{Command, DirectCommands, Report, ReportReply, TaskState};
+use rudderreel_wire::worker::{
+    Command, DirectCommands, StatusReport, StatusReportReply, TaskState,
+};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value};
 
@@ -25,7 +27,7 @@
         "dueS":900.0}),
     );
     assert_eq!((job.kind, job.priority), (Kind::Gang, Priority::High));
-    let reply: ReportReply = round(json!({"helm":41,"orders":[
+    let reply: StatusReportReply = round(json!({"helm":41,"orders":[
         {"verb":"run","take":"wk-000412/4","launch":2},
         {"verb":"stop","take":"wk-000377/1","launch":1,"slackS":10.0},
         {"verb":"reap","take":"wk-000398/0","launch":1}]}));
@@ -40,7 +42,7 @@
 
 #[test]
 fn reports_are_read_with_fields_missing_or_unknown() {
-    let report: Report =
+    let report: StatusReport =
         serde_json::from_value(json!({"deck":"vm-000231","addr":"10.1.0.232:9000",
         "hull":"g8","berth":"a","driftwood":true,"watch":1,"tally":88,"new":1,
         "takes":[{"take":"wk-000412/3","launch":2,"bearing":"gathering"}]}))
