--- a/crates/core/src/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -5,9 +5,9 @@
 //! this node that hears or reaches nobody, or a whole zone that is cut off: there work goes on as
 //! long as its leases last, and returning the machines would end what the cut does not.
 
-use crate::job::is_non_preemptible;
+use crate::fleet::machine::{Machine, PlacedTask};
+use crate::jobs::job::is_non_preemptible;
 use crate::leader::Leader;
-use crate::placement_tracking::{Machine, PlacedTask};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{MachineId, Zone};
 use std::collections::BTreeMap;
@@ -45,36 +45,44 @@
 impl Leader {
     /// A machine that was not heard for so long has missed a report.
     fn late(&self) -> Span {
-        Span(self.report.0 * 5 / 4 + 500)
+        Span(self.agent_timings.report_interval.0 * 5 / 4 + 500)
     }
 
     /// A machine that was not heard for so long is silent. A worker whose node is gone or cut off
     /// waits for its answer, finds another node and reports again, which takes this long without
     /// anything being wrong with it.
     pub(crate) fn silence(&self) -> Span {
-        Span((self.report.0 * 3 / 2 + SEEKING.0).min(self.lease.0 * 3 / 4 + 1_000))
+        Span(
+            (self.agent_timings.report_interval.0 * 3 / 2 + SEEKING.0)
+                .min(self.agent_timings.lease.0 * 3 / 4 + 1_000),
+        )
     }
 
     /// Whether most machines that were ever heard were heard lately, and some this moment: if not,
     /// it is rather this node that is cut off. Zones that are cut off don't count.
     fn hears(&self, now: Time) -> bool {
-        let up: Vec<Time> = (self.machines.values())
-            .filter(|m| !self.partitioned_zones.contains_key(&m.zone))
+        let up: Vec<Time> = (self.fleet.machines.values())
+            .filter(|m| !self.fleet.partitioned_zones.contains_key(&m.zone))
             .filter_map(|m| m.last_heard)
             .collect();
         let heard = |within: u64| up.iter().filter(|&&t| now - t < Span(within)).count();
-        heard(self.report.0 * 3 / 2 + 500) * 3 >= up.len() * 2
-            && heard(self.report.0 / 2 + 100) * 5 >= up.len()
+        heard(self.agent_timings.report_interval.0 * 3 / 2 + 500) * 3 >= up.len() * 2
+            && heard(self.agent_timings.report_interval.0 / 2 + 100) * 5 >= up.len()
     }
 
     /// Notes which zones are cut off: of all machines there that should report none does.
     pub fn detect_partitioned_zones(&mut self, now: Time) {
         // By zone: machines that should report, all, and when one was last heard.
         let mut zones: BTreeMap<&Zone, (usize, usize, Time)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.returning.is_none()) {
+        for m in self
+            .fleet
+            .machines
+            .values()
+            .filter(|m| m.returning.is_none())
+        {
             // What an earlier leader has started tasks on was up.
             let due = m.last_heard.is_some() || !m.entries.is_empty();
-            let heard = m.last_heard.unwrap_or(self.since);
+            let heard = m.last_heard.unwrap_or(self.term.elected_at);
             let (dues, all, last) = zones.entry(&m.zone).or_insert((0, 0, heard));
             *dues += usize::from(due);
             *all += 1;
@@ -84,7 +92,7 @@
         let partitioned_zones = |(zone, (dues, all, last)): &(&&Zone, &(usize, usize, Time))| {
             // One that was cut off is until some machine is heard again, also if all that was on
             // them is gone.
-            let was = self.partitioned_zones.contains_key(**zone);
+            let was = self.fleet.partitioned_zones.contains_key(**zone);
             let silent = self.zone_silence(if was { *all } else { *dues });
             (was || *dues >= ZONE)
                 && now - *last > silent
@@ -95,7 +103,7 @@
             .collect();
         let heard: Vec<Zone> = (zones.iter())
             .filter(|(zone, (.., last))| {
-                *last > self.since && !partitioned_zones.contains_key(**zone)
+                *last > self.term.elected_at && !partitioned_zones.contains_key(**zone)
             })
             .map(|(zone, _)| (*zone).clone())
             .collect();
@@ -105,29 +113,32 @@
         }
         for (zone, since) in &mut partitioned_zones {
             let before = self
+                .fleet
                 .partitioned_zones
                 .get(zone)
-                .or(self.previously_partitioned_zones.get(zone));
+                .or(self.fleet.previously_partitioned_zones.get(zone));
             *since = before.map_or(*since, |t| *t.min(since));
-            if !self.partitioned_zones.contains_key(zone) {
+            if !self.fleet.partitioned_zones.contains_key(zone) {
                 log::info!("zone {zone} is cut off");
             }
         }
         let late = self.late();
         for (zone, since) in self
+            .fleet
             .partitioned_zones
             .iter()
             .filter(|(z, _)| !partitioned_zones.contains_key(*z))
         {
             log::info!("zone {zone} is no longer cut off");
             if now - *since > late {
-                self.healed_zones.insert(zone.clone(), now);
+                self.fleet.healed_zones.insert(zone.clone(), now);
             }
         }
         // What an earlier leader noticed is over where somebody is heard.
-        self.previously_partitioned_zones
+        self.fleet
+            .previously_partitioned_zones
             .retain(|zone, _| !heard.contains(zone));
-        self.partitioned_zones = partitioned_zones;
+        self.fleet.partitioned_zones = partitioned_zones;
     }
 
     /// Of a zone with so many machines that should report something is heard within this time.
@@ -136,16 +147,19 @@
             // They may all report at about the same moment.
             return self.late();
         }
-        ZONE_SILENT.max(Span(PAUSES * self.report.0 / machines as u64))
+        ZONE_SILENT.max(Span(
+            PAUSES * self.agent_timings.report_interval.0 / machines as u64,
+        ))
     }
 
     /// Whether a third of the reports that other zones should send within a time came. After a
     /// take-over all workers report at once, and then nobody for a while.
     fn heard_elsewhere(&self, zone: &Zone, within: Span, due: usize, now: Time) -> bool {
-        let heard = (self.machines.values())
+        let heard = (self.fleet.machines.values())
             .filter(|m| m.zone != *zone && m.last_heard.is_some_and(|t| now - t < within))
             .count();
-        heard as u64 * 3 * self.report.0 >= due as u64 * within.0.min(self.report.0)
+        heard as u64 * 3 * self.agent_timings.report_interval.0
+            >= due as u64 * within.0.min(self.agent_timings.report_interval.0)
     }
 
     /// Whether a machine behind a cut should be returned. When the leases there have run out, the
@@ -155,7 +169,7 @@
         let healed_zones = self
             .zones()
             .into_iter()
-            .filter(|z| !self.partitioned_zones.contains_key(z));
+            .filter(|z| !self.fleet.partitioned_zones.contains_key(z));
         let healed_zones: Vec<Zone> = healed_zones.collect();
         let movable = |e: &PlacedTask| {
             e.holds_room()
@@ -167,8 +181,9 @@
                     is_non_preemptible(s) && zones.saturating_mul(s.zone_cap()) >= s.tasks
                 })
         };
-        let over =
-            |leases: u64| now > since + Span(self.lease.0 * leases).with_drift() + Span(1_000);
+        let over = |leases: u64| {
+            now > since + Span(self.agent_timings.lease.0 * leases).with_drift() + Span(1_000)
+        };
         // For a while it is kept although nothing runs there: when the cut ends it is wanted at once.
         over(KEPT) || over(1) && m.entries.iter().any(movable)
     }
@@ -176,10 +191,10 @@
     /// Machines that are surely lost or can't be commanded, and why.
     pub fn lost(&self, now: Time) -> BTreeMap<MachineId, &'static str> {
         let hears = self.hears(now);
-        let reaches = now - self.last_reaction < CONTROL;
-        (self.machines.values())
+        let reaches = now - self.fleet.last_direct_answer_at < CONTROL;
+        (self.fleet.machines.values())
             .filter_map(|m| {
-                let why = match self.partitioned_zones.get(&m.zone) {
+                let why = match self.fleet.partitioned_zones.get(&m.zone) {
                     Some(since) => (self.is_given_up(m, *since, now)).then_some("behind a cut"),
                     None => self.why_lost(m, hears, reaches, now),
                 };
@@ -190,7 +205,7 @@
 
     /// When a machine was last heard. After a cut its reports count as late only from then on.
     fn heard(&self, m: &Machine) -> Option<Time> {
-        let healed_zones = self.healed_zones.get(&m.zone).copied();
+        let healed_zones = self.fleet.healed_zones.get(&m.zone).copied();
         m.last_heard
             .map(|t| healed_zones.map_or(t, |healed_zones| healed_zones.max(t)))
     }
@@ -201,7 +216,7 @@
             // What an earlier leader had it run may be gone with it: it is asked by the address
             // that the cloud lists.
             let asked = m.unanswered > PROBES && deaf_for > UNANSWERED;
-            return (asked && hears && reaches && now - self.since > self.late())
+            return (asked && hears && reaches && now - self.term.elected_at > self.late())
                 .then_some("does not answer");
         };
         // A leader that hears most, or reaches some, can tell; else it may be this node.
@@ -212,10 +227,15 @@
             Some("silent")
         } else if hears && reaches && (missed || hung) {
             Some("does not answer")
-        } else if reaches && m.unanswered >= DEAF && deaf_for > Span(self.lease.0 / 2) {
+        } else if reaches && m.unanswered >= DEAF && deaf_for > Span(self.agent_timings.lease.0 / 2)
+        {
             // It is heard, but nothing reaches it: what it runs can't be stopped.
             Some("does not hear")
-        } else if m.lease_surely_over(now, Span(self.lease.0 * 2), self.old_leaders_fenced_at) {
+        } else if m.lease_surely_over(
+            now,
+            Span(self.agent_timings.lease.0 * 2),
+            self.term.old_leaders_fenced_at,
+        ) {
             Some("silent for long")
         } else {
             None
@@ -231,13 +251,14 @@
             m.returning.is_none()
                 && !m.direct_open
                 && m.direct_after <= now
-                && !self.partitioned_zones.contains_key(&m.zone)
+                && !self.fleet.partitioned_zones.contains_key(&m.zone)
         };
-        let suspicious = now < self.suspicion;
+        let suspicious = now < self.fleet.suspect_until;
         // A machine that should stop something is asked at once if that may be gone already: until it
         // has acknowledged this leader nothing it leaves out is proven gone.
         let stops = |m: &Machine| {
-            m.acked != self.epoch && m.entries.iter().any(|e| e.stop.is_some() && e.holds_room())
+            m.acked != self.term.epoch
+                && m.entries.iter().any(|e| e.stop.is_some() && e.holds_room())
         };
         let doubtful = |m: &&Machine| match self.heard(m) {
             Some(last) => {
@@ -245,20 +266,22 @@
                 m.unanswered > 0 || now - last > late || just_now || stops(m)
             }
             None => {
-                let due = stops(m) || now - self.since > late;
+                let due = stops(m) || now - self.term.elected_at > late;
                 m.addr.is_some() && !m.entries.is_empty() && due
             }
         };
-        let open = (self.machines.values()).filter(|m| m.direct_open).count();
-        let mut found: Vec<&Machine> = (self.machines.values())
+        let open = (self.fleet.machines.values())
+            .filter(|m| m.direct_open)
+            .count();
+        let mut found: Vec<&Machine> = (self.fleet.machines.values())
             .filter(|m| callable(m) && doubtful(m))
             .collect();
         found.sort_by_key(|m| !m.runs_non_preemptible());
-        let under_way = UNDER_WAY.max(self.machines.len() / MACHINES_PER_PROBE);
+        let under_way = UNDER_WAY.max(self.fleet.machines.len() / MACHINES_PER_PROBE);
         found.truncate(under_way.saturating_sub(open));
         let mut found: Vec<MachineId> = found.into_iter().map(|m| m.id.clone()).collect();
-        if !found.is_empty() && now - self.last_reaction > CONTROL {
-            let sure = (self.machines.values())
+        if !found.is_empty() && now - self.fleet.last_direct_answer_at > CONTROL {
+            let sure = (self.fleet.machines.values())
                 .filter(|m| m.last_heard.is_some() && callable(m) && !doubtful(m));
             found.extend(sure.take(3).map(|m| m.id.clone()));
         }
@@ -268,16 +291,16 @@
     /// A worker has left a call unanswered. If it has missed a report, others may be lost as well.
     pub fn did_not_answer(&mut self, id: &MachineId, now: Time) {
         let late = self.late();
-        self.unanswered += 1;
-        let Some(machine) = self.machines.get_mut(id) else {
+        self.fleet.unanswered_calls += 1;
+        let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
         };
         machine.did_not_react(now);
         let wait = 100 << machine.unanswered.min(5);
         machine.direct_after = now + Span(wait);
         let missed = machine.last_heard.is_some_and(|t| now - t > late);
-        if missed && !self.partitioned_zones.contains_key(&machine.zone) {
-            self.suspicion = now + SUSPICION;
+        if missed && !self.fleet.partitioned_zones.contains_key(&machine.zone) {
+            self.fleet.suspect_until = now + SUSPICION;
         }
     }
 }
--- a/crates/core/src/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -13,10 +13,15 @@
             } else {
                 NOW.time
             };
-            leader.machines.get_mut(&id).expect("a machine").last_heard = Some(at);
+            leader
+                .fleet
+                .machines
+                .get_mut(&id)
+                .expect("a machine")
+                .last_heard = Some(at);
         }
     }
-    leader.last_reaction = now;
+    leader.fleet.last_direct_answer_at = now;
     leader.detect_partitioned_zones(now);
     (leader, now)
 }
@@ -24,14 +29,19 @@
 #[test]
 fn a_zone_of_which_nothing_is_heard_is_cut_off() {
     let (mut leader, now) = half_silent(&[], Span(5_000));
-    assert!(leader.partitioned_zones.contains_key(&"b".into()));
+    assert!(leader.fleet.partitioned_zones.contains_key(&"b".into()));
     assert_eq!(leader.lost(now), BTreeMap::new());
     assert_eq!(leader.overdue(now), Vec::<MachineId>::new());
     // One machine is heard again: the others get time to report.
     let id = MachineId::from("vm-b3");
-    leader.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
+    leader
+        .fleet
+        .machines
+        .get_mut(&id)
+        .expect("a machine")
+        .last_heard = Some(now);
     leader.detect_partitioned_zones(now);
-    assert!(leader.partitioned_zones.is_empty());
+    assert!(leader.fleet.partitioned_zones.is_empty());
     assert_eq!(leader.lost(now), BTreeMap::new());
 }
 
@@ -48,14 +58,19 @@
     let now = NOW.time + Span(1_600);
     let reconcile_report = |leader: &mut Leader, n: u32| {
         let id = MachineId::from(format!("vm-a{n}").as_str());
-        leader.machines.get_mut(&id).expect("a machine").last_heard = Some(now);
+        leader
+            .fleet
+            .machines
+            .get_mut(&id)
+            .expect("a machine")
+            .last_heard = Some(now);
     };
     reconcile_report(&mut leader, 0);
     leader.detect_partitioned_zones(now);
-    assert!(leader.partitioned_zones.is_empty());
+    assert!(leader.fleet.partitioned_zones.is_empty());
     (0..30).for_each(|n| reconcile_report(&mut leader, n));
     leader.detect_partitioned_zones(now);
-    assert!(leader.partitioned_zones.contains_key(&"b".into()));
+    assert!(leader.fleet.partitioned_zones.contains_key(&"b".into()));
 }
 
 /// Machines that are silent while others of their zone are heard are lost.
@@ -63,7 +78,7 @@
 fn silent_machines_among_others_are_lost() {
     let heard = ["vm-b0", "vm-b1", "vm-b2", "vm-b3", "vm-b4"];
     let (leader, now) = half_silent(&heard, Span(5_600));
-    assert!(leader.partitioned_zones.is_empty());
+    assert!(leader.fleet.partitioned_zones.is_empty());
     assert_eq!(
         leader.lost(now),
         BTreeMap::from([("vm-b5".into(), "silent")])
@@ -75,12 +90,17 @@
 #[test]
 fn replicas_behind_a_cut_move_once_their_leases_are_over() {
     let (mut leader, _) = half_silent(&[], Span(2_000));
-    leader.partitioned_zones.clear();
-    leader.since = NOW.time + Span(2_000);
-    leader.previously_partitioned_zones = BTreeMap::from([("b".into(), NOW.time)]);
+    leader.fleet.partitioned_zones.clear();
+    leader.term.elected_at = NOW.time + Span(2_000);
+    leader.fleet.previously_partitioned_zones = BTreeMap::from([("b".into(), NOW.time)]);
     let there: Vec<MachineId> = (0..6).map(|n| format!("vm-b{n}").as_str().into()).collect();
     for (n, id) in there.iter().enumerate() {
-        leader.machines.get_mut(id).expect("a machine").last_heard = None;
+        leader
+            .fleet
+            .machines
+            .get_mut(id)
+            .expect("a machine")
+            .last_heard = None;
         if n < 4 {
             run(
                 &mut leader,
@@ -93,6 +113,7 @@
     let mut later = |after: u64| {
         let now = NOW.time + Span(after);
         for m in leader
+            .fleet
             .machines
             .values_mut()
             .filter(|m| m.zone == "a".into())
@@ -101,7 +122,7 @@
         }
         leader.detect_partitioned_zones(now);
         (
-            leader.partitioned_zones.len(),
+            leader.fleet.partitioned_zones.len(),
             leader.lost(now).into_keys().collect::<Vec<_>>(),
         )
     };
@@ -109,6 +130,7 @@
     assert_eq!(later(7_500), (1, there[..4].to_vec()));
     for id in &there {
         leader
+            .fleet
             .machines
             .get_mut(id)
             .expect("a machine")
@@ -116,7 +138,7 @@
             .clear();
     }
     leader.detect_partitioned_zones(NOW.time + Span(8_000));
-    assert_eq!(leader.partitioned_zones.len(), 1);
+    assert_eq!(leader.fleet.partitioned_zones.len(), 1);
 }
 
 /// A new leader asks machines that it has never heard, but that an earlier one had run something,
@@ -126,7 +148,12 @@
     let (mut leader, _) = half_silent(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
     let id = MachineId::from("vm-b3");
     run(&mut leader, &job(7, "sweep", "blue", "normal"), 0, &id);
-    leader.machines.get_mut(&id).expect("a machine").last_heard = None;
+    leader
+        .fleet
+        .machines
+        .get_mut(&id)
+        .expect("a machine")
+        .last_heard = None;
     let now = NOW.time + Span(5_000);
     assert!(leader.overdue(now).contains(&id));
     assert!(!leader.lost(now).contains_key(&id));
@@ -145,6 +172,7 @@
         let n = u32::from(id == "vm-a1") + 1;
         run(&mut leader, &job(n, kind, "red", priority), 0, &id.into());
         leader
+            .fleet
             .machines
             .get_mut(&id.into())
             .expect("a machine")
@@ -167,7 +195,7 @@
         for n in 0..machines {
             up(&mut leader, &format!("vm-{n}"), "a");
         }
-        leader.last_reaction = NOW.time + Span(3_000);
+        leader.fleet.last_direct_answer_at = NOW.time + Span(3_000);
         let asked = leader.overdue(NOW.time + Span(3_000));
         assert!(asked.len() >= least, "{machines} machines: {}", asked.len());
         assert!(
--- a/crates/core/src/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -7,9 +7,9 @@
 //! task (a gang with all) after growing pauses, holds no room and rents none. It is never given up,
 //! for faulty machines may have deceived us: its first success clears it.
 
-use crate::job::{Job, Stage};
+use crate::fleet::machine::{Machine, Phase};
+use crate::jobs::job::{Job, Stage};
 use crate::leader::Leader;
-use crate::placement_tracking::{Machine, Phase};
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
@@ -147,7 +147,7 @@
         now: Now,
     ) {
         let lasted = ran.is_some_and(|r| r >= PROVEN) || self.runs_elsewhere(task, now.time);
-        let (machines, Some(job)) = (&self.machines, self.jobs.get_mut(&task.job)) else {
+        let (machines, Some(job)) = (&self.fleet.machines, self.jobs.get_mut(&task.job)) else {
             return;
         };
         job.failures.proven |= lasted;
@@ -176,7 +176,7 @@
         }
         if !suspected {
             let sound = job.failures.proven;
-            if let Some(m) = self.machines.get_mut(machine) {
+            if let Some(m) = self.fleet.machines.get_mut(machine) {
                 m.note_failure(&task.job, sound, now.time);
             }
         } else if !was {
@@ -191,7 +191,7 @@
         };
         job.spec.kind == Kind::Service
             && (job.places.values().flatten()).any(|(id, attempt)| {
-                let machine = self.machines.get(id);
+                let machine = self.fleet.machines.get(id);
                 machine.is_some_and(|m| {
                     (m.entries.iter())
                         .filter(|e| e.attempt == *attempt && e.task.job == task.job)
@@ -204,11 +204,11 @@
     /// yet is taken back.
     fn suspect(&mut self, id: &JobId, now: Time) {
         log::info!("{id} fails wherever it is tried; it may have been submitted with a mistake");
-        self.count("suspected jobs");
+        self.metrics.count("suspected jobs");
         let mut planned = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.fleet.machines.values_mut() {
             machine.absolve(id, now);
-            let waits = |e: &&crate::placement_tracking::PlacedTask| {
+            let waits = |e: &&crate::fleet::machine::PlacedTask| {
                 e.task.job == *id && e.phase == Phase::Planned && !e.is_recorded()
             };
             planned.extend(
@@ -226,7 +226,7 @@
 
     /// A task was completed on a machine: neither is to blame for what failed before.
     pub(crate) fn succeeded(&mut self, machine: &MachineId, job: &JobId, now: Time) {
-        if let Some(m) = self.machines.get_mut(machine) {
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.succeeded(now);
         }
         if let Some(job) = self.jobs.get_mut(job).filter(|j| j.stage == Stage::Active) {
--- a/crates/core/src/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -32,6 +32,7 @@
 fn usable(leader: &Leader, at: u64) -> usize {
     let at = now(at).time;
     leader
+        .fleet
         .machines
         .values()
         .filter(|m| m.quarantine <= at)
@@ -67,7 +68,7 @@
         fail(&mut leader, n, "vm-0", u64::from(n));
     }
     assert!((1..4).all(|n| !suspected(&leader, n)));
-    assert!(leader.machines[&"vm-0".into()].is_suspected());
+    assert!(leader.fleet.machines[&"vm-0".into()].is_suspected());
     assert_eq!((usable(&leader, 4), usable(&leader, 40)), (4, 5));
     let job = &leader.jobs[&"wk-3".parse().expect("an id")];
     assert!(job.not_before <= now(4).time);
@@ -114,7 +115,7 @@
             let (id, vm) = (format!("wk-{n}"), format!("vm-{machine}"));
             let job = &leader.jobs[&id.parse().expect("an id")];
             let may = job.not_before <= time && !job.failures.avoids(&vm.as_str().into(), time)
-                && leader.machines[&vm.as_str().into()].quarantine <= time;
+                && leader.fleet.machines[&vm.as_str().into()].quarantine <= time;
             if done[n] || !may {
                 continue;
             }
@@ -133,7 +134,7 @@
         }
         let late = now(400 + 8);
         for n in (0..5).filter(|n| !faulty.contains(n)) {
-            let machine = &leader.machines[&format!("vm-{n}").as_str().into()];
+            let machine = &leader.fleet.machines[&format!("vm-{n}").as_str().into()];
             prop_assert!(machine.quarantine <= late.time, "vm-{n} is kept out");
         }
     }
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -1,18 +1,16 @@
 //! What a leader concludes from workers' reports, and from what is gone.
 
-use crate::job::is_non_preemptible;
-use crate::job_cache::JobCache;
+use crate::cache::job_cache::JobCache;
+use crate::fleet::machine::{Change, Machine, Phase, PlacedTask, Stop};
+use crate::fleet::DIRECT_CALLS_PER_S;
+use crate::jobs::job::is_non_preemptible;
 use crate::leader::Leader;
-use crate::placement_tracking::{Change, Machine, Phase, PlacedTask, Stop};
-use crate::records::SegmentId;
+use crate::store::records::SegmentId;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, Incarnation, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
 
-/// Direct calls a second. They make a start sooner than the next report would; each costs a
-/// connection, so in a rush what can wait is told when it reports.
-pub(crate) const DIRECT_RATE: f64 = 50.0;
 /// And one more for so many machines: a zone that comes back has hundreds of starts waiting, and
 /// workers of a large fleet report less often.
 const DIRECT_PER: f64 = 10.0;
@@ -29,7 +27,7 @@
         job_cache: &JobCache,
         now: Now,
     ) -> Option<Vec<Command>> {
-        if report.token > self.epoch || self.returned.contains_key(&report.machine) {
+        if report.token > self.term.epoch || self.fleet.returned.contains_key(&report.machine) {
             // A higher token: another node leads. A machine that was returned is gone, so this is
             // a late copy; to answer it would help nobody.
             log::debug!("a report of {} is refused", report.machine);
@@ -37,8 +35,8 @@
         }
         self.reconcile_report(report, now);
         let newest = (report.incarnation, report.seq);
-        let machine = match self.machines.get_mut(&report.machine) {
-            Some(machine) if self.ready => machine,
+        let machine = match self.fleet.machines.get_mut(&report.machine) {
+            Some(machine) if self.recovery.is_complete => machine,
             _ => return Some(job_cache.stops_of_cancelled(report)),
         };
         machine.last_answer = Some(now.time);
@@ -52,27 +50,28 @@
 
     /// A worker has answered a direct call.
     pub fn reacted(&mut self, report: &StatusReport, now: Now) {
-        self.last_reaction = now.time;
-        self.unanswered = 0;
+        self.fleet.last_direct_answer_at = now.time;
+        self.fleet.unanswered_calls = 0;
         self.reconcile_report(report, now);
-        if let Some(machine) = self.machines.get_mut(&report.machine) {
+        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
             machine.reacted();
         }
     }
 
     /// Whether another direct call may be made now.
     pub fn may_call(&mut self, now: Time) -> bool {
-        let rate = DIRECT_RATE + self.machines.len() as f64 / DIRECT_PER;
+        let rate = DIRECT_CALLS_PER_S + self.fleet.machines.len() as f64 / DIRECT_PER;
         let rate = self.processor_share.slowed(rate);
-        let more = (now - self.calls_at).as_secs() * rate;
-        self.calls_left = (self.calls_left + more).min(rate);
-        self.calls_at = now;
-        self.calls_left >= 1.0
+        let more = (now - self.fleet.direct_calls_counted_at).as_secs() * rate;
+        self.fleet.direct_calls_left = (self.fleet.direct_calls_left + more).min(rate);
+        self.fleet.direct_calls_counted_at = now;
+        self.fleet.direct_calls_left >= 1.0
     }
 
     /// Whether no worker has answered a direct call for a while, although several were called.
     pub fn reaches_nobody(&self, now: Time) -> bool {
-        self.unanswered >= UNREACHED_CALLS && now - self.last_reaction > UNREACHED
+        self.fleet.unanswered_calls >= UNREACHED_CALLS
+            && now - self.fleet.last_direct_answer_at > UNREACHED
     }
 
     /// Whether a machine waits for the start of work that can't wait.
@@ -83,19 +82,21 @@
 
     /// Takes in a worker's report.
     pub fn reconcile_report(&mut self, report: &StatusReport, now: Now) {
-        if self.returned.contains_key(&report.machine) {
+        if self.fleet.returned.contains_key(&report.machine) {
             return;
         }
-        if !self.ready {
-            let newer = (self.early.get(&report.machine))
+        if !self.recovery.is_complete {
+            let newer = (self.recovery.early_reports.get(&report.machine))
                 .is_none_or(|e| (e.incarnation, e.seq) < (report.incarnation, report.seq));
             if newer {
-                self.early.insert(report.machine.clone(), report.clone());
+                self.recovery
+                    .early_reports
+                    .insert(report.machine.clone(), report.clone());
             }
             return;
         }
-        if !self.machines.contains_key(&report.machine) {
-            let known = self.machine_type(&report.machine_type).is_some();
+        if !self.fleet.machines.contains_key(&report.machine) {
+            let known = self.policy.machine_type(&report.machine_type).is_some();
             let of = if known {
                 ""
             } else {
@@ -103,9 +104,9 @@
             };
             log::info!("{} reports, unexpected{of}", report.machine);
         }
-        let room = self.room_of(&report.machine_type);
-        let epoch = self.epoch;
-        let machine = (self.machines.entry(report.machine.clone())).or_insert_with(|| {
+        let room = self.policy.capacity_of(&report.machine_type);
+        let epoch = self.term.epoch;
+        let machine = (self.fleet.machines.entry(report.machine.clone())).or_insert_with(|| {
             let (t, z) = (report.machine_type.clone(), report.zone.clone());
             Machine::new(report.machine.clone(), t, z, report.spot, room, now.wall)
         });
@@ -116,7 +117,7 @@
         if newest && !same {
             machine.list = (machine.newest, report.tasks.as_slice().into());
         }
-        self.unrecorded |= machine.page == SegmentId::NONE;
+        self.placement_log.may_have_unrecorded |= machine.page == SegmentId::NONE;
         let became_known = !was_known && machine.is_known(epoch);
         let release = report.token;
         for entry in machine.entries.iter_mut().filter(|e| e.unsure) {
@@ -144,10 +145,10 @@
                     let class = job.spec.class.clone();
                     let s = waited.as_secs();
                     log::debug!("{task} of {class} runs on {machine}, {s} s after it was ready");
-                    self.waits.entry(class).or_default().note(waited);
+                    self.metrics.record_start_wait(class, waited);
                 }
-                self.count("started");
-                if let (Some(image), Some(m)) = (image, self.machines.get_mut(machine)) {
+                self.metrics.count("started");
+                if let (Some(image), Some(m)) = (image, self.fleet.machines.get_mut(machine)) {
                     m.images.insert(image);
                 }
             }
@@ -172,15 +173,17 @@
         now: Now,
     ) {
         log::debug!("{task} attempt {attempt} exited on {machine}: {why:?}");
-        let stop = (self.machines.get_mut(machine))
+        let stop = (self.fleet.machines.get_mut(machine))
             .and_then(|m| m.entry_mut(task, attempt))
             .and_then(|e| e.stop);
         match stop {
-            Some(stop) => self.note_stop(now.wall, task, machine, stop.why),
-            None => self.count(if why == Cause::Done { "done" } else { "failed" }),
+            Some(stop) => self.metrics.record_stop(now.wall, task, machine, stop.why),
+            None => self
+                .metrics
+                .count(if why == Cause::Done { "done" } else { "failed" }),
         }
         self.request_cycle(now.time);
-        if let Some(m) = self.machines.get_mut(machine) {
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
             if why == Cause::NoRoom {
                 m.quarantine = m.quarantine.max(now.time + Span(1_000));
             }
@@ -222,7 +225,7 @@
     }
 
     pub(crate) fn settle(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
-        let machine = self.machines.get_mut(machine);
+        let machine = self.fleet.machines.get_mut(machine);
         if let Some(entry) = machine.and_then(|m| m.entry_mut(task, attempt)) {
             entry.settled = true;
         }
@@ -235,7 +238,8 @@
         attempt: Attempt,
         now: Now,
     ) {
-        self.note_stop(now.wall, task, machine, "lost with its machine");
+        self.metrics
+            .record_stop(now.wall, task, machine, "lost with its machine");
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.unplace(task.index, machine, attempt);
         }
@@ -268,7 +272,7 @@
         why: &'static str,
         now: Time,
     ) {
-        let Some(machine) = self.machines.get_mut(machine) else {
+        let Some(machine) = self.fleet.machines.get_mut(machine) else {
             return;
         };
         let mut dropped = Vec::new();
@@ -300,8 +304,8 @@
     pub(crate) fn adopt(&mut self, machine: &MachineId, told: TaskStatus, now: Now) {
         let spec = (self.jobs.get(&told.task.job)).map(|j| j.spec.clone());
         let mut entry = PlacedTask::planned(told.task.clone(), told.attempt, spec, now.time);
-        let incarnation = (self.machines.get(machine)).map_or(Incarnation(0), |m| m.newest.0);
-        entry.sent = (self.epoch, incarnation);
+        let incarnation = (self.fleet.machines.get(machine)).map_or(Incarnation(0), |m| m.newest.0);
+        entry.sent = (self.term.epoch, incarnation);
         if told.state == TaskState::Exited {
             entry.phase = Phase::Exited(told.why.unwrap_or(Cause::Error));
         } else {
@@ -321,8 +325,8 @@
             }
         }
         let exited = entry.phase;
-        self.unrecorded = true;
-        if let Some(m) = self.machines.get_mut(machine) {
+        self.placement_log.may_have_unrecorded = true;
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.entries.push(entry);
         }
         if let Phase::Exited(why) = exited {
--- a/crates/core/src/reports/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::records::JobRecord;
+use crate::store::records::JobRecord;
 use crate::testing::{job, leader, run, running, up, NOW};
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
@@ -41,7 +41,7 @@
     run(&mut leader, &job, 0, &id);
     let job_id = job.spec.id.clone();
     leader.stop_on(&id, &job_id, Attempt(1), 20.0, "evicted", NOW.time);
-    let machine = leader.machines.get_mut(&id).expect("a machine");
+    let machine = leader.fleet.machines.get_mut(&id).expect("a machine");
     machine.entries[0].phase = Phase::On(TaskState::Saving);
     assert_eq!(leader.commands(&id, NOW.time, false), vec![]);
     leader.stop_on(&id, &job_id, Attempt(1), 0.0, "cancelled", NOW.time);
--- a/crates/core/src/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -8,8 +8,8 @@
 //!
 //! If the leader says nothing, workers get 503 at once and try another node.
 
+use crate::cache::job_cache::JobCache;
 use crate::io::{json, CallId, Output, ReqId};
-use crate::job_cache::JobCache;
 use crate::leader::Leader;
 use crate::node::{Node, PeerStatus};
 use crate::units::{Now, Span, Time};
@@ -270,7 +270,7 @@
 
     /// At the leader: a node that should take this worker's reports.
     pub(crate) fn spread_report(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
-        let machines = (self.leader.as_ref()).map_or(0, |l| l.machines.len() as u32);
+        let machines = (self.leader.as_ref()).map_or(0, |l| l.fleet.machines.len() as u32);
         let peer = if self.is_spread(machines) {
             self.lighter(machine, now)
         } else {
@@ -376,14 +376,17 @@
         let Some(leader) = self.leader.as_mut() else {
             return self.out.push(Output::AnswerForwardedReports(req, none));
         };
-        if !leader.may_answer(now.time, store_reachable, majority) {
+        if !leader
+            .term
+            .may_answer_agents(now.time, store_reachable, majority)
+        {
             return self.out.push(Output::AnswerForwardedReports(req, none));
         }
         let answers = (passed.reports.into_iter())
             .map(|report| leader.take_passed(report, &self.job_cache, now))
             .collect();
         let reply = ForwardedReportsReply {
-            token: Some(leader.epoch),
+            token: Some(leader.term.epoch),
             answers,
         };
         self.out.push(Output::AnswerForwardedReports(req, reply));
@@ -417,7 +420,7 @@
             }
         };
         let answer = self.answer_report(&report, job_cache, now);
-        if let Some(machine) = self.machines.get_mut(&id).filter(|_| whole) {
+        if let Some(machine) = self.fleet.machines.get_mut(&id).filter(|_| whole) {
             // What the peer may refer to from now on.
             if machine.newest == (report.incarnation, report.seq) {
                 machine.list.0 = machine.newest;
@@ -426,7 +429,7 @@
         match answer {
             Some(commands) if commands.is_empty() => ForwardedAnswer::Answered(None),
             Some(commands) => {
-                let token = self.epoch;
+                let token = self.term.epoch;
                 ForwardedAnswer::Answered(Some(json(&StatusReportReply { token, commands })))
             }
             None => ForwardedAnswer::Refused,
@@ -435,8 +438,8 @@
 
     /// A report that lists what an earlier one did, which this leader took in last.
     fn as_in(&self, id: &MachineId, incarnation: Incarnation, seq: Seq) -> Option<StatusReport> {
-        let machine = self.machines.get(id)?;
-        if machine.list.0 != (incarnation, seq) || !self.ready {
+        let machine = self.fleet.machines.get(id)?;
+        if machine.list.0 != (incarnation, seq) || !self.recovery.is_complete {
             return None;
         }
         Some(StatusReport {
@@ -447,7 +450,7 @@
             spot: machine.spot,
             incarnation,
             seq,
-            token: self.epoch,
+            token: self.term.epoch,
             notice_s: None,
             tasks: machine.list.1.to_vec(),
         })
--- a/crates/core/src/admin.rs
+++ b/crates/core/src/api/admin.rs
@@ -3,14 +3,14 @@
 
 mod views;
 
-use crate::fleet_limits::FleetLimits;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
 use crate::leader::Leader;
 use crate::node::{Node, PendingCall};
-use crate::records::ADMIN;
-use crate::state_calls::Urgency;
-use crate::tree::TeamTree;
-use crate::units::{Now, Span};
+use crate::overload::fleet_limits::FleetLimits;
+use crate::store::calls::Urgency;
+use crate::store::records::ADMIN;
+use crate::teams::team_tree::TeamTree;
+use crate::units::Now;
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::ids::{JobId, MachineId, Version};
 use rudderreel_wire::peer::Forward;
@@ -135,7 +135,7 @@
                         AdminRequest::Machines(after) => {
                             (200, views::machines(leader, after.as_ref(), now))
                         }
-                        AdminRequest::Stops => (200, json!({ "stops": leader.stops })),
+                        AdminRequest::Stops => (200, json!({ "stops": leader.metrics.stops })),
                         AdminRequest::Job(id) => self.explain(leader, &id, now),
                         _ => (200, self.overview(now)),
                     };
@@ -148,7 +148,9 @@
 
     fn leads_surely(&self, leader: &Leader, now: Now) -> bool {
         let store_reachable = self.election.store_reachable(now.time);
-        leader.may_answer(now.time, store_reachable, self.election.majority())
+        leader
+            .term
+            .may_answer_agents(now.time, store_reachable, self.election.majority())
     }
 
     fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool, now: Now) {
@@ -225,7 +227,9 @@
         log::info!("operators' settings of version {version} are taken up");
         self.admin_settings = Versioned { version, settings };
         if let Some(leader) = self.leader.as_mut() {
-            leader.take_up(self.tree.clone(), &self.admin_settings.settings);
+            leader
+                .policy
+                .apply(self.tree.clone(), &self.admin_settings.settings);
         }
     }
 
@@ -241,59 +245,18 @@
             "jobs_known": self.job_cache.jobs.len(),
             "unreadable_records": self.job_cache.unreadable,
             "jobs_unfinished": leader.map(|l| l.jobs.len()),
-            "machines": leader.map(|l| l.machines.len()),
+            "machines": leader.map(|l| l.fleet.machines.len()),
             "connections_for": FleetLimits::of(&self.settings),
-            "machines_beyond_connections": leader.map(|l| l.beyond_connections),
+            "machines_beyond_connections": leader.map(|l| l.fleet.beyond_connections),
             "pages": leader.map(|l| l.placement_log.len()),
             "backlog": self.backlog.summary(now.time),
-            "counters": leader.map(|l| &l.counters),
+            "counters": leader.map(|l| &l.metrics.counters),
             "answers_ms": self.user_requests.latency.summary(),
             "start_waits_ms": leader.map(|l| {
-                (l.waits.iter())
+                (l.metrics.start_waits.iter())
                     .map(|(class, waits)| (class.to_string(), waits.summary()))
                     .collect::<serde_json::Map<_, _>>()
             }),
         })
     }
 }
-
-/// A stop, as it is told.
-#[derive(Clone, Debug, serde::Serialize)]
-pub struct StopNote {
-    /// Milliseconds since 1970.
-    pub at_ms: u64,
-    /// The task.
-    pub task: String,
-    /// Its machine.
-    pub machine: String,
-    /// Why.
-    pub why: &'static str,
-}
-
-/// A histogram of milliseconds.
-pub struct Latency(hdrhistogram::Histogram<u32>);
-
-impl Default for Latency {
-    fn default() -> Self {
-        let bounds = hdrhistogram::Histogram::new_with_bounds(1, 3_600_000, 2);
-        Self(bounds.expect("the bounds are constants that fit"))
-    }
-}
-
-impl Latency {
-    /// Notes a time.
-    pub fn note(&mut self, span: Span) {
-        self.0.saturating_record(span.0.max(1));
-    }
-
-    /// Its quantiles.
-    pub fn summary(&self) -> Value {
-        json!({
-            "count": self.0.len(),
-            "p50": self.0.value_at_quantile(0.5),
-            "p95": self.0.value_at_quantile(0.95),
-            "p99": self.0.value_at_quantile(0.99),
-            "max": self.0.max(),
-        })
-    }
-}
--- a/crates/core/src/admin/views.rs
+++ b/crates/core/src/api/admin/views.rs
@@ -2,12 +2,12 @@
 //!
 //! Lists are answered in pages or cut, and always say how many there are in all.
 
-use crate::job::{Job, Stage};
+use crate::fleet::machine::{Machine, Phase};
+use crate::jobs::job::{Job, Stage};
 use crate::leader::Leader;
 use crate::node::Node;
-use crate::placement_tracking::{Machine, Phase};
-use crate::snapshot::Snapshot;
-use crate::tree::amounts;
+use crate::scheduling::snapshot::Snapshot;
+use crate::teams::team_tree::amounts;
 use crate::units::Now;
 use rudderreel_wire::ids::{JobId, MachineId};
 use serde_json::{json, Value};
@@ -34,7 +34,7 @@
             .flat_map(|(index, places)| places.iter().map(move |p| (index, p)))
             .take(MOST_LISTED)
             .map(|(index, (machine, attempt))| {
-                let entry = (leader.machines.get(machine)).and_then(|m| {
+                let entry = (leader.fleet.machines.get(machine)).and_then(|m| {
                     m.entries
                         .iter()
                         .find(|e| e.attempt == *attempt && e.task.index == *index)
@@ -103,7 +103,7 @@
             "its team's quota is used up, and work at priority 100 or above can't borrow"
         };
     }
-    if crate::actions::has_room(leader, &snapshot, job) {
+    if crate::scheduling::actions::has_room(leader, &snapshot, job) {
         "it is placed in the next cycle"
     } else if leader.rentals.open.is_empty() && !leader.is_booting() {
         "no machine has room for it, and none could be rented"
@@ -116,11 +116,11 @@
 pub(super) fn teams(leader: &Leader, now: Now) -> Value {
     let snapshot = Snapshot::take(leader, now);
     let finite = |x: f64| x.is_finite().then_some(x);
-    let rows: Vec<Value> = (leader.tree.nodes.iter().enumerate().skip(1))
+    let rows: Vec<Value> = (leader.policy.teams.nodes.iter().enumerate().skip(1))
         .map(|(i, team)| {
             json!({
                 "team": team.name,
-                "parent": team.parent.map(|p| &leader.tree.nodes[p].name),
+                "parent": team.parent.map(|p| &leader.policy.teams.nodes[p].name),
                 "priority": team.priority,
                 "weight": team.weight,
                 "cpus": {"used": snapshot.used[i][0], "of_share": snapshot.counted[i][0], "share": snapshot.share[i][0],
@@ -137,16 +137,16 @@
 /// Machines after a name, as many as a page holds, and what all of them cost.
 pub(super) fn machines(leader: &Leader, after: Option<&MachineId>, now: Now) -> Value {
     let later = |m: &&Machine| after.is_none_or(|after| m.id > *after);
-    let mut left = leader.machines.values().filter(later);
+    let mut left = leader.fleet.machines.values().filter(later);
     let listed: Vec<&Machine> = left.by_ref().take(MOST_LISTED).collect();
     let next_after = left.next().and(listed.last()).map(|m| &m.id);
     let rows: Vec<Value> = listed.iter().map(|m| machine(leader, m, now)).collect();
-    let per_hour: f64 = (leader.machines.values())
+    let per_hour: f64 = (leader.fleet.machines.values())
         .filter_map(|m| price_of(leader, m))
         .sum();
     json!({
         "machines": rows,
-        "of": leader.machines.len(),
+        "of": leader.fleet.machines.len(),
         "next_after": next_after,
         "price_per_hour": per_hour,
     })
@@ -154,7 +154,7 @@
 
 /// What a machine costs an hour, if its type is known.
 fn price_of(leader: &Leader, machine: &Machine) -> Option<f64> {
-    let machine_type = leader.machine_type(&machine.machine_type)?;
+    let machine_type = leader.policy.machine_type(&machine.machine_type)?;
     if machine.spot {
         machine_type.spot_price
     } else {
--- a/crates/core/src/acceptance.rs
+++ b/crates/core/src/api/admission.rs
@@ -5,12 +5,12 @@
 //! checked before. The same commit confirms that none of what it depends on, directly or through
 //! others, was cancelled meanwhile; a job that names a cancelled one is accepted as cancelled.
 
-use crate::dependencies::Ancestry;
+use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
+use crate::cache::dependencies::Ancestry;
 use crate::io::{error_body, json, StoreAnswer, StoreCall, UserRequest};
 use crate::node::Node;
-use crate::records::{job_key, JobRecord, JOBS};
+use crate::store::records::{job_key, JobRecord, JOBS};
 use crate::units::{Now, Resources};
-use crate::user_requests::{UserCall, Waiting, PATIENCE};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::{JobAnswer, JobSpec, JobState, Kind};
 use rudderreel_wire::state::{Change, Condition, Transaction};
@@ -94,7 +94,7 @@
         } else {
             spec.tasks
         };
-        let need = crate::tree::amounts(&need.times(whole));
+        let need = crate::teams::team_tree::amounts(&need.times(whole));
         let allowed = self.tree.chain(leaf).all(|n| {
             let limit = &self.tree.nodes[n].limit;
             need.iter().zip(limit).all(|(n, l)| *n <= *l + 1e-9)
--- a/crates/core/src/cancellations.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -11,14 +11,14 @@
 //! back; then nodes that the state service serves say through it how much they know. A leader by its
 //! lease may tell of a job of which surely nothing is left: what no machine holds nobody keeps alive.
 
+use crate::api::user_requests::Waiting;
 use crate::io::{Output, ReqId, StoreCall};
-use crate::job::Job;
+use crate::jobs::job::Job;
 use crate::node::{Node, PendingCall};
-use crate::records::{KnownRecord, KNOWN};
-use crate::recovery::put;
-use crate::state_calls::Urgency;
+use crate::store::calls::Urgency;
+use crate::store::records::{KnownRecord, KNOWN};
+use crate::store::transactions::put;
 use crate::units::{Now, Span, Time};
-use crate::user_requests::Waiting;
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use rudderreel_wire::peer::{
     CancelledJob, Catchup, Heartbeat, HeartbeatReply, ReplicateCancellations,
@@ -104,7 +104,9 @@
     fn nothing_is_left(&self, id: &JobId, now: Now) -> bool {
         let nothing = |job: &Job| !job.is_active() && job.places.is_empty();
         self.leader.as_ref().is_some_and(|leader| {
-            leader.ready && leader.lease_valid(now.time) && leader.jobs.get(id).is_none_or(nothing)
+            leader.recovery.is_complete
+                && leader.term.is_lease_valid(now.time)
+                && leader.jobs.get(id).is_none_or(nothing)
         })
     }
 
--- a/crates/core/src/confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -6,11 +6,11 @@
 //! large for one transaction is confirmed in several: done and cancelled are final, so what was not
 //! cancelled at a later transaction was not at an earlier one either.
 
+use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::Node;
-use crate::records::{job_key, JobRecord, JOBS};
+use crate::store::records::{job_key, JobRecord, JOBS};
 use crate::units::{Now, Span, Time};
-use crate::user_requests::{UserCall, Waiting, PATIENCE};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::state::{Condition, Transaction};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/core/src/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -3,14 +3,14 @@
 //! Answers never go back. A final state in the cache is told at once; anything else is confirmed with
 //! the state service first (see `confirmation`). Submissions are accepted in `acceptance`.
 
-use crate::acceptance::{put_job, NewJob};
-use crate::admin::Latency;
-use crate::confirmation::{Confirmation, Unconfirmed};
+use crate::api::admission::{put_job, NewJob};
+use crate::api::read_confirmation::{Confirmation, Unconfirmed};
+use crate::cache::job_cache::KnownJob;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
-use crate::job_cache::KnownJob;
+use crate::metrics::Latency;
 use crate::node::{Node, PendingCall};
-use crate::records::{job_key, JobRecord};
-use crate::state_calls::Urgency;
+use crate::store::calls::Urgency;
+use crate::store::records::{job_key, JobRecord};
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobAnswer, JobState, JobStatus};
@@ -300,7 +300,7 @@
         else {
             return self.refuse(waiting.req, "the job is not known here");
         };
-        self.user_requests.latency.note(now.time - waiting.since);
+        self.user_requests.latency.record(now.time - waiting.since);
         let tasks = record.tasks;
         let (done, running) = self.counts(&id);
         let state = match record.state {
--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/cache/dependencies.rs
@@ -6,7 +6,7 @@
 //! does so for all, and a node that is asked about such a job before it answers. A cache that is out
 //! of date knows less of what is done or cancelled, and only waits.
 
-use crate::job_cache::JobCache;
+use crate::cache::job_cache::JobCache;
 use crate::units::Wall;
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::{JobSpec, JobState};
--- a/crates/core/src/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::records::JobRecord;
-use crate::store_limits::StoreLimits;
+use crate::store::limits::StoreLimits;
+use crate::store::records::JobRecord;
 use crate::testing::job;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
--- a/crates/core/src/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -3,9 +3,9 @@
 //! What the cache says of a final state may be told at once. Anything else may be out of date
 //! and is confirmed with the state service first (see `reads`).
 
-use crate::dependencies::DependencyGraph;
+use crate::cache::dependencies::DependencyGraph;
 use crate::io::Value;
-use crate::records::{
+use crate::store::records::{
     JobRecord, KnownRecord, LeaderKey, LeaderRecord, ADMIN, CATALOG, JOBS, KNOWN, MACHINE_TYPES,
 };
 use crate::units::Wall;
--- /dev/null
+++ b/crates/core/src/cache/mod.rs
@@ -0,0 +1,2 @@
+pub mod dependencies;
+pub mod job_cache;
--- a/crates/core/src/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -4,9 +4,9 @@
 //! planned while what it depends on still runs, but not before all of that runs: until then nothing
 //! is known of when it ends, and a machine that waits for it would cost money for nothing.
 
-use crate::job::Job;
+use crate::fleet::machine::PlacedTask;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::PlacedTask;
 use crate::units::{Now, Span, Time};
 
 /// What has run longer than its owner thought will run for this part of that time more.
@@ -42,7 +42,7 @@
         for (index, places) in &job.places {
             for (machine, attempt) in places {
                 let task = job.spec.id.task(*index);
-                let entry = (self.machines.get(machine)?.entries.iter())
+                let entry = (self.fleet.machines.get(machine)?.entries.iter())
                     .find(|e| e.task == task && e.attempt == *attempt)?;
                 longest = longest.max(ends_in(job, entry, now));
             }
--- a/crates/core/src/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -9,7 +9,7 @@
     for index in free..2 {
         run(&mut leader, &first, index, &machine);
     }
-    for machine in leader.machines.values_mut() {
+    for machine in leader.fleet.machines.values_mut() {
         for entry in &mut machine.entries {
             entry.running = Some(Time(NOW.time.0 - ran.0));
         }
--- a/crates/core/src/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -1,13 +1,13 @@
 //! Which machines are wanted: work that found no room is packed into what boots, and then into the
 //! cheapest offers. Like tasks are counted as a class, and machines that are alike as one bin.
 
-use crate::actions::{allowed, fits};
-use crate::capacity::Offer;
-use crate::job::Job;
+use crate::capacity::scale_out::Offer;
+use crate::fleet::machine::Machine;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::Machine;
-use crate::snapshot::{is_bound, within, CandidateMachine, Snapshot};
-use crate::tree::{amounts, Amounts};
+use crate::scheduling::actions::{allowed, fits};
+use crate::scheduling::snapshot::{is_bound, within, CandidateMachine, Snapshot};
+use crate::teams::team_tree::{amounts, Amounts};
 use crate::units::{Now, Resources, Span, Time};
 use rudderreel_wire::cloud::{MachineType, Rent, MACHINES_PER_RENTAL};
 use rudderreel_wire::ids::{TypeName, Zone};
@@ -95,7 +95,7 @@
 
     /// Plans room for arrays that will be ready by the time a machine could be up, beyond what is free.
     fn plan_ahead(&self, snapshot: &Snapshot, plan: &mut Plan, now: Now) {
-        let boot = Span::secs(self.catalog.slowest_boot_s());
+        let boot = Span::secs(self.policy.catalog.slowest_boot_s());
         let mut jobs: Vec<&Job> = (self.nearly_ready(boot, now))
             .filter(|j| j.spec.kind == Kind::Array)
             .collect();
@@ -134,7 +134,7 @@
             while count > 0 && self.rentals.open.len() < requests {
                 let part = count.min(MACHINES_PER_RENTAL);
                 count -= part;
-                let request = self.rentals.name(self.epoch);
+                let request = self.rentals.name(self.term.epoch);
                 log::info!("renting {part} {offer:?} as {request}");
                 self.rentals.open.push(Rent {
                     request,
@@ -150,7 +150,7 @@
     fn coming(&self, now: Now) -> Vec<Bin> {
         let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
         let wall = now.wall;
-        let late: BTreeMap<&TypeName, Span> = (self.catalog.types.iter())
+        let late: BTreeMap<&TypeName, Span> = (self.policy.catalog.types.iter())
             .map(|t| (&t.name, Span::secs(t.boot_s * LATE)))
             .collect();
         let booting = |m: &&Machine| {
@@ -159,7 +159,7 @@
                 .is_none_or(|t| Leader::age(m, wall) < *t);
             m.last_heard.is_none() && m.retire.is_none() && m.returning.is_none() && on_time
         };
-        for machine in self.machines.values().filter(booting) {
+        for machine in self.fleet.machines.values().filter(booting) {
             let offer = Offer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
@@ -181,7 +181,7 @@
     }
 
     fn bin(&self, offer: Offer, machines: u32) -> Bin {
-        let free = self.room_of(&offer.machine_type);
+        let free = self.policy.capacity_of(&offer.machine_type);
         Bin {
             gpus: free.gpus > 0,
             sure: Resources {
@@ -204,7 +204,7 @@
         let left = (job.goal.finish_by)
             .map(|wall| now.wall.until(wall))
             .or_else(|| {
-                let aim = *self.done_aims.get(&spec.class)?;
+                let aim = *self.policy.completion_objectives.get(&spec.class)?;
                 Some(now.wall.until(job.waits_since() + aim))
             });
         let (Kind::Array, Some(left)) = (spec.kind, left) else {
@@ -213,7 +213,7 @@
         if self.runs_cheaply(job) {
             return free;
         }
-        let boot = self.catalog.slowest_boot_s();
+        let boot = self.policy.catalog.slowest_boot_s();
         let each = spec.estimate_s.max(1.0);
         let rounds = (((left.as_secs() - boot) * USE / each).floor()).max(1.0);
         let placed = job
@@ -228,26 +228,26 @@
     /// Whether a machine for a job costs so little beside the dearest ones that there is nothing to
     /// weigh: then all its tasks may run at once.
     fn runs_cheaply(&self, job: &Job) -> bool {
-        let fitting = (self.catalog.types.iter())
+        let fitting = (self.policy.catalog.types.iter())
             .filter(|t| Resources::of_machine(t).holds(&job.need))
             .filter(|t| (job.spec.types.as_ref()).is_none_or(|l| l.contains(&t.name)));
         let least = fitting.map(|t| t.price).fold(f64::INFINITY, f64::min);
-        least * CHEAP <= self.catalog.most_dear()
+        least * CHEAP <= self.policy.catalog.most_dear()
     }
 
     /// How many more tasks of a job its team's limits allow, at most `most`; they are charged.
     fn allowance(&self, job: &Job, most: u32, plan: &mut Plan) -> u32 {
         let need = amounts(&job.need);
-        let Some(leaf) = self.tree.find(&job.spec.team) else {
+        let Some(leaf) = self.policy.teams.find(&job.spec.team) else {
             return 0;
         };
         let mut n = 0;
         while n < most && within(self, job, &need, &plan.used, &plan.firm) {
             n += 1;
-            for node in self.tree.chain(leaf) {
-                crate::snapshot::add(&mut plan.used[node], &need);
+            for node in self.policy.teams.chain(leaf) {
+                crate::scheduling::snapshot::add(&mut plan.used[node], &need);
                 if !job.is_preemptible() {
-                    crate::snapshot::add(&mut plan.firm[node], &need);
+                    crate::scheduling::snapshot::add(&mut plan.firm[node], &need);
                 }
             }
         }
@@ -258,7 +258,7 @@
         let mut zones = Zones::new();
         if is_bound(&job.spec) {
             for (id, _) in job.places.values().flatten() {
-                if let Some(machine) = self.machines.get(id) {
+                if let Some(machine) = self.fleet.machines.get(id) {
                     *zones.entry(machine.zone.clone()).or_default() += 1;
                 }
             }
@@ -311,7 +311,7 @@
         zones: &mut Zones,
         only: Option<&Zone>,
     ) -> u32 {
-        let plain = job.need.gpus == 0 && self.fits_without_gpus(&job.spec, &job.need);
+        let plain = job.need.gpus == 0 && self.policy.fits_without_gpus(&job.spec, &job.need);
         let mut left = most;
         let mut split = Vec::new();
         for bin in bins.iter_mut() {
@@ -389,7 +389,7 @@
 
     /// All zones of the catalog.
     pub(crate) fn zones(&self) -> Vec<Zone> {
-        let mut zones: Vec<Zone> = (self.catalog.types.iter())
+        let mut zones: Vec<Zone> = (self.policy.catalog.types.iter())
             .flat_map(|t| t.zones.iter().cloned())
             .collect();
         zones.sort();
@@ -433,9 +433,9 @@
 
     /// Open offers that a job may use, with the price of each for one of its tasks.
     fn priced_offers(&self, job: &Job, now: Time) -> Vec<(f64, Offer)> {
-        let plain = job.need.gpus == 0 && self.fits_without_gpus(&job.spec, &job.need);
+        let plain = job.need.gpus == 0 && self.policy.fits_without_gpus(&job.spec, &job.need);
         let mut found = Vec::new();
-        for machine_type in &self.catalog.types {
+        for machine_type in &self.policy.catalog.types {
             let room = Resources::of_machine(machine_type);
             let each = room.count(&job.need);
             if each == 0 || (plain && room.gpus > 0) {
@@ -444,7 +444,7 @@
             for offer in offers(machine_type) {
                 // What comes up behind a cut can't report.
                 let open = self.rentals.is_open(&offer, now)
-                    && !self.partitioned_zones.contains_key(&offer.zone)
+                    && !self.fleet.partitioned_zones.contains_key(&offer.zone)
                     && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot);
                 if let (true, Some(price)) = (open, price(machine_type, offer.spot)) {
                     found.push((price / f64::from(each), offer));
--- /dev/null
+++ b/crates/core/src/capacity/mod.rs
@@ -0,0 +1,3 @@
+pub mod anticipation;
+pub mod demand;
+pub mod scale_out;
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -1,9 +1,9 @@
 //! Renting and returning machines.
 
+use crate::fleet::machine::Machine;
 use crate::io::{CallId, CloudAnswer, CloudCall, Output};
 use crate::leader::Leader;
 use crate::node::Node;
-use crate::placement_tracking::Machine;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::cloud::{
     ListedMachine, ListedState, MachineNames, Rent, MACHINES_PER_PAGE, MACHINES_PER_RETURN,
@@ -171,16 +171,17 @@
 impl Leader {
     /// Machines to return now: idle ones once they have been paid for, stuck and silent ones.
     fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
-        let boots: BTreeMap<TypeName, Span> = (self.catalog.types.iter())
+        let boots: BTreeMap<TypeName, Span> = (self.policy.catalog.types.iter())
             .map(|t| (t.name.clone(), Span::secs(t.boot_s * 4.0 + 30.0)))
             .collect();
         let spare_only = self.spare_only();
         let keeps = self.keep_times();
-        let partitioned_zones: BTreeSet<Zone> = self.partitioned_zones.keys().cloned().collect();
+        let partitioned_zones: BTreeSet<Zone> =
+            self.fleet.partitioned_zones.keys().cloned().collect();
         let lost = self.lost(now.time);
-        let (led, lease) = (now.time - self.since, self.lease);
+        let (led, lease) = (now.time - self.term.elected_at, self.agent_timings.lease);
         let mut names = Vec::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.fleet.machines.values_mut() {
             let age = Leader::age(machine, now.wall);
             let boot = (boots.get(&machine.machine_type).copied()).unwrap_or(Span(180_000));
             if let Some(why) = lost.get(&machine.id) {
@@ -193,7 +194,7 @@
             let keep = (keeps
                 .get(&(machine.machine_type.clone(), machine.spot))
                 .copied())
-            .unwrap_or(self.keep_idle);
+            .unwrap_or(self.policy.idle_retention);
             // Behind a cut it can't be used, and is not idle for that.
             let idle = !partitioned_zones.contains(&machine.zone) && machine.entries.is_empty()
                 || spare_only.contains(&machine.id);
@@ -221,13 +222,13 @@
     /// cloud has, the longer. Next to machines with GPUs the rest cost next to nothing, and the next
     /// job has to wait for a boot if they are gone.
     fn keep_times(&self) -> BTreeMap<(TypeName, bool), Span> {
-        let most = self.catalog.most_dear();
-        let kinds = (self.catalog.types.iter())
+        let most = self.policy.catalog.most_dear();
+        let kinds = (self.policy.catalog.types.iter())
             .flat_map(|t| [(t, false, Some(t.price)), (t, true, t.spot_price)]);
         kinds
             .filter_map(|(t, spot, price)| {
                 let times = (most / price?.max(1e-9) / KEEP_RATIO).clamp(1.0, KEEP_MOST);
-                let keep = (self.keep_idle.0 as f64 * times) as u64;
+                let keep = (self.policy.idle_retention.0 as f64 * times) as u64;
                 Some(((t.name.clone(), spot), Span(keep)))
             })
             .collect()
@@ -235,7 +236,7 @@
 
     fn note_returning(&mut self, names: &[MachineId], now: Now) {
         for id in names {
-            if let Some(machine) = self.machines.get_mut(id) {
+            if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.returning = Some(now.time);
                 log::info!("returning {id}: {}", machine.retire.unwrap_or(""));
             }
@@ -243,7 +244,7 @@
     }
 
     fn note_return(&mut self, id: &MachineId) {
-        if let Some(machine) = self.machines.get(id) {
+        if let Some(machine) = self.fleet.machines.get(id) {
             self.rentals.came_free(&Offer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
@@ -264,18 +265,18 @@
                         || job.is_some_and(|j| {
                             j.need.gpus == 0
                                 && j.is_preemptible()
-                                && self.fits_without_gpus(&j.spec, &j.need)
+                                && self.policy.fits_without_gpus(&j.spec, &j.need)
                         })
                 })
         };
-        (self.machines.values().filter(spare))
+        (self.fleet.machines.values().filter(spare))
             .map(|m| m.id.clone())
             .collect()
     }
 
     /// Stops what is left on machines that are to be returned once they are empty.
     pub fn empty_retired(&mut self, now: Time) {
-        let left: Vec<(MachineId, JobId, Attempt)> = (self.machines.values())
+        let left: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
             .filter(|m| m.retire == Some(IDLE))
             .flat_map(|m| m.entries.iter().map(move |e| (m, e)))
             .filter(|(_, e)| e.holds_room() && e.stop.is_none())
@@ -297,19 +298,23 @@
     /// Takes in a page of the machine list, which may be older than what is known.
     fn learn_list(&mut self, listed: &[ListedMachine], now: Now) {
         for found in listed {
-            if self.returned.contains_key(&found.id) {
+            if self.fleet.returned.contains_key(&found.id) {
                 continue;
             }
-            let room = self.room_of(&found.machine_type);
+            let room = self.policy.capacity_of(&found.machine_type);
             let since = now
                 .wall
                 .0
                 .saturating_sub((found.age_s.max(0.0) * 1000.0) as u64);
-            let machine = self.machines.entry(found.id.clone()).or_insert_with(|| {
-                let (t, z) = (found.machine_type.clone(), found.zone.clone());
-                let since = crate::units::Wall(since);
-                Machine::new(found.id.clone(), t, z, found.spot, room, since)
-            });
+            let machine = self
+                .fleet
+                .machines
+                .entry(found.id.clone())
+                .or_insert_with(|| {
+                    let (t, z) = (found.machine_type.clone(), found.zone.clone());
+                    let since = crate::units::Wall(since);
+                    Machine::new(found.id.clone(), t, z, found.spot, room, since)
+                });
             machine.listed = true;
             if machine.addr.is_none() {
                 machine.addr = found.addr.clone();
@@ -357,12 +362,13 @@
             cloud.next_catalog = now.time + Span(5_000);
             cloud.call(CloudCall::Catalog, CloudStep::Catalog);
         }
-        if !leader.ready || !leader.lease_valid(now.time) {
+        if !leader.recovery.is_complete || !leader.term.is_lease_valid(now.time) {
             return cloud.pump(now.time, &mut self.out);
         }
         let names = leader.due_returns(now);
         let urgent = (names.iter()).any(|id| {
             leader
+                .fleet
                 .machines
                 .get(id)
                 .is_some_and(|m| m.retire != Some(IDLE))
@@ -384,7 +390,7 @@
         let list_due = now.time >= cloud.next_list;
         if list_due && !cloud.has(|s| matches!(s, CloudStep::List(_))) {
             let pause = Span(4_000).max(self.list_lag);
-            cloud.next_list = now.time + pause.max(cloud.listing_span(leader.machines.len()));
+            cloud.next_list = now.time + pause.max(cloud.listing_span(leader.fleet.machines.len()));
             cloud.call(CloudCall::List(None), CloudStep::List(None));
         }
         cloud.pump(now.time, &mut self.out);
@@ -402,7 +408,7 @@
             (CloudStep::Catalog, CloudAnswer::Catalog(catalog)) => {
                 self.cloud.next_catalog = now.time + Span(60_000);
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.learn_catalog(catalog.clone());
+                    leader.set_catalog(catalog.clone());
                     leader.request_cycle(now.time);
                 }
                 if self.catalog.is_none() {
@@ -459,7 +465,7 @@
                     leader.rentals.refused.remove(&offer);
                 }
                 for id in names.machines {
-                    let room = leader.room_of(&rent.machine_type);
+                    let room = leader.policy.capacity_of(&rent.machine_type);
                     let (t, z) = (rent.machine_type.clone(), rent.zone.clone());
                     let machine = Machine::new(id, t, z, rent.spot, room, now.wall);
                     leader.expect_machine(machine);
--- a/crates/core/src/capacity/tests.rs
+++ b/crates/core/src/capacity/scale_out/tests.rs
@@ -44,7 +44,7 @@
             }
         }
         let leader = node.leader.as_ref().expect("it leads");
-        assert_eq!((listed, leader.machines.len()), (machines, machines));
+        assert_eq!((listed, leader.fleet.machines.len()), (machines, machines));
         assert!(refused >= machines / MACHINES_PER_PAGE, "{refused}");
     }
 }
@@ -71,5 +71,5 @@
     for n in 0..10 {
         up(&mut leader, &format!("vm-{n}"), "a");
     }
-    assert_eq!(cloud.listing_span(leader.machines.len()), Span(4_000));
+    assert_eq!(cloud.listing_span(leader.fleet.machines.len()), Span(4_000));
 }
--- a/crates/core/src/commands.rs
+++ b/crates/core/src/dispatch/commands.rs
@@ -1,9 +1,9 @@
 //! Commands for workers, and the single place where a start is decided.
 
-use crate::actions;
-use crate::job::Job;
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::{Machine, Phase, PlacedTask};
+use crate::scheduling::actions;
 use crate::units::{Resources, Span, Time};
 use rudderreel_wire::ids::{MachineId, Zone};
 use rudderreel_wire::worker::Command;
@@ -24,11 +24,14 @@
     /// By node of the tree: everything of it and of those below it that may exist.
     pub(crate) fn of(&self, leader: &Leader) -> &[Resources] {
         self.by_node.get_or_init(|| {
-            let mut sums = vec![Resources::default(); leader.tree.nodes.len()];
+            let mut sums = vec![Resources::default(); leader.policy.teams.nodes.len()];
             for job in leader.jobs.values().filter(|j| !j.places.is_empty()) {
                 let used = job.need.times(job.placed());
-                let leaf = leader.tree.find(&job.spec.team);
-                for node in leaf.into_iter().flat_map(|leaf| leader.tree.chain(leaf)) {
+                let leaf = leader.policy.teams.find(&job.spec.team);
+                for node in leaf
+                    .into_iter()
+                    .flat_map(|leaf| leader.policy.teams.chain(leaf))
+                {
                     sums[node] += used;
                 }
             }
@@ -55,16 +58,19 @@
                 .any(|(m, a)| *m != machine.id || *a != entry.attempt)
         });
         let spec = &job.spec;
-        let fresh = (machine.last_heard).is_some_and(|t| now - t < self.lease);
+        let fresh = (machine.last_heard).is_some_and(|t| now - t < self.agent_timings.lease);
         let free = machine.free();
         let rules = [
-            (self.ready && self.lease_valid(now), "leading"),
+            (
+                self.recovery.is_complete && self.term.is_lease_valid(now),
+                "leading",
+            ),
             (job.is_active(), "job active"),
             (job.is_ready(), "dependencies done"),
             (!job.done.contains(entry.task.index), "not done"),
             (!elsewhere, "nowhere else"),
             (entry.is_recorded() && entry.stop.is_none(), "recorded"),
-            (machine.is_known(self.epoch) && fresh, "machine known"),
+            (machine.is_known(self.term.epoch) && fresh, "machine known"),
             (machine.returning.is_none(), "machine kept"),
             (
                 actions::allowed(spec, &machine.machine_type, &machine.zone, machine.spot),
@@ -91,7 +97,7 @@
         }
         let mut zones: Vec<(&Zone, u32)> = Vec::new();
         let machines = job.places.values().flatten();
-        for machine in machines.filter_map(|(id, _)| self.machines.get(id)) {
+        for machine in machines.filter_map(|(id, _)| self.fleet.machines.get(id)) {
             match zones.iter_mut().find(|(zone, _)| **zone == machine.zone) {
                 Some((_, n)) => *n += 1,
                 None => zones.push((&machine.zone, 1)),
@@ -102,26 +108,28 @@
 
     /// Whether everything of a team that may exist keeps to its limit, planned starts included.
     pub(crate) fn limit_holds(&self, job: &Job, usage: &TeamUsage) -> bool {
-        let Some(leaf) = self.tree.find(&job.spec.team) else {
+        let Some(leaf) = self.policy.teams.find(&job.spec.team) else {
             return false;
         };
-        self.tree.chain(leaf).all(|node| {
-            let limit = &self.tree.nodes[node].limit;
+        self.policy.teams.chain(leaf).all(|node| {
+            let limit = &self.policy.teams.nodes[node].limit;
             if limit.iter().all(|l| l.is_infinite()) {
                 return true;
             }
             let used = usage.of(self)[node];
             // The plain way takes too long for tests of a whole fleet.
-            debug_assert!(self.machines.len() > PLAIN || used == self.used_below_by_machine(node));
-            let used = crate::tree::amounts(&used);
-            (0..crate::tree::KINDS).all(|k| used[k] <= limit[k] + 1e-9)
+            debug_assert!(
+                self.fleet.machines.len() > PLAIN || used == self.used_below_by_machine(node)
+            );
+            let used = crate::teams::team_tree::amounts(&used);
+            (0..crate::teams::team_tree::KINDS).all(|k| used[k] <= limit[k] + 1e-9)
         })
     }
 
     /// The same, looked up on every machine: the slow plain way, which tests compare with.
     fn used_below_by_machine(&self, node: usize) -> Resources {
         let mut sum = Resources::default();
-        for entry in self.machines.values().flat_map(|m| &m.entries) {
+        for entry in self.fleet.machines.values().flat_map(|m| &m.entries) {
             let job = self.jobs.get(&entry.task.job);
             if entry.holds_room() && job.is_some_and(|j| self.is_below(j, node)) {
                 sum += entry.need;
@@ -131,8 +139,8 @@
     }
 
     fn is_below(&self, job: &Job, node: usize) -> bool {
-        (self.tree.find(&job.spec.team))
-            .is_some_and(|leaf| self.tree.chain(leaf).any(|n| n == node))
+        (self.policy.teams.find(&job.spec.team))
+            .is_some_and(|leaf| self.policy.teams.chain(leaf).any(|n| n == node))
     }
 
     /// The commands for a machine: stops, then starts, and what its worker may forget when they
@@ -149,12 +157,12 @@
         now: Time,
         direct: bool,
     ) -> Vec<Command> {
-        let Some(machine) = self.machines.get(id) else {
+        let Some(machine) = self.fleet.machines.get(id) else {
             return Vec::new();
         };
         let mut commands = Vec::new();
         let mut started = Vec::new();
-        let leads = self.lease_valid(now);
+        let leads = self.term.is_lease_valid(now);
         for entry in &machine.entries {
             let (task, attempt) = (entry.task.clone(), entry.attempt);
             if entry.may_forget() && !direct {
@@ -172,15 +180,15 @@
                 }
             } else if leads
                 && matches!(entry.phase, Phase::Planned | Phase::Sent)
-                && !(direct && entry.phase == Phase::Sent && entry.sent.0 == self.epoch)
+                && !(direct && entry.phase == Phase::Sent && entry.sent.0 == self.term.epoch)
                 && self.may_start(machine, entry, usage, now)
             {
                 commands.push(Command::Start { task, attempt });
                 started.push((entry.task.clone(), attempt));
             }
         }
-        let epoch = self.epoch;
-        if let Some(machine) = self.machines.get_mut(id) {
+        let epoch = self.term.epoch;
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             let incarnation = machine.newest.0;
             for (task, attempt) in started {
                 if let Some(entry) = machine.entry_mut(&task, attempt) {
@@ -195,7 +203,7 @@
 
     /// Direct starts have ended, with or without an answer.
     pub fn direct_ended(&mut self, id: &MachineId, commands: &[Command], unsure: bool) {
-        let Some(machine) = self.machines.get_mut(id) else {
+        let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
         };
         machine.direct_open = false;
@@ -211,7 +219,7 @@
 
     /// Whether commands are waiting that a direct call would speed up.
     pub fn wants_direct(&self, machine: &Machine, now: Time) -> bool {
-        if machine.direct_open || machine.direct_after > now || !machine.is_known(self.epoch) {
+        if machine.direct_open || machine.direct_after > now || !machine.is_known(self.term.epoch) {
             return false;
         }
         machine.entries.iter().any(|e| {
@@ -227,8 +235,8 @@
             let missing = e.missing.is_some_and(|since| now > since + Span(3_000));
             ended || (missing && e.stop.is_some())
         };
-        now > self.raised.0 + Span(5_000)
-            && (self.machines.values())
-                .any(|m| m.is_known(self.epoch) && m.entries.iter().any(stuck))
+        now > self.term.epoch_bump.last_at + Span(5_000)
+            && (self.fleet.machines.values())
+                .any(|m| m.is_known(self.term.epoch) && m.entries.iter().any(stuck))
     }
 }
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -1,6 +1,6 @@
 //! Workers' reports, as a node answers them, and calls to workers.
 
-use crate::commands::TeamUsage;
+use crate::dispatch::commands::TeamUsage;
 use crate::io::{json, DirectOutcome, Output, ReqId};
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
@@ -28,12 +28,15 @@
             }
             return self.report_elsewhere(req, now.time);
         };
-        if !leader.may_answer(now.time, store_reachable, majority) {
+        if !leader
+            .term
+            .may_answer_agents(now.time, store_reachable, majority)
+        {
             return self.refuse(req, "leading is in doubt");
         }
         match leader.answer_report(&report, &self.job_cache, now) {
             Some(commands) => {
-                let token = leader.epoch;
+                let token = leader.term.epoch;
                 if commands.is_empty() {
                     if let Some(peer) = self.spread_report(&report.machine, now.time) {
                         return self.report_to(req, Some(peer));
@@ -61,7 +64,7 @@
             return;
         };
         let mut order: Vec<(bool, &MachineId)> = (machines.iter())
-            .filter_map(|id| Some((leader.is_urgent(leader.machines.get(id)?), id)))
+            .filter_map(|id| Some((leader.is_urgent(leader.fleet.machines.get(id)?), id)))
             .collect();
         // The rest is told when it reports, which is soon.
         let behind = self.backlog.is_behind(now.time);
@@ -80,7 +83,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let Some(machine) = leader.machines.get(id) else {
+        let Some(machine) = leader.fleet.machines.get(id) else {
             return;
         };
         let Some(addr) = machine.addr.clone() else {
@@ -94,13 +97,13 @@
         if commands.is_empty() {
             return;
         }
-        leader.calls_left -= 1.0;
-        if let Some(machine) = leader.machines.get_mut(id) {
+        leader.fleet.direct_calls_left -= 1.0;
+        if let Some(machine) = leader.fleet.machines.get_mut(id) {
             machine.direct_open = true;
             machine.direct_after = now.time + Span(200);
         }
         let body = DirectCommands {
-            token: leader.epoch,
+            token: leader.term.epoch,
             incarnation,
             commands,
         };
@@ -117,8 +120,8 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let token = leader.epoch;
-        let Some(machine) = leader.machines.get_mut(id) else {
+        let token = leader.term.epoch;
+        let Some(machine) = leader.fleet.machines.get_mut(id) else {
             return;
         };
         let (Some(addr), false) = (machine.addr.clone(), machine.direct_open) else {
@@ -152,14 +155,14 @@
         match outcome {
             DirectOutcome::Executed(report) => leader.reacted(&report, now),
             DirectOutcome::Rejected(Some(report)) => {
-                if report.token > leader.epoch {
+                if report.token > leader.term.epoch {
                     return log::warn!("{id} follows a higher token");
                 }
                 leader.reacted(&report, now);
             }
             DirectOutcome::NotCalled => {
                 // Too many wait already: it is tried again, but not at once.
-                if let Some(machine) = leader.machines.get_mut(&id) {
+                if let Some(machine) = leader.fleet.machines.get_mut(&id) {
                     machine.direct_after = now.time + NOT_CALLED;
                 }
             }
--- /dev/null
+++ b/crates/core/src/dispatch/mod.rs
@@ -0,0 +1,2 @@
+pub mod commands;
+pub mod direct_calls;
--- a/crates/core/src/placement_tracking.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -11,7 +11,7 @@
 //!    begin, and a worker is heard by answers to direct calls too, which renew nothing: a task
 //!    started in a session that has just begun lives on although no report was answered lately.)
 
-use crate::records::SegmentId;
+use crate::store::records::SegmentId;
 use crate::units::{Resources, Span, Time, Wall};
 use rudderreel_wire::ids::{
     Attempt, Epoch, Image, Incarnation, JobId, MachineId, Seq, TaskId, TypeName, Zone,
@@ -261,7 +261,7 @@
         let firm = |e: &PlacedTask| {
             e.spec
                 .as_ref()
-                .is_some_and(|s| crate::job::is_non_preemptible(s))
+                .is_some_and(|s| crate::jobs::job::is_non_preemptible(s))
         };
         self.entries.iter().any(|e| e.holds_room() && firm(e))
     }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -139,7 +139,7 @@
     /// A health check.
     Health(ReqId),
     /// An administrator's request; not local if a peer forwarded it.
-    Admin(ReqId, crate::admin::AdminRequest, bool),
+    Admin(ReqId, crate::api::admin::AdminRequest, bool),
     /// A peer's heartbeat.
     Heartbeat(ReqId, Heartbeat),
     /// A peer's answer to a heartbeat sent at the given moment.
--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/jobs/cascade.rs
@@ -6,9 +6,10 @@
 //! record that is written shows the next jobs along the pipeline.
 
 use crate::io::{StoreAnswer, StoreCall};
+use crate::leadership::recovery::LeaderCall;
 use crate::node::Node;
-use crate::records::{job_key, JobRecord};
-use crate::recovery::{condition, put, LeaderCall};
+use crate::store::records::{job_key, JobRecord};
+use crate::store::transactions::{condition, put};
 use crate::units::Now;
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::JobState;
@@ -29,8 +30,8 @@
     pub(crate) fn flush_cancellations(&mut self, now: Now) {
         let mut due = self.condemned(now);
         while let Some(leader) = self.leader.as_mut() {
-            let wanted = due.len().min(leader.limits.operations);
-            let rate = leader.limits.placement_writes();
+            let wanted = due.len().min(leader.store_limits.operations);
+            let rate = leader.store_limits.placement_writes();
             let taken = (leader.placement_log).take_cancellations(wanted, rate, now.time);
             if taken == 0 {
                 return;
@@ -45,10 +46,10 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let mut conditions = vec![leader.leadership_condition()];
+        let mut conditions = vec![leader.term.key_condition()];
         let mut changes = Vec::new();
         for job in &jobs {
-            leader.cascading.insert(job.id.clone());
+            leader.jobs.cascading.insert(job.id.clone());
             conditions.push(condition(job_key(&job.id), job.version));
             changes.push(put(job_key(&job.id), &job.record));
         }
@@ -69,7 +70,7 @@
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
         };
         let mut due: Vec<Condemned> = (self.job_cache.graph.condemned())
-            .filter(|id| !leader.cascading.contains(id))
+            .filter(|id| !leader.jobs.cascading.contains(id))
             .take(MOST)
             .filter_map(|id| {
                 let known = self.job_cache.jobs.get(id)?;
@@ -99,7 +100,7 @@
             return;
         };
         for (id, _) in &jobs {
-            leader.cascading.remove(id);
+            leader.jobs.cascading.remove(id);
         }
         match answer {
             StoreAnswer::Committed(version) => {
--- a/crates/core/src/pipelines.rs
+++ b/crates/core/src/jobs/effective_urgency.rs
@@ -5,8 +5,8 @@
 //! take. Only the changed edges are followed: a submission, a completion or a cancellation changes
 //! what comes before it, and of that only what is not as urgent already.
 
-use crate::dependencies::{DependencyGraph, Readiness};
-use crate::job::Goal;
+use crate::cache::dependencies::{DependencyGraph, Readiness};
+use crate::jobs::job::Goal;
 use crate::leader::Leader;
 use crate::node::Node;
 use crate::units::{Now, Span, Wall};
@@ -93,7 +93,7 @@
         let mut goal = self.jobs.get(id)?.own_goal();
         let dependents = graph.dependents_of(id).filter_map(|d| self.jobs.get(d));
         for dependent in dependents.filter(|d| d.is_active()) {
-            let after = dependent.expected_span(&self.catalog);
+            let after = dependent.expected_span(&self.policy.catalog);
             goal.priority = goal.priority.max(dependent.goal.priority);
             goal.finish_by = earlier(goal.finish_by, before(dependent.goal.finish_by, after));
         }
--- a/crates/core/src/pipelines/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::job_cache::JobCache;
-use crate::records::JobRecord;
+use crate::cache::job_cache::JobCache;
+use crate::store::records::JobRecord;
 use crate::testing::{job_of, leader, NOW};
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::job::{JobSpec, Priority};
@@ -93,7 +93,7 @@
     p.submit(spec(2, "urgent", &[1], Some(50.0)));
     assert_eq!(p.goal(1).priority, Priority::High);
     let record = JobRecord::queued(&spec(2, "urgent", &[1], Some(50.0)), NOW.wall);
-    let limits = p.leader.limits;
+    let limits = p.leader.store_limits;
     p.learn(2, 2, record.cancelled(NOW.wall, None, &limits));
     assert_eq!(p.goal(1).priority, Priority::Low);
     assert_eq!(p.goal(1).finish_by, None);
--- a/crates/core/src/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,7 +1,7 @@
 //! A job as the leader sees it.
 
-use crate::fault_attribution::Failures;
-use crate::records::SegmentId;
+use crate::agents::fault_attribution::Failures;
+use crate::store::records::SegmentId;
 use crate::task_set::TaskSet;
 use crate::units::{Resources, Span, Time, Wall};
 use rudderreel_wire::cloud::Catalog;
--- /dev/null
+++ b/crates/core/src/jobs/mod.rs
@@ -0,0 +1,4 @@
+pub mod cascade;
+pub mod effective_urgency;
+pub mod job;
+pub mod job_table;
--- a/crates/core/src/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -39,7 +39,7 @@
 pub use campaign::epoch_change;
 
 use crate::io::{StoreAnswer, StoreCall};
-use crate::records::{LeaderKey, LeaderRecord};
+use crate::store::records::{LeaderKey, LeaderRecord};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, LeaseId, NodeName, Version};
 use std::collections::BTreeMap;
--- a/crates/core/src/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -9,8 +9,8 @@
     LEASE_RENEWAL_INTERVAL,
 };
 use crate::io::{StoreAnswer, StoreCall, Value};
-use crate::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH, LEADER};
-use crate::recovery::put;
+use crate::store::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH, LEADER};
+use crate::store::transactions::put;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, LeaseId, Version};
 use rudderreel_wire::state::{Change, Condition, Transaction};
--- a/crates/core/src/election/tests.rs
+++ b/crates/core/src/leadership/election/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::records::LEADER;
+use crate::store::records::LEADER;
 use rudderreel_wire::state::Change;
 use rudderreel_wire::state::Item;
 
@@ -212,6 +212,7 @@
         panic!("a claim is expected");
     };
     let condition = |key: &str| claim.conditions.iter().find(|c| c.key == key);
-    let versions = [LEADER, crate::records::SEAT].map(|key| condition(key).map(|c| c.version));
+    let versions =
+        [LEADER, crate::store::records::SEAT].map(|key| condition(key).map(|c| c.version));
     assert_eq!(versions, [Some(version), Some(Version(0))]);
 }
--- a/crates/core/src/members.rs
+++ b/crates/core/src/leadership/membership.rs
@@ -1,6 +1,5 @@
 //! What the nodes tell one another of themselves, and what the load balancer is told.
 
-use crate::election::{ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL};
 use crate::io::{Output, ReqId};
 use crate::leader::Leader;
 use crate::node::Node;
@@ -43,7 +42,7 @@
             epoch: self
                 .leader
                 .as_ref()
-                .map_or(self.election.epoch, |l| l.epoch),
+                .map_or(self.election.epoch, |l| l.term.epoch),
             leads: self.leader.is_some(),
             store_reachable: self.election.store_reachable(now.time),
             requests_lease_vote: self.leader.is_some() || self.election.could_stand_in(now.time),
@@ -51,7 +50,7 @@
             workers: load,
             forwards_reports: self.leader.is_some() || self.near_leader(now.time).is_some(),
             worker_silence_ms: self.worker_silence(now.time).0,
-            partitioned_zones: (self.leader.iter().flat_map(|l| &l.partitioned_zones))
+            partitioned_zones: (self.leader.iter().flat_map(|l| &l.fleet.partitioned_zones))
                 .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
                 .collect(),
             counts,
@@ -131,12 +130,10 @@
                 return;
             }
             if reply.grants_lease_vote {
-                let at = leader.lease_votes.entry(name.clone()).or_insert(sent);
-                *at = (*at).max(sent);
+                leader.term.record_lease_vote(name.clone(), sent);
             }
-            if reply.epoch == leader.epoch {
-                let at = leader.acks.entry(name).or_insert(sent);
-                *at = (*at).max(sent);
+            if reply.epoch == leader.term.epoch {
+                leader.term.record_acknowledgement(name, sent);
                 self.update_old_leaders_fenced_at(now.time);
             }
         } else if reply.grants_lease_vote && self.peers.contains_key(&name) {
@@ -146,8 +143,11 @@
 
     /// A higher epoch than this leader's own means that another node leads.
     pub(crate) fn check_epoch(&mut self, epoch: Epoch) {
-        let raising = self.leader.as_ref().is_some_and(|l| l.raised.1);
-        if !raising && self.leader.as_ref().is_some_and(|l| epoch > l.epoch) {
+        let raising = self
+            .leader
+            .as_ref()
+            .is_some_and(|l| l.term.epoch_bump.in_progress);
+        if !raising && self.leader.as_ref().is_some_and(|l| epoch > l.term.epoch) {
             self.step_down("a higher epoch is known");
         }
     }
@@ -159,22 +159,7 @@
         let majority = self.election.majority();
         let superseding = !self.job_cache.complete || self.job_cache.dependencies_in_use();
         if let Some(leader) = self.leader.as_mut() {
-            let acks = leader
-                .acks
-                .values()
-                .filter(|&&sent| now < sent + ACKNOWLEDGEMENT_TTL);
-            if acks.count() + 1 < majority {
-                leader.old_leaders_fenced_at = None;
-            } else if leader.old_leaders_fenced_at.is_none() {
-                let old_leaders_fenced_at = now + LEASE_VOTE_TTL.with_drift();
-                // A leader that was superseded goes on by its own clock for so long.
-                let superseded_until = leader.since + LEADER_LEASE_TTL.with_drift();
-                leader.old_leaders_fenced_at = Some(if superseding {
-                    old_leaders_fenced_at.max(superseded_until)
-                } else {
-                    old_leaders_fenced_at
-                });
-            }
+            (leader.term).update_old_leaders_fenced_at(now, majority, superseding);
         }
     }
 
--- a/crates/core/src/recovery.rs
+++ b/crates/core/src/leadership/recovery.rs
@@ -1,19 +1,22 @@
 //! Reading the state back after a take-over, and the leader's commits.
 
-use crate::election::epoch_change;
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
 use crate::io::{StoreAnswer, StoreCall, Value};
-use crate::job::Job;
+use crate::jobs::job::Job;
+use crate::leader::recovery_progress::RecoveryRetry;
 use crate::leader::Leader;
+use crate::leadership::election::epoch_change;
+use crate::leadership::term::EpochBump;
 use crate::node::{Node, PendingCall};
-use crate::placement_tracking::{Machine, Phase, PlacedTask};
-use crate::records::{
+use crate::store::calls::Urgency;
+use crate::store::limits::StoreLimits;
+use crate::store::records::{
     job_key, JobRecord, LeaderRecord, SegmentId, SegmentRecord, JOBS, PLACEMENTS,
 };
-use crate::state_calls::Urgency;
-use crate::store_limits::StoreLimits;
+use crate::store::transactions::{condition, put};
 use crate::units::{Now, Span};
 use rudderreel_wire::ids::{Epoch, Incarnation, JobId, Version};
-use rudderreel_wire::state::{Change, Condition, Page, Transaction};
+use rudderreel_wire::state::{Page, Transaction};
 use rudderreel_wire::worker::Cause;
 use std::collections::BTreeSet;
 
@@ -65,14 +68,16 @@
         let Some(leader) = &self.leader else {
             return;
         };
-        let purpose = PendingCall::Leader(leader.term_id(), step);
+        let purpose = PendingCall::Leader(leader.term.id(), step);
         self.calls.call(Urgency::Placements, call, purpose);
     }
 
     /// The answer to a leader's call.
     pub(crate) fn leader_call_answered(&mut self, step: LeaderCall, answer: StoreAnswer, now: Now) {
         match step {
-            LeaderCall::ReadBack(prefix, after) => self.recover_segment(prefix, after, answer, now),
+            LeaderCall::ReadBack(prefix, after) => {
+                self.recovery_page_answered(prefix, after, answer, now)
+            }
             LeaderCall::Page(page) => self.page_answered(page, answer, now),
             LeaderCall::Complete(ids) => self.completed(ids, answer, now),
             LeaderCall::JobAgain(id) => self.job_again(id, answer),
@@ -87,14 +92,14 @@
     /// Asks again for a page that was not read: for the same one, and not at once, or an outage
     /// would be filled with such calls.
     pub(crate) fn retry_recovery_read(&mut self, now: Now) {
-        let due =
-            (self.leader.as_mut()).and_then(|l| l.read_again.take_if(|(at, ..)| now.time >= *at));
-        if let Some((_, prefix, after)) = due {
+        let due = (self.leader.as_mut())
+            .and_then(|l| l.recovery.retry.take_if(|retry| now.time >= retry.at));
+        if let Some(RecoveryRetry { prefix, after, .. }) = due {
             self.list(prefix, after);
         }
     }
 
-    fn recover_segment(
+    fn recovery_page_answered(
         &mut self,
         prefix: &'static str,
         after: Option<String>,
@@ -103,7 +108,11 @@
     ) {
         let StoreAnswer::Page(page) = answer else {
             if let Some(leader) = self.leader.as_mut() {
-                leader.read_again = Some((now.time + AGAIN, prefix, after));
+                leader.recovery.retry = Some(RecoveryRetry {
+                    at: now.time + AGAIN,
+                    prefix,
+                    after,
+                });
             }
             return;
         };
@@ -156,13 +165,15 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.ready = true;
+        leader.recovery.is_complete = true;
         log::info!(
             "read back {} jobs and {} machines",
             leader.jobs.len(),
-            leader.machines.len()
+            leader.fleet.machines.len()
         );
-        let early: Vec<_> = std::mem::take(&mut leader.early).into_values().collect();
+        let early: Vec<_> = std::mem::take(&mut leader.recovery.early_reports)
+            .into_values()
+            .collect();
         for report in early {
             leader.reconcile_report(&report, now);
         }
@@ -175,11 +186,14 @@
         let Some(leader) = &self.leader else {
             return;
         };
-        if !leader.ready || !leader.lease_valid(now.time) || leader.raised.1 {
+        if !leader.recovery.is_complete
+            || !leader.term.is_lease_valid(now.time)
+            || leader.term.epoch_bump.in_progress
+        {
             return;
         }
         self.close_version_gate(now);
-        if (self.leader.as_ref()).is_none_or(|leader| leader.gate.is_changing_key()) {
+        if (self.leader.as_ref()).is_none_or(|leader| leader.term.version_gate.is_changing_key()) {
             return;
         }
         self.flush_placement_log(now);
@@ -190,8 +204,10 @@
     /// Raises the epoch if only that shows that a start will not arrive any more.
     pub(crate) fn bump_epoch_if_needed(&mut self, now: Now) {
         let wanted = self.leader.as_ref().is_some_and(|leader| {
-            let may = leader.ready && leader.lease_valid(now.time) && !leader.raised.1;
-            may && !leader.gate.is_changing_key() && leader.needs_epoch_bump(now.time)
+            let may = leader.recovery.is_complete
+                && leader.term.is_lease_valid(now.time)
+                && !leader.term.epoch_bump.in_progress;
+            may && !leader.term.version_gate.is_changing_key() && leader.needs_epoch_bump(now.time)
         });
         if wanted {
             self.bump_epoch(now);
@@ -203,19 +219,19 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let leadership_condition = leader.leadership_condition();
+        let leadership_condition = leader.term.key_condition();
         let due = |j: &&mut Job| !j.committing && j.is_active() && j.is_complete();
         let mut done: Vec<&mut Job> = leader.jobs.values_mut().filter(due).collect();
         let mut calls = Vec::new();
         // Many small jobs end at a time: one commit for several.
-        for jobs in done.chunks_mut(leader.limits.operations.min(COMPLETIONS)) {
+        for jobs in done.chunks_mut(leader.store_limits.operations.min(COMPLETIONS)) {
             let mut conditions = vec![leadership_condition.clone()];
             let mut changes = Vec::new();
             for job in jobs.iter_mut() {
                 job.committing = true;
                 let key = job_key(&job.spec.id);
                 conditions.push(condition(key.clone(), job.version));
-                changes.push(put(key, &done_record(job, &leader.limits, now)));
+                changes.push(put(key, &done_record(job, &leader.store_limits, now)));
             }
             let ids = jobs.iter().map(|j| j.spec.id.clone()).collect();
             let call = StoreCall::Commit(Transaction {
@@ -239,7 +255,12 @@
         let unsure: Vec<JobId> = match answer {
             StoreAnswer::Committed(version) => {
                 let ended: BTreeSet<&JobId> = ids.iter().collect();
-                for entry in leader.machines.values_mut().flat_map(|m| &mut m.entries) {
+                for entry in leader
+                    .fleet
+                    .machines
+                    .values_mut()
+                    .flat_map(|m| &mut m.entries)
+                {
                     let done = entry.phase == Phase::Exited(Cause::Done);
                     entry.settled |= done && ended.contains(&entry.task.job);
                 }
@@ -247,7 +268,7 @@
                     if let Some(job) = leader.jobs.get_mut(&id) {
                         log::info!("{id} is done");
                         job.committing = false;
-                        let record = done_record(job, &leader.limits, now);
+                        let record = done_record(job, &leader.store_limits, now);
                         leader.finish(&id);
                         self.job_cache.learn_job(id, version, record);
                     }
@@ -301,7 +322,7 @@
     /// Whether an answer shows that this node no longer leads; if so, it stops.
     pub(crate) fn step_down_if_superseded(&mut self, answer: &StoreAnswer) -> bool {
         let lost = matches!(answer, StoreAnswer::Conflict(keys) if self.names_leader_key(keys));
-        let changing = |leader: &Leader| leader.raised.1 || leader.gate.is_changing_key();
+        let changing = |leader: &Leader| leader.term.is_key_changing();
         if lost && !self.leader.as_ref().is_some_and(changing) {
             self.step_down("its key has changed");
             return true;
@@ -311,7 +332,7 @@
 
     /// Whether the key that this leader holds is among some.
     pub(crate) fn names_leader_key(&self, keys: &[String]) -> bool {
-        let held = self.leader.as_ref().map(|leader| leader.key.name());
+        let held = self.leader.as_ref().map(|leader| leader.term.key.name());
         keys.iter().any(|key| Some(key.as_str()) == held)
     }
 
@@ -320,14 +341,17 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.raised = (now.time, true);
-        let epoch = Epoch(leader.epoch.0 + 1);
-        let record = LeaderRecord::new(self.settings.node.clone(), epoch, leader.lease_id);
+        leader.term.epoch_bump = EpochBump {
+            last_at: now.time,
+            in_progress: true,
+        };
+        let epoch = Epoch(leader.term.epoch.0 + 1);
+        let record = LeaderRecord::new(self.settings.node.clone(), epoch, leader.term.lease_id);
         let call = StoreCall::Commit(epoch_change(
-            leader.key,
+            leader.term.key,
             &record,
-            leader.version,
-            leader.epoch_version,
+            leader.term.key_version,
+            leader.term.epoch_version,
         ));
         self.call_store_as_leader(call, LeaderCall::Raise(epoch));
     }
@@ -346,7 +370,7 @@
         let key = self
             .leader
             .as_ref()
-            .map(|leader| leader.key)
+            .map(|leader| leader.term.key)
             .unwrap_or_default();
         let call = StoreCall::Get(key.name().into());
         self.call_store_as_leader(call, LeaderCall::RaiseAgain(epoch));
@@ -354,7 +378,7 @@
 
     fn raise_over(&mut self) {
         if let Some(leader) = self.leader.as_mut() {
-            leader.raised.1 = false;
+            leader.term.epoch_bump.in_progress = false;
         }
     }
 
@@ -379,10 +403,13 @@
         self.election.observe_epoch(epoch, now.time);
         if let Some(leader) = self.leader.as_mut() {
             log::info!("raised the epoch to {epoch}");
-            leader.epoch = epoch;
-            leader.version = version;
-            leader.epoch_version = version;
-            leader.raised = (now.time, false);
+            leader.term.epoch = epoch;
+            leader.term.key_version = version;
+            leader.term.epoch_version = version;
+            leader.term.epoch_bump = EpochBump {
+                last_at: now.time,
+                in_progress: false,
+            };
         }
     }
 }
@@ -399,15 +426,7 @@
 
     /// Tells this lead from others of the same node: answers to calls of an earlier one are
     /// dropped.
-    pub fn term_id(&self) -> u64 {
-        self.lease_id.0
-    }
-
     /// The condition that every write of a leader depends on.
-    pub fn leadership_condition(&self) -> Condition {
-        condition(self.key.name().into(), self.version)
-    }
-
     /// Takes in a page after a take-over.
     fn recover_segment(&mut self, page: SegmentId, record: SegmentRecord, now: Now) {
         self.placement_log.learn(page);
@@ -421,8 +440,8 @@
             }
         }
         for line in record.machines {
-            let room = self.room_of(&line.machine_type);
-            let machine = (self.machines.entry(line.id.clone())).or_insert_with(|| {
+            let room = self.policy.capacity_of(&line.machine_type);
+            let machine = (self.fleet.machines.entry(line.id.clone())).or_insert_with(|| {
                 let (t, z) = (line.machine_type, line.zone);
                 let mut new = Machine::new(line.id.clone(), t, z, line.spot, room, line.since);
                 new.listed = true;
@@ -444,7 +463,10 @@
                     entry.phase = Phase::Sent;
                     // Sent in an unknown session: only a report that acknowledges this epoch shows
                     // that it is gone.
-                    entry.sent = (Epoch(self.epoch.0.saturating_sub(1)), Incarnation(u64::MAX));
+                    entry.sent = (
+                        Epoch(self.term.epoch.0.saturating_sub(1)),
+                        Incarnation(u64::MAX),
+                    );
                     if let Some(job) = job.as_mut() {
                         job.place(index, &line.id, attempt);
                     }
@@ -465,19 +487,5 @@
     }
 }
 
-/// That a key has a version.
-pub(crate) fn condition(key: String, version: Version) -> Condition {
-    Condition { key, version }
-}
-
-/// Sets a key.
-pub(crate) fn put<T: serde::Serialize>(key: String, value: &T) -> Change<Value> {
-    Change::Put {
-        key,
-        value: serde_json::to_value(value).unwrap_or_default(),
-        lease: None,
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/recovery/tests.rs
+++ b/crates/core/src/leadership/recovery/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::commands::TeamUsage;
+use crate::dispatch::commands::TeamUsage;
 use crate::testing::{job, leader, running, NOW};
 use crate::units::Resources;
 use rudderreel_wire::ids::{Attempt, MachineId, Seq};
@@ -41,7 +41,7 @@
     leader.jobs.insert(known.spec.id.clone(), known);
     let machine = MachineId::from("vm-1");
     let record = SegmentRecord {
-        machines: vec![crate::records::SegmentMachine {
+        machines: vec![crate::store::records::SegmentMachine {
             id: machine.clone(),
             machine_type: "m4".into(),
             zone: "a".into(),
@@ -51,9 +51,9 @@
         }],
         ..SegmentRecord::default()
     };
-    leader.epoch = Epoch(5);
+    leader.term.epoch = Epoch(5);
     leader.recover_segment(SegmentId(1), record, NOW);
-    let found = &leader.machines[&machine];
+    let found = &leader.fleet.machines[&machine];
     let held = found.entries.iter().filter(|e| e.holds_room()).count();
     assert_eq!(held, 2);
     assert_eq!(
@@ -71,7 +71,7 @@
         grace_s: 0.0,
     };
     assert_eq!(leader.commands(&machine, NOW.time, false), vec![stop]);
-    let left: Vec<u32> = (leader.machines[&machine].entries.iter())
+    let left: Vec<u32> = (leader.fleet.machines[&machine].entries.iter())
         .map(|e| e.task.index)
         .collect();
     assert_eq!(left, [1]);
@@ -88,12 +88,12 @@
     for index in 0..2 {
         crate::testing::run(&mut before, &gang, index, &machine);
     }
-    let done = done_record(&before.jobs[&id], &before.limits, NOW);
+    let done = done_record(&before.jobs[&id], &before.store_limits, NOW);
     assert_eq!(done.state, JobState::Done);
     let mut after = leader();
-    after.ready = false;
+    after.recovery.is_complete = false;
     after.learn_job(&id, Version(2), &done);
-    let line = crate::records::SegmentMachine {
+    let line = crate::store::records::SegmentMachine {
         id: machine.clone(),
         machine_type: "m4".into(),
         zone: "a".into(),
@@ -106,8 +106,8 @@
         ..SegmentRecord::default()
     };
     after.recover_segment(SegmentId(1), record, NOW);
-    after.ready = true;
-    let team = after.tree.find(&gang.spec.team).expect("a team");
+    after.recovery.is_complete = true;
+    let team = after.policy.teams.find(&gang.spec.team).expect("a team");
     assert_eq!(TeamUsage::default().of(&after)[team], gang.need.times(2));
     // Nothing of it is started again, and it is forgotten once its tasks are gone.
     assert_eq!(after.waiting(NOW).len(), 0);
@@ -120,5 +120,5 @@
 #[test]
 fn a_job_that_is_done_is_stored_without_its_submission() {
     let array = job(1, "sweep", "red", "normal");
-    assert_eq!(done_record(&array, &leader().limits, NOW).spec, None);
+    assert_eq!(done_record(&array, &leader().store_limits, NOW).spec, None);
 }
--- /dev/null
+++ b/crates/core/src/leadership/term.rs
@@ -0,0 +1,176 @@
+//! A leader's term: its lease, its fencing token, and what the other nodes have acknowledged or voted.
+//!
+//! Every write of a leader depends on the version of the leader's key ([`Term::key_condition`]), so a leader
+//! that was replaced, or whose epoch was bumped by somebody else, can't write any more. The epoch is the fencing
+//! token that agents see.
+
+use super::election::{ElectionWin, ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL};
+use super::version_gate::VersionGateStep;
+use crate::store::records::{LeaderKey, LeaderRecord, SegmentId};
+use crate::store::transactions::condition;
+use crate::units::{Span, Time};
+use rudderreel_wire::ids::{Attempt, Epoch, LeaseId, NodeName, Version};
+use rudderreel_wire::state::Condition;
+use std::collections::BTreeMap;
+
+/// Attempts and segments are numbered within an epoch: so many bits are left for the number.
+const NUMBER_BITS: u32 = 24;
+/// Clocks drift by one part in so many at most, so a lease is counted shorter by that.
+const DRIFT_PARTS: u64 = 500;
+
+/// Bumping the epoch, which proves that nothing sent under the old one will be carried out any more.
+#[derive(Clone, Copy, Debug)]
+pub struct EpochBump {
+    /// When the epoch was last bumped, or that was last tried.
+    pub last_at: Time,
+    /// A commit that bumps it is open.
+    pub in_progress: bool,
+}
+
+/// A leader's term.
+pub struct Term {
+    /// The epoch, which is the fencing token.
+    pub epoch: Epoch,
+    /// The lease that the leader's key hangs on.
+    pub lease_id: LeaseId,
+    /// Until when the lease is surely alive.
+    pub lease_until: Time,
+    /// The leader's key, and its version, on which every write depends.
+    pub key: LeaderKey,
+    /// The version of that key.
+    pub key_version: Version,
+    /// The version of the epoch's key.
+    pub epoch_version: Version,
+    /// When the node became leader.
+    pub elected_at: Time,
+    /// When each node last acknowledged the epoch, by the sending of the heartbeat.
+    pub acknowledged_at: BTreeMap<NodeName, Time>,
+    /// From when on no older leader answers agents; none while that is not known.
+    pub old_leaders_fenced_at: Option<Time>,
+    /// When each node last gave its lease vote, by the sending of the heartbeat.
+    pub lease_votes: BTreeMap<NodeName, Time>,
+    /// Bumping the epoch.
+    pub epoch_bump: EpochBump,
+    /// What is under way to close the version gate.
+    pub version_gate: VersionGateStep,
+    attempts: u64,
+    segments: u64,
+}
+
+impl Term {
+    /// The term of a node that has just won an election.
+    pub fn new(win: ElectionWin, now: Time) -> Self {
+        Self {
+            epoch: win.epoch,
+            lease_id: win.lease,
+            lease_until: lease_alive_until(win.lease_sent),
+            key: win.key,
+            key_version: win.version,
+            epoch_version: win.version,
+            elected_at: now,
+            acknowledged_at: BTreeMap::new(),
+            old_leaders_fenced_at: None,
+            lease_votes: BTreeMap::new(),
+            epoch_bump: EpochBump {
+                last_at: now,
+                in_progress: false,
+            },
+            version_gate: VersionGateStep::Idle,
+            attempts: 0,
+            segments: 0,
+        }
+    }
+
+    /// Tells this term from others of the same node: answers to calls of an earlier one are dropped.
+    pub fn id(&self) -> LeaseId {
+        self.lease_id
+    }
+
+    /// The condition that every write of a leader depends on.
+    pub fn key_condition(&self) -> Condition {
+        condition(self.key.name().into(), self.key_version)
+    }
+
+    /// The leader's record, as its key holds it.
+    pub fn record(&self, node: &NodeName) -> LeaderRecord {
+        LeaderRecord::new(node.clone(), self.epoch, self.lease_id)
+    }
+
+    /// Whether a commit is open that changes the key which every write depends on, so that writes may fail
+    /// although this node still leads.
+    pub fn is_key_changing(&self) -> bool {
+        self.epoch_bump.in_progress || self.version_gate.is_changing_key()
+    }
+
+    /// The lease was renewed by a call sent at a moment.
+    pub fn lease_renewed(&mut self, sent: Time) {
+        self.lease_until = self.lease_until.max(lease_alive_until(sent));
+    }
+
+    /// Whether it surely leads by its lease. Only then does it start or rent anything.
+    pub fn is_lease_valid(&self, now: Time) -> bool {
+        now < self.lease_until
+    }
+
+    /// Whether it may answer agents: by its lease, or in an outage of the store by the fresh lease votes of a
+    /// majority.
+    pub fn may_answer_agents(&self, now: Time, store_reachable: bool, majority: usize) -> bool {
+        let is_fresh = |sent: &&Time| now < **sent + LEASE_VOTE_TTL;
+        let votes = self.lease_votes.values().filter(is_fresh).count();
+        self.is_lease_valid(now) || (!store_reachable && votes + 1 >= majority)
+    }
+
+    /// A node gave its lease vote, asked for by a heartbeat sent at a moment.
+    pub fn record_lease_vote(&mut self, node: NodeName, sent: Time) {
+        let at = self.lease_votes.entry(node).or_insert(sent);
+        *at = (*at).max(sent);
+    }
+
+    /// A node acknowledged the epoch in answer to a heartbeat sent at a moment.
+    pub fn record_acknowledgement(&mut self, node: NodeName, sent: Time) {
+        let at = self.acknowledged_at.entry(node).or_insert(sent);
+        *at = (*at).max(sent);
+    }
+
+    /// Once a majority has acknowledged the epoch, no older leader goes on, and nobody stands in for this one,
+    /// for longer than a lease vote is good for: as long as the majority goes on acknowledging. A leader that
+    /// was superseded goes on by its own clock for a whole lease.
+    pub fn update_old_leaders_fenced_at(
+        &mut self,
+        now: Time,
+        majority: usize,
+        may_have_superseded: bool,
+    ) {
+        let is_fresh = |sent: &&Time| now < **sent + ACKNOWLEDGEMENT_TTL;
+        let acknowledged = self.acknowledged_at.values().filter(is_fresh).count();
+        if acknowledged + 1 < majority {
+            self.old_leaders_fenced_at = None;
+        } else if self.old_leaders_fenced_at.is_none() {
+            let votes_end = now + LEASE_VOTE_TTL.with_drift();
+            let superseded_until = self.elected_at + LEADER_LEASE_TTL.with_drift();
+            self.old_leaders_fenced_at = Some(if may_have_superseded {
+                votes_end.max(superseded_until)
+            } else {
+                votes_end
+            });
+        }
+    }
+
+    /// The number of the next attempt to run a task. The epoch is never given out twice, so neither is an
+    /// attempt.
+    pub fn next_attempt(&mut self) -> Attempt {
+        self.attempts += 1;
+        Attempt((self.epoch.0 << NUMBER_BITS) + self.attempts)
+    }
+
+    /// The id of the next segment of the placement log, which is never given out twice either.
+    pub fn next_segment(&mut self) -> SegmentId {
+        self.segments += 1;
+        SegmentId((self.epoch.0 << NUMBER_BITS) + self.segments)
+    }
+}
+
+/// Until when a lease is surely alive whose renewal was sent at a moment.
+fn lease_alive_until(sent: Time) -> Time {
+    sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(DRIFT_PARTS))
+}
--- a/crates/core/src/make_way.rs
+++ b/crates/core/src/leadership/transfer.rs
@@ -37,7 +37,7 @@
         }
         let leader = self.leader.as_ref()?;
         let slow = self.backlog.far_behind_for(now) >= FAR_BEHIND;
-        let led_long = now - leader.since >= LED_LONG;
+        let led_long = now - leader.term.elected_at >= LED_LONG;
         (slow && led_long && self.has_fit_peer(now)).then_some("it can't keep up")
     }
 
@@ -62,14 +62,14 @@
         let Some(leader) = &self.leader else {
             return false;
         };
-        let heard_nobody = silence(leader.since) && self.last_report.is_none_or(silence);
-        let has_machines = !leader.machines.is_empty();
+        let heard_nobody = silence(leader.term.elected_at) && self.last_report.is_none_or(silence);
+        let has_machines = !leader.fleet.machines.is_empty();
         others_long && heard_nobody && has_machines && self.is_unreached(leader, now)
     }
 
     /// In a large fleet, hardly any worker may have been sent here: then calls must fail, too.
     fn is_unreached(&self, leader: &Leader, now: Time) -> bool {
-        !self.is_spread(leader.machines.len() as u32) || leader.reaches_nobody(now)
+        !self.is_spread(leader.fleet.machines.len() as u32) || leader.reaches_nobody(now)
     }
 }
 
--- a/crates/core/src/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -17,16 +17,17 @@
 //!
 //! While nothing depends on anything all versions serve and lead together.
 
-use crate::election::LeaderSlot;
+use crate::cache::job_cache::JobCache;
 use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
-use crate::job_cache::JobCache;
 use crate::leader::Leader;
+use crate::leadership::election::LeaderSlot;
+use crate::leadership::recovery::LeaderCall;
 use crate::node::Node;
-use crate::records::{LeaderKey, LeaderRecord, CATALOG, LEADER, MACHINE_TYPES, SEAT};
-use crate::recovery::{condition, put, LeaderCall};
+use crate::store::records::{LeaderKey, LeaderRecord, CATALOG, LEADER, MACHINE_TYPES, SEAT};
+use crate::store::transactions::{condition, put};
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::cloud::Catalog;
-use rudderreel_wire::ids::{NodeName, Version};
+use rudderreel_wire::ids::Version;
 use rudderreel_wire::peer::SenderVersion;
 use rudderreel_wire::state::{Change, Transaction};
 
@@ -83,16 +84,12 @@
 
 impl Leader {
     /// Its record, as its key holds it.
-    fn record(&self, node: &NodeName) -> LeaderRecord {
-        LeaderRecord::new(node.clone(), self.epoch, self.lease_id)
-    }
-
     /// The commit that moves the leader's key. Late writes that depend on the common one fail from then
     /// on, and are sent again by the other.
     fn change_key(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
             conditions: vec![
-                self.leadership_condition(),
+                self.term.key_condition(),
                 condition(SEAT.into(), Version(0)),
             ],
             changes: vec![
@@ -100,7 +97,7 @@
                 Change::Put {
                     key: SEAT.into(),
                     value: serde_json::to_value(record).unwrap_or_default(),
-                    lease: Some(self.lease_id),
+                    lease: Some(self.term.lease_id),
                 },
             ],
         }
@@ -129,7 +126,7 @@
         let Some(leader) = self.leader.as_ref() else {
             return;
         };
-        let due = match leader.gate {
+        let due = match leader.term.version_gate {
             VersionGateStep::Idle => self.job_cache.dependencies_in_use(),
             VersionGateStep::ChangingKeyAgain(at) => now.time >= at,
             _ => false,
@@ -137,8 +134,8 @@
         if !due {
             return;
         }
-        if leader.key == LeaderKey::Common {
-            let record = leader.record(&self.settings.node);
+        if leader.term.key == LeaderKey::Common {
+            let record = leader.term.record(&self.settings.node);
             let call = StoreCall::Commit(leader.change_key(&record));
             return self.gate_call(VersionGateStep::ChangingKey, call);
         }
@@ -153,7 +150,7 @@
                 },
             ];
             let call = StoreCall::Commit(Transaction {
-                conditions: vec![leader.leadership_condition()],
+                conditions: vec![leader.term.key_condition()],
                 changes,
             });
             self.gate_call(VersionGateStep::MovingCatalog, call);
@@ -162,14 +159,14 @@
 
     fn gate_call(&mut self, step: VersionGateStep, call: StoreCall) {
         if let Some(leader) = self.leader.as_mut() {
-            leader.gate = step;
+            leader.term.version_gate = step;
             self.call_store_as_leader(call, LeaderCall::Gate);
         }
     }
 
     /// The answer to a call that closes the gate.
     pub(crate) fn gate_answered(&mut self, answer: StoreAnswer, now: Now) {
-        let step = self.leader.as_ref().map(|leader| leader.gate);
+        let step = self.leader.as_ref().map(|leader| leader.term.version_gate);
         match step {
             Some(VersionGateStep::ChangingKey) => self.key_changed(answer, now),
             Some(VersionGateStep::ReadingKey) => self.key_was_read(answer, now),
@@ -180,7 +177,7 @@
 
     fn set_gate(&mut self, step: VersionGateStep) {
         if let Some(leader) = self.leader.as_mut() {
-            leader.gate = step;
+            leader.term.version_gate = step;
         }
     }
 
@@ -200,7 +197,7 @@
         match answer {
             StoreAnswer::Found(item) => {
                 let record = LeaderRecord::deserialize_from(&item.value);
-                let lease = self.leader.as_ref().map(|leader| leader.lease_id);
+                let lease = self.leader.as_ref().map(|leader| leader.term.lease_id);
                 if record.is_some_and(|record| Some(record.lease) == lease) {
                     self.holds_gated_key(item.version);
                 } else {
@@ -218,10 +215,10 @@
             return;
         };
         log::info!("the leader's key is {SEAT} from now on, since jobs depend on others");
-        leader.gate = VersionGateStep::Idle;
-        leader.key = LeaderKey::Gated;
-        leader.version = version;
-        let record = leader.record(&self.settings.node);
+        leader.term.version_gate = VersionGateStep::Idle;
+        leader.term.key = LeaderKey::Gated;
+        leader.term.key_version = version;
+        let record = leader.term.record(&self.settings.node);
         let tombstone = record.tombstone(None);
         let cache = &mut self.job_cache;
         cache.learn_leader(LeaderKey::Common, version, Some((version, tombstone)));
@@ -250,7 +247,7 @@
             return;
         };
         let call = StoreCall::Commit(Transaction {
-            conditions: vec![leader.leadership_condition()],
+            conditions: vec![leader.term.key_condition()],
             changes: vec![put(CATALOG.into(), &stored)],
         });
         self.call_store_as_leader(call, LeaderCall::Catalog);
--- a/crates/core/src/version_gate/tests.rs
+++ b/crates/core/src/leadership/version_gate/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::election::LEADER_LEASE_TTL;
-use crate::records::RECORD_FORMAT;
+use crate::leadership::election::LEADER_LEASE_TTL;
+use crate::store::records::RECORD_FORMAT;
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
 
@@ -19,7 +19,7 @@
         node.update_old_leaders_fenced_at(NOW.time);
         node.leader
             .as_ref()
-            .and_then(|leader| leader.old_leaders_fenced_at)
+            .and_then(|leader| leader.term.old_leaders_fenced_at)
     };
     let mut alone = leading_node();
     let before = fence_of(&mut alone).expect("a fence");
@@ -73,7 +73,7 @@
     node.job_cache.dependencies_seen = true;
     node.close_version_gate(NOW);
     node.gate_answered(StoreAnswer::Unknown, NOW);
-    let gate = |node: &Node| node.leader.as_ref().map(|leader| leader.gate);
+    let gate = |node: &Node| node.leader.as_ref().map(|leader| leader.term.version_gate);
     assert!(gate(&node).is_some_and(VersionGateStep::is_changing_key));
     node.close_version_gate(NOW);
     assert!(
@@ -87,7 +87,7 @@
     node.close_version_gate(later);
     node.gate_answered(StoreAnswer::Conflict(vec![LEADER.into()]), later);
     assert_eq!(gate(&node), Some(VersionGateStep::ReadingKey));
-    let lease = node.leader.as_ref().map(|leader| leader.lease_id);
+    let lease = node.leader.as_ref().map(|leader| leader.term.lease_id);
     let record = LeaderRecord::new("n0".into(), Epoch(1), lease.expect("a lease"));
     let item = rudderreel_wire::state::Item {
         key: SEAT.into(),
@@ -97,7 +97,10 @@
     };
     node.gate_answered(StoreAnswer::Found(item), later);
     let leader = node.leader.as_ref().expect("it leads on");
-    assert_eq!((leader.key, leader.version), (LeaderKey::Gated, Version(8)));
+    assert_eq!(
+        (leader.term.key, leader.term.key_version),
+        (LeaderKey::Gated, Version(8))
+    );
     // Another's key there means that it has lost.
     let mut lost = leading_node();
     lost.job_cache.dependencies_seen = true;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,60 +2,34 @@
 //! [`Node::step`] takes an input and the time, and returns what to send, write and answer.
 #![forbid(unsafe_code)]
 
-mod acceptance;
-mod actions;
-mod admin;
-mod anticipation;
-mod backlog;
-mod cancellations;
-mod fault_attribution;
-mod placement_log;
-
+mod agents;
+mod api;
+mod cache;
 mod capacity;
-mod cascade;
-mod confirmation;
-mod demand;
-mod dependencies;
-mod election;
-mod failure_detection;
-mod fair_share;
-mod fleet_limits;
+mod dispatch;
+mod fleet;
 mod io;
-mod job;
-mod job_cache;
+mod jobs;
 mod leader;
-mod make_way;
-mod members;
-mod pacing;
-mod pipelines;
-mod placement_tracking;
-mod processor_share;
-mod records;
-mod recovery;
-mod report_forwarding;
-mod reports;
-mod snapshot;
-mod state_calls;
-mod statement;
-mod store_limits;
+mod leadership;
+mod metrics;
+mod node;
+mod overload;
+mod placement_log;
+mod scheduling;
+mod store;
 mod task_set;
+mod teams;
 #[cfg(test)]
 mod testing;
-mod tree;
 pub mod units;
-mod user_requests;
-mod version_gate;
-mod workers;
 
-mod commands;
-mod cycle;
-mod node;
-pub use crate::node::Node;
-pub use admin::AdminRequest;
-pub use fleet_limits::{ConnectionLimits, FleetLimits};
-pub use io::{
+pub use crate::api::admin::AdminRequest;
+pub use crate::io::{
     CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer, StoreCall,
     UserRequest, Value,
 };
-pub use pacing::LongStep;
-pub use processor_share::ProcessorShare;
+pub use crate::node::Node;
+pub use crate::overload::fleet_limits::{ConnectionLimits, FleetLimits};
+pub use crate::overload::pacing::LongStep;
+pub use crate::overload::processor_share::ProcessorShare;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,26 +1,26 @@
 //! The whole of a node's state, and what happens on each input.
 
-use crate::backlog::Backlog;
-use crate::cancellations::Cancellations;
-use crate::capacity::CloudCalls;
-use crate::election::{Election, ElectionCall, ElectionEvent, ElectionWin};
-use crate::fleet_limits::FleetLimits;
+use crate::agents::report_forwarding::ReportForwarding;
+use crate::api::cancellation_replication::Cancellations;
+use crate::api::user_requests::{UserCall, UserRequests};
+use crate::cache::job_cache::JobCache;
+use crate::capacity::scale_out::CloudCalls;
 use crate::io::{show, CallId, Input, Output, ReqId, StoreAnswer, StoreCall, Value};
-use crate::job_cache::JobCache;
 use crate::leader::Leader;
-use crate::pacing::{LongStep, Pacing};
-use crate::processor_share::ProcessorShare;
-use crate::records::{LeaderKey, SHARED};
-use crate::recovery::LeaderCall;
-use crate::report_forwarding::ReportForwarding;
-use crate::state_calls::{StoreCalls, Urgency};
-use crate::store_limits::StoreLimits;
-use crate::tree::TeamTree;
+use crate::leadership::election::{Election, ElectionCall, ElectionEvent, ElectionWin};
+use crate::leadership::recovery::LeaderCall;
+use crate::overload::backlog::Backlog;
+use crate::overload::fleet_limits::FleetLimits;
+use crate::overload::pacing::{LongStep, Pacing};
+use crate::overload::processor_share::ProcessorShare;
+use crate::store::calls::{StoreCalls, Urgency};
+use crate::store::limits::StoreLimits;
+use crate::store::records::{LeaderKey, SHARED};
+use crate::teams::team_tree::TeamTree;
 use crate::units::{Now, Span, Time};
-use crate::user_requests::{UserCall, UserRequests};
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::cloud::Catalog;
-use rudderreel_wire::ids::{Epoch, JobId, MachineId, NodeName, Version, Zone};
+use rudderreel_wire::ids::{Epoch, JobId, LeaseId, MachineId, NodeName, Version, Zone};
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::state::{Event, Page};
@@ -32,7 +32,7 @@
     Election(ElectionCall),
     Fill(Option<Fill>),
     User(UserCall),
-    Leader(u64, LeaderCall),
+    Leader(LeaseId, LeaderCall),
     Settings(ReqId, Box<AdminSettings>),
     Known,
 }
@@ -231,7 +231,7 @@
             self.fill();
         }
         self.backlog.tick(now.time);
-        let mine = self.leader.as_ref().map(|l| l.lease_id);
+        let mine = self.leader.as_ref().map(|l| l.term.lease_id);
         let due = self
             .election
             .tick(now.time, self.job_cache.leader_slot(), mine);
@@ -262,7 +262,7 @@
             self.limits.halve();
             log::warn!("a transaction was rejected; from now on {:?}", self.limits);
             if let Some(leader) = self.leader.as_mut() {
-                leader.limits = self.limits;
+                leader.store_limits = self.limits;
             }
         }
         match self.calls.finish(id) {
@@ -270,7 +270,7 @@
             Some(PendingCall::Fill(first)) => self.filled(first, answer, now),
             Some(PendingCall::User(step)) => self.user_answer(step, answer, now),
             Some(PendingCall::Leader(leader, step)) => {
-                if self.leader.as_ref().is_some_and(|l| l.term_id() == leader) {
+                if self.leader.as_ref().is_some_and(|l| l.term.id() == leader) {
                     self.leader_call_answered(step, answer, now);
                 }
             }
@@ -286,8 +286,8 @@
         if let (ElectionCall::Renew(lease), StoreAnswer::Done, Some(leader)) =
             (&step, &answer, self.leader.as_mut())
         {
-            if leader.lease_id == *lease {
-                leader.renewed(sent);
+            if leader.term.lease_id == *lease {
+                leader.term.lease_renewed(sent);
             }
         }
         let progress = self.election.answered(now.time, sent, step, answer);
@@ -303,11 +303,14 @@
     fn become_leader(&mut self, won: ElectionWin, now: Now) {
         log::info!("leading as {}", show(won.epoch));
         let mut leader = Leader::new(&self.settings, self.tree.clone(), won, now.time);
-        leader.take_up(self.tree.clone(), &self.admin_settings.settings);
-        leader.limits = self.limits;
-        leader.previously_partitioned_zones = std::mem::take(&mut self.leader_partitioned_zones);
+        leader
+            .policy
+            .apply(self.tree.clone(), &self.admin_settings.settings);
+        leader.store_limits = self.limits;
+        leader.fleet.previously_partitioned_zones =
+            std::mem::take(&mut self.leader_partitioned_zones);
         if let Some(catalog) = &self.catalog {
-            leader.learn_catalog(catalog.clone());
+            leader.set_catalog(catalog.clone());
         }
         self.leader = Some(leader);
         self.calls.set_rate(store_call_rate(&self.settings, true));
@@ -321,12 +324,12 @@
     /// Stops leading.
     pub(crate) fn step_down(&mut self, why: &str) {
         if let Some(leader) = self.leader.take() {
-            log::info!("no longer leading as {}: {why}", show(leader.epoch));
-            let call = StoreCall::EndLease(leader.lease_id);
+            log::info!("no longer leading as {}: {why}", show(leader.term.epoch));
+            let call = StoreCall::EndLease(leader.term.lease_id);
             self.election_calls(vec![(call, ElectionCall::End)]);
             self.calls.set_rate(store_call_rate(&self.settings, false));
             self.cloud.clear();
-            self.job_cache.forget_leader(leader.lease_id);
+            self.job_cache.forget_leader(leader.term.lease_id);
         }
     }
 
@@ -410,10 +413,11 @@
         let behind = self.backlog.is_behind(now.time);
         let review_is_due =
             now.time >= self.next_review && self.pacing.may_review(now.time, behind);
-        if leader.ready && review_is_due {
+        if leader.recovery.is_complete && review_is_due {
             self.pacing.begin(LongStep::Review, now.time);
             // Looking through a large fleet takes longer, so it is done less often.
-            self.next_review = now.time + Span(PLACEMENTS.0 + leader.machines.len() as u64 / 12);
+            self.next_review =
+                now.time + Span(PLACEMENTS.0 + leader.fleet.machines.len() as u64 / 12);
             leader.note_beyond_connections(self.fleet_limits);
             leader.detect_partitioned_zones(now.time);
             leader.end_cancelled(now);
@@ -421,10 +425,10 @@
             leader.empty_retired(now.time);
             leader.expire(now);
             let cycle_is_due =
-                now.time >= leader.next_cycle && self.pacing.may_cycle(now.time, behind);
-            if leader.lease_valid(now.time) && cycle_is_due {
+                now.time >= leader.schedule.next_cycle && self.pacing.may_cycle(now.time, behind);
+            if leader.term.is_lease_valid(now.time) && cycle_is_due {
                 self.pacing.begin(LongStep::Cycle, now.time);
-                leader.next_cycle = now.time + leader.period;
+                leader.schedule.next_cycle = now.time + leader.policy.cycle_period;
                 leader.cycle(now);
             }
             self.flush(now);
@@ -441,7 +445,7 @@
         let Some(leader) = self.leader.as_ref() else {
             return;
         };
-        let waiting: Vec<MachineId> = (leader.machines.values())
+        let waiting: Vec<MachineId> = (leader.fleet.machines.values())
             .filter(|m| leader.wants_direct(m, now.time))
             .map(|m| m.id.clone())
             .collect();
--- a/crates/core/src/backlog.rs
+++ b/crates/core/src/overload/backlog.rs
@@ -4,7 +4,7 @@
 //! the reason, it shows in what waits. A node that is behind puts off what can wait, asks for fewer workers by
 //! naming a higher load to its peers, and, if it leads and stays far behind, makes way.
 
-use crate::admin::Latency;
+use crate::metrics::Latency;
 use crate::units::{Span, Time};
 use serde_json::{json, Value};
 
@@ -49,7 +49,7 @@
 impl Backlog {
     /// Notes how long an input has waited.
     pub fn note_wait(&mut self, now: Time, waited: Span) {
-        self.waits.note(waited);
+        self.waits.record(waited);
         if waited >= BEHIND {
             self.behind_until = now + BEHIND_FOR;
         }
--- a/crates/core/src/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -77,12 +77,12 @@
     /// Notes how many machines the connections of all nodes don't suffice for, and says so when some
     /// are first beyond them.
     pub(crate) fn note_beyond_connections(&mut self, limits: Option<FleetLimits>) {
-        let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
-        if beyond > 0 && self.beyond_connections == 0 {
-            let machines = self.machines.len();
+        let beyond = limits.map_or(0, |limits| limits.beyond(self.fleet.machines.len()));
+        if beyond > 0 && self.fleet.beyond_connections == 0 {
+            let machines = self.fleet.machines.len();
             log::warn!("{machines} machines are {beyond} more than the nodes have connections for");
         }
-        self.beyond_connections = beyond;
+        self.fleet.beyond_connections = beyond;
     }
 }
 
--- a/crates/core/src/placement_log.rs
+++ b/crates/core/src/placement_log/log.rs
@@ -14,12 +14,13 @@
 use self::draft::{
     entry_bytes, line_bytes, page_bytes, progress_bytes, PendingSegment, EMPTY_BYTES,
 };
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
 use crate::io::{StoreAnswer, StoreCall};
 use crate::leader::Leader;
+use crate::leadership::recovery::LeaderCall;
 use crate::node::Node;
-use crate::placement_tracking::{Machine, Phase, PlacedTask};
-use crate::records::{segment_key, SegmentId, SegmentRecord};
-use crate::recovery::{condition, put, LeaderCall};
+use crate::store::records::{segment_key, SegmentId, SegmentRecord};
+use crate::store::transactions::{condition, put};
 use crate::task_set::TaskSet;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{JobId, MachineId, Version};
@@ -37,9 +38,9 @@
 const FEW_PAGES: usize = 12;
 
 /// The pages.
-#[derive(Default)]
 pub struct PlacementLog {
-    named: u64,
+    /// Whether something may wait to be recorded, so that the fleet is looked through only then.
+    pub may_have_unrecorded: bool,
     /// Pages that exist.
     pages: BTreeSet<SegmentId>,
     /// Pages whose commits are open.
@@ -73,6 +74,21 @@
     again: Option<Time>,
 }
 
+impl Default for PlacementLog {
+    fn default() -> Self {
+        Self {
+            may_have_unrecorded: true,
+            pages: BTreeSet::new(),
+            open: BTreeMap::new(),
+            dead: Vec::new(),
+            next_tidy: Time(0),
+            budget: (0.0, Time(0)),
+            turn: Turn::default(),
+            cancellations_wait: false,
+        }
+    }
+}
+
 impl PlacementLog {
     /// A page that was read back.
     pub fn learn(&mut self, page: SegmentId) {
@@ -149,7 +165,7 @@
         let firm = entry
             .spec
             .as_ref()
-            .is_some_and(|s| crate::job::is_non_preemptible(s));
+            .is_some_and(|s| crate::jobs::job::is_non_preemptible(s));
         if !is_new(entry) || firm != urgent {
             continue;
         }
@@ -161,18 +177,12 @@
 }
 
 impl Leader {
-    fn next_page(&mut self) -> SegmentId {
-        self.placement_log.named += 1;
-        // The epoch is never given out twice, so neither is a page.
-        SegmentId((self.epoch.0 << 24) + self.placement_log.named)
-    }
-
     /// Puts what is not recorded yet on a page, what can't wait first.
     fn draft(&mut self, page: SegmentId, progress: bool) -> PendingSegment {
         let mut draft = PendingSegment::new();
-        let most = page_bytes(&self.limits);
+        let most = page_bytes(&self.store_limits);
         for urgent in [true, false] {
-            for machine in self.machines.values_mut() {
+            for machine in self.fleet.machines.values_mut() {
                 draft_entries(&mut draft, machine, page, urgent, most);
                 let unnamed = machine.page == SegmentId::NONE && machine.writing == SegmentId::NONE;
                 if unnamed && !urgent {
@@ -207,7 +217,7 @@
                 *sum += bytes;
             }
         };
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             let held = machine.entries.iter().filter(|e| holds(e));
             for entry in held.clone() {
                 add(entry.page, entry_bytes(entry));
@@ -243,9 +253,9 @@
             return Vec::new();
         }
         light.sort_unstable();
-        let mut room = page_bytes(&self.limits).saturating_sub(EMPTY_BYTES);
+        let mut room = page_bytes(&self.store_limits).saturating_sub(EMPTY_BYTES);
         let few: Vec<SegmentId> = (light.iter())
-            .take(self.limits.operations.saturating_sub(2))
+            .take(self.store_limits.operations.saturating_sub(2))
             .take_while(|(w, _)| {
                 let fits = room >= *w;
                 room = room.saturating_sub(*w);
@@ -262,7 +272,7 @@
     /// Writes what still holds on some pages on a new one, whole: the old ones are deleted.
     fn rewrite(&mut self, page: SegmentId, old: &[SegmentId]) -> PendingSegment {
         let mut draft = PendingSegment::new();
-        for machine in self.machines.values_mut() {
+        for machine in self.fleet.machines.values_mut() {
             let mut taken = Vec::new();
             for entry in machine.entries.iter_mut().filter(|e| holds(e)) {
                 if old.contains(&entry.page) {
@@ -291,8 +301,8 @@
         let Some(open) = self.placement_log.open.remove(&page) else {
             return;
         };
-        self.unrecorded = true;
-        for machine in self.machines.values_mut() {
+        self.placement_log.may_have_unrecorded = true;
+        for machine in self.fleet.machines.values_mut() {
             if machine.writing == page {
                 machine.writing = SegmentId::NONE;
             }
@@ -321,7 +331,7 @@
             return started;
         }
         self.placement_log.pages.insert(page);
-        for machine in self.machines.values_mut() {
+        for machine in self.fleet.machines.values_mut() {
             if machine.writing == page {
                 (machine.page, machine.writing) = (page, SegmentId::NONE);
             }
@@ -368,22 +378,22 @@
         }
         let mut progress = tidy;
         while let Some(leader) = self.leader.as_mut() {
-            let nothing = !leader.unrecorded && !progress;
+            let nothing = !leader.placement_log.may_have_unrecorded && !progress;
             if nothing
                 || leader.placement_log.open.len() >= OPEN
                 || !leader.placement_log.take(1.0, rate, now.time)
             {
                 break;
             }
-            let page = leader.next_page();
+            let page = leader.term.next_segment();
             let draft = leader.draft(page, progress);
             progress = false;
             if draft.is_empty() {
-                leader.unrecorded = false;
+                leader.placement_log.may_have_unrecorded = false;
                 leader.placement_log.budget.0 += 1.0;
                 break;
             }
-            let most = leader.limits.operations.saturating_sub(1).min(4);
+            let most = leader.store_limits.operations.saturating_sub(1).min(4);
             let dead: Vec<SegmentId> = leader
                 .placement_log
                 .dead
@@ -405,22 +415,22 @@
         let old = leader.tidy_up();
         let cost = 1.0 + old.len() as f64;
         if !old.is_empty() && leader.placement_log.take(cost, rate, now.time) {
-            let page = leader.next_page();
+            let page = leader.term.next_segment();
             let draft = leader.rewrite(page, &old);
             self.open_page(page, draft, old);
-        } else if leader.placement_log.dead.len() >= leader.limits.operations / 2
+        } else if leader.placement_log.dead.len() >= leader.store_limits.operations / 2
             && leader.placement_log.open.is_empty()
         {
             let dead: Vec<SegmentId> = leader
                 .placement_log
                 .dead
                 .iter()
-                .take(leader.limits.operations)
+                .take(leader.store_limits.operations)
                 .copied()
                 .collect();
             if leader.placement_log.take(dead.len() as f64, rate, now.time) {
                 leader.placement_log.dead.retain(|p| !dead.contains(p));
-                let page = leader.next_page();
+                let page = leader.term.next_segment();
                 self.open_page(page, PendingSegment::new(), dead);
             }
         }
@@ -443,7 +453,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let leadership_condition = leader.leadership_condition();
+        let leadership_condition = leader.term.key_condition();
         let Some(open) = leader.placement_log.open.get_mut(&page) else {
             return;
         };
--- a/crates/core/src/placement_log/draft.rs
+++ b/crates/core/src/placement_log/log/draft.rs
@@ -1,10 +1,10 @@
 //! A page of the placement log that is being put together, within what a value may hold: sizes are counted
 //! as its JSON will have them.
 
-use crate::job::Job;
-use crate::placement_tracking::{Machine, PlacedTask};
-use crate::records::{SegmentMachine, SegmentRecord};
-use crate::store_limits::StoreLimits;
+use crate::fleet::machine::{Machine, PlacedTask};
+use crate::jobs::job::Job;
+use crate::store::limits::StoreLimits;
+use crate::store::records::{SegmentMachine, SegmentRecord};
 use crate::task_set::TaskSet;
 use rudderreel_wire::ids::JobId;
 
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/log/tests.rs
@@ -18,7 +18,7 @@
             let task = spec.id.task(index);
             let attempt = Attempt((1_000_000 << 24) + u64::from(n));
             let entry = PlacedTask::planned(task, attempt, Some(spec.clone()), NOW.time);
-            if let Some(machine) = leader.machines.get_mut(at) {
+            if let Some(machine) = leader.fleet.machines.get_mut(at) {
                 machine.entries.push(entry);
             }
         }
@@ -34,12 +34,12 @@
 fn record_all(leader: &mut Leader) -> usize {
     let mut pages = 0;
     loop {
-        let page = leader.next_page();
+        let page = leader.term.next_segment();
         let draft = leader.draft(page, true);
         if draft.is_empty() {
             return pages;
         }
-        let (bytes, most) = (json_bytes(&draft.record), leader.limits.value_bytes);
+        let (bytes, most) = (json_bytes(&draft.record), leader.store_limits.value_bytes);
         assert!(
             bytes <= draft.bytes,
             "{bytes} bytes, counted {}",
@@ -66,14 +66,14 @@
         machines in 1u32..30, jobs in 1u32..20, tasks in 1u32..60, kib in 1usize..5, done in 0u32..60,
     ) {
         let mut leader = leader_with_work(machines, jobs, tasks);
-        leader.limits.value_bytes = kib * 1024;
+        leader.store_limits.value_bytes = kib * 1024;
         for job in leader.jobs.values_mut() {
             // Every other task: as many ranges as there can be.
             (0..done.min(tasks)).step_by(2).for_each(|index| job.finish(index));
             job.progress_dirty = true;
         }
         record_all(&mut leader);
-        let mut entries = leader.machines.values().flat_map(|m| &m.entries);
+        let mut entries = leader.fleet.machines.values().flat_map(|m| &m.entries);
         prop_assert!(entries.all(PlacedTask::is_recorded));
     }
 }
@@ -82,7 +82,7 @@
 #[test]
 fn a_rejected_page_is_taken_apart() {
     let mut leader = leader_with_work(10, 5, 40);
-    let page = leader.next_page();
+    let page = leader.term.next_segment();
     let draft = leader.draft(page, true);
     let before = json_bytes(&draft.record);
     let open = UncommittedSegment {
@@ -92,7 +92,7 @@
         again: None,
     };
     leader.placement_log.open.insert(page, open);
-    leader.limits.value_bytes = before / 3;
+    leader.store_limits.value_bytes = before / 3;
     leader.take_apart(page);
     assert!(leader.placement_log.open.is_empty());
     assert!(record_all(&mut leader) >= 3);
@@ -103,7 +103,7 @@
 #[test]
 fn progress_too_large_for_a_page_stays_where_it_is() {
     let mut leader = leader_with_work(1, 1, 400);
-    for machine in leader.machines.values_mut() {
+    for machine in leader.fleet.machines.values_mut() {
         machine.entries.clear();
     }
     for job in leader.jobs.values_mut() {
@@ -111,7 +111,7 @@
         job.progress_dirty = true;
     }
     assert_eq!(record_all(&mut leader), 1);
-    leader.limits.value_bytes = 1_024;
+    leader.store_limits.value_bytes = 1_024;
     for job in leader.jobs.values_mut() {
         job.finish(1);
         job.progress_dirty = true;
@@ -129,12 +129,12 @@
 #[test]
 fn what_is_left_of_old_pages_fits_into_a_new_one() {
     let mut leader = leader_with_work(120, 120, 1);
-    leader.limits.value_bytes = 4_096;
-    leader.limits.operations = 20;
+    leader.store_limits.value_bytes = 4_096;
+    leader.store_limits.operations = 20;
     record_all(&mut leader);
     // A task is left here and there, each on a page that its machine's line is not on.
-    let old: Vec<SegmentId> = (0..20).map(|_| leader.next_page()).collect();
-    for (n, machine) in leader.machines.values_mut().enumerate() {
+    let old: Vec<SegmentId> = (0..20).map(|_| leader.term.next_segment()).collect();
+    for (n, machine) in leader.fleet.machines.values_mut().enumerate() {
         for entry in &mut machine.entries {
             entry.page = old[n % old.len()];
         }
@@ -147,10 +147,10 @@
             break;
         }
         rewritten += light.len();
-        let page = leader.next_page();
+        let page = leader.term.next_segment();
         let draft = leader.rewrite(page, &light);
         let bytes = json_bytes(&draft.record);
-        assert!(bytes <= leader.limits.value_bytes, "{bytes} bytes");
+        assert!(bytes <= leader.store_limits.value_bytes, "{bytes} bytes");
         let open = UncommittedSegment {
             record: draft.record,
             deletes: light,
--- /dev/null
+++ b/crates/core/src/placement_log/mod.rs
@@ -0,0 +1,1 @@
+pub mod log;
--- a/crates/core/src/actions/allocate.rs
+++ b/crates/core/src/scheduling/actions/allocate.rs
@@ -5,11 +5,11 @@
 //! shape in this cycle.
 
 use super::{fit, gather};
-use crate::job::Job;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::snapshot::{is_bound, Snapshot};
-use crate::statement::{Placement, Statement};
-use crate::tree::amounts;
+use crate::scheduling::snapshot::{is_bound, Snapshot};
+use crate::scheduling::statement::{Placement, Statement};
+use crate::teams::team_tree::amounts;
 use crate::units::Time;
 use rudderreel_wire::ids::{JobId, Zone};
 use rudderreel_wire::job::Kind;
@@ -68,7 +68,7 @@
         if placed || job.is_preemptible() == firm {
             continue;
         }
-        if let Some(leaf) = leader.tree.find(&job.spec.team) {
+        if let Some(leaf) = leader.policy.teams.find(&job.spec.team) {
             queues.entry(leaf).or_default().push_back(job);
         }
     }
--- a/crates/core/src/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -7,10 +7,10 @@
 
 use super::evict::{Eviction, Scenario};
 use super::fit;
+use crate::fleet::machine::{Phase, PlacedTask};
 use crate::leader::Leader;
-use crate::placement_tracking::{Phase, PlacedTask};
-use crate::snapshot::Snapshot;
-use crate::statement::Statement;
+use crate::scheduling::snapshot::Snapshot;
+use crate::scheduling::statement::Statement;
 use crate::units::{Resources, Span};
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::job::Kind;
@@ -52,7 +52,7 @@
 
 fn movable(leader: &Leader, snapshot: &Snapshot, entry: &PlacedTask) -> bool {
     let job = leader.jobs.get(&entry.task.job);
-    let alone = |j: &crate::job::Job| {
+    let alone = |j: &crate::jobs::job::Job| {
         j.places
             .get(&entry.task.index)
             .is_some_and(|p| p.len() == 1)
@@ -70,7 +70,7 @@
     at: usize,
 ) -> Option<MachineId> {
     let id = snapshot.candidates[at].id.clone();
-    let machine = leader.machines.get(&id)?;
+    let machine = leader.fleet.machines.get(&id)?;
     let here: Vec<&PlacedTask> = machine.entries.iter().filter(|e| e.holds_room()).collect();
     if here.is_empty() || !here.iter().all(|e| movable(leader, snapshot, e)) {
         return None;
--- a/crates/core/src/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -7,12 +7,12 @@
 
 use super::allocate::Shape;
 use super::fit;
-use crate::job::Job;
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::{Machine, Phase, PlacedTask};
-use crate::snapshot::{add, Snapshot};
-use crate::statement::{Placement, Statement};
-use crate::tree::{amounts, Amounts, KINDS};
+use crate::scheduling::snapshot::{add, Snapshot};
+use crate::scheduling::statement::{Placement, Statement};
+use crate::teams::team_tree::{amounts, Amounts, KINDS};
 use crate::units::{Resources, Span};
 use rudderreel_wire::ids::{Attempt, MachineId, TaskId, Team};
 use rudderreel_wire::job::{Kind, Priority};
@@ -62,9 +62,13 @@
     waiting: &[&Job],
     scenario: &mut Scenario,
 ) {
-    let lent = (1..leader.tree.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
+    let lent = (1..leader.policy.teams.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
     if lent {
-        let how = ("reclaimed", leader.min_runtime, may_reclaim as Rule);
+        let how = (
+            "reclaimed",
+            leader.policy.reclaim_min_runtime,
+            may_reclaim as Rule,
+        );
         evict_for(leader, snapshot, waiting, scenario, how);
     }
 }
@@ -81,7 +85,11 @@
     let higher: Vec<&Job> = (waiting.iter().copied())
         .filter(|j| Some(j.spec.priority) > lowest)
         .collect();
-    let how = ("preempted", leader.preempt_min_runtime, may_preempt as Rule);
+    let how = (
+        "preempted",
+        leader.policy.preempt_min_runtime,
+        may_preempt as Rule,
+    );
     evict_for(leader, snapshot, &higher, scenario, how);
 }
 
@@ -93,8 +101,8 @@
     taken: &Amounts,
 ) -> bool {
     let (Some(mine), Some(theirs)) = (
-        leader.tree.find(&job.spec.team),
-        leader.tree.find(&victim.spec.team),
+        leader.policy.teams.find(&job.spec.team),
+        leader.policy.teams.find(&victim.spec.team),
     ) else {
         return false;
     };
@@ -103,7 +111,7 @@
     }
     let lending = snapshot.lending(job);
     let need = lending.counts(&job.need);
-    let m = leader.multiplier;
+    let m = leader.policy.reclaim_multiplier;
     let stays_within = (0..KINDS).all(|k| {
         need[k] <= 0.0 || (lending.used[mine][k] + need[k]) * m <= lending.share[mine][k] + 1e-6
     });
@@ -233,7 +241,7 @@
     may: Rule,
 ) -> Option<Vec<Victim>> {
     let spot = &snapshot.candidates[at];
-    let machine = leader.machines.get(&spot.id)?;
+    let machine = leader.fleet.machines.get(&spot.id)?;
     if !machine.room.holds(&job.need) {
         return None;
     }
@@ -247,7 +255,7 @@
         // another's is late twice.
         candidates.retain(|v| v.saves || v.priority < job.spec.priority);
     }
-    if job.need.gpus == 0 && leader.fits_without_gpus(&job.spec, &job.need) {
+    if job.need.gpus == 0 && leader.policy.fits_without_gpus(&job.spec, &job.need) {
         // Work that only needs CPUs does not end work on GPUs for the CPUs beside them.
         candidates.retain(|v| v.need.gpus == 0);
     }
--- a/crates/core/src/actions/fit.rs
+++ b/crates/core/src/scheduling/actions/fit.rs
@@ -1,8 +1,8 @@
 //! Which machine a task goes on.
 
-use crate::job::Job;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::snapshot::{CandidateMachine, Snapshot};
+use crate::scheduling::snapshot::{CandidateMachine, Snapshot};
 use rudderreel_wire::ids::{TypeName, Zone};
 use rudderreel_wire::job::{JobSpec, Kind};
 
@@ -15,7 +15,7 @@
 
 /// Whether one more task of the job may be in a zone, given where its tasks may be.
 fn zone_allows(snapshot: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
-    if !crate::snapshot::is_bound(spec) {
+    if !crate::scheduling::snapshot::is_bound(spec) {
         return true;
     }
     let zones = snapshot.zones_of(&spec.id);
@@ -63,7 +63,7 @@
     let lasting = job.spec.kind == Kind::Service && spot.room.gpus > 0;
     job.need.gpus == 0
         && (spot.free.gpus > 0 || lasting)
-        && leader.fits_without_gpus(&job.spec, &job.need)
+        && leader.policy.fits_without_gpus(&job.spec, &job.need)
 }
 
 /// The best machine for one more task of the job. With `picky`, a job whose start can't wait for
--- a/crates/core/src/actions/gather.rs
+++ b/crates/core/src/scheduling/actions/gather.rs
@@ -6,9 +6,9 @@
 //! then the gang is placed whole.
 
 use super::fit;
-use crate::job::Job;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::snapshot::{CandidateMachine, Snapshot};
+use crate::scheduling::snapshot::{CandidateMachine, Snapshot};
 use crate::units::Span;
 use rudderreel_wire::job::Kind;
 
--- a/crates/core/src/actions/mod.rs
+++ b/crates/core/src/scheduling/actions/mod.rs
@@ -17,8 +17,8 @@
 /// Whether one more task of a job has room somewhere.
 pub fn has_room(
     leader: &crate::leader::Leader,
-    snapshot: &crate::snapshot::Snapshot,
-    job: &crate::job::Job,
+    snapshot: &crate::scheduling::snapshot::Snapshot,
+    job: &crate::jobs::job::Job,
 ) -> bool {
     fit::best(leader, snapshot, job, false).is_some()
 }
--- a/crates/core/src/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -8,12 +8,12 @@
 
 use super::evict::{over_share_after, Eviction, Scenario, RESTART};
 use super::fit;
-use crate::job::Job;
+use crate::fleet::machine::{Phase, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::{Phase, PlacedTask};
-use crate::snapshot::Snapshot;
-use crate::statement::{Placement, Statement};
-use crate::tree::{amounts, KINDS};
+use crate::scheduling::snapshot::Snapshot;
+use crate::scheduling::statement::{Placement, Statement};
+use crate::teams::team_tree::{amounts, KINDS};
 use crate::units::{Resources, Span};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
@@ -42,7 +42,7 @@
     waiting: &[&Job],
     scenario: &mut Scenario,
 ) {
-    let lent = (1..leader.tree.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
+    let lent = (1..leader.policy.teams.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
     if !lent {
         return;
     }
@@ -99,13 +99,13 @@
 /// Whether a gang's team stays within its share, and all above it within their limits, with it.
 fn stays_within(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
     let need = amounts(&job.need.times(job.spec.tasks));
-    let Some(mine) = leader.tree.find(&job.spec.team) else {
+    let Some(mine) = leader.policy.teams.find(&job.spec.team) else {
         return false;
     };
     let lending = snapshot.lending(job);
     let counted = lending.counts(&job.need.times(job.spec.tasks));
     let within = (0..KINDS).all(|k| {
-        let with = (lending.used[mine][k] + counted[k]) * leader.multiplier;
+        let with = (lending.used[mine][k] + counted[k]) * leader.policy.reclaim_multiplier;
         counted[k] <= 0.0 || with <= lending.share[mine][k] + 1e-6
     });
     within && snapshot.within_limits(leader, job, &need)
@@ -178,7 +178,7 @@
     let mut found = Vec::new();
     for (at, spot) in snapshot.candidates.iter().enumerate() {
         let here = zone.is_none_or(|z| z == spot.zone_no);
-        let Some(machine) = leader.machines.get(&spot.id) else {
+        let Some(machine) = leader.fleet.machines.get(&spot.id) else {
             continue;
         };
         if !here || !machine.room.holds(&job.need) || !fit::suits(leader, snapshot, job, spot) {
@@ -225,7 +225,7 @@
         && entry.stop.is_none()
         && theirs.is_active()
         && theirs.is_preemptible()
-        && snapshot.now.time - entry.placed >= leader.min_runtime
+        && snapshot.now.time - entry.placed >= leader.policy.reclaim_min_runtime
         && !snapshot.is_evicted(&entry.task, entry.attempt)
 }
 
@@ -244,7 +244,7 @@
         };
         let at = *candidates.get(id)?;
         let task = theirs.spec.id.task(*index);
-        let entries = &leader.machines.get(id)?.entries;
+        let entries = &leader.fleet.machines.get(id)?.entries;
         let entry = entries.iter().find(|e| e.attempt == *a && e.task == task)?;
         if *a != attempt || !may_stop(leader, snapshot, theirs, entry) {
             return None;
@@ -278,7 +278,7 @@
     fn of(leader: &Leader, snapshot: &Snapshot, tasks: Vec<Victim>) -> Self {
         let loss = (tasks.iter())
             .map(|v| {
-                let ran = (leader.machines.get(&snapshot.candidates[v.at].id))
+                let ran = (leader.fleet.machines.get(&snapshot.candidates[v.at].id))
                     .and_then(|m| m.entries.iter().find(|e| e.task == v.task))
                     .and_then(|e| e.running)
                     .map_or(Span(0), |since| snapshot.now.time - since);
@@ -298,12 +298,12 @@
     fn is_lent(&self, leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
         let lending = snapshot.lending(job);
         let team = (self.tasks.first()).and_then(|v| leader.jobs.get(&v.task.job));
-        let Some(theirs) = team.and_then(|j| leader.tree.find(&j.spec.team)) else {
+        let Some(theirs) = team.and_then(|j| leader.policy.teams.find(&j.spec.team)) else {
             return false;
         };
         let mut taken = [0.0; KINDS];
         for victim in &self.tasks {
-            crate::snapshot::add(&mut taken, &lending.counts(&victim.need));
+            crate::scheduling::snapshot::add(&mut taken, &lending.counts(&victim.need));
         }
         over_share_after(&lending.used[theirs], &lending.share[theirs], &taken)
     }
--- a/crates/core/src/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -12,7 +12,7 @@
         .map(|n| up(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
         .collect();
     let quota = f64::from(rng.random_range(2..6u32)) * 4.0;
-    for node in leader.tree.nodes.iter_mut().skip(1) {
+    for node in leader.policy.teams.nodes.iter_mut().skip(1) {
         node.quota[0] = quota;
     }
     let mut free = machines;
@@ -44,7 +44,7 @@
 
 /// CPUs that a team's tasks use, looked up on every machine, but for some tasks.
 fn used(leader: &Leader, team: &str, without: &BTreeSet<TaskId>) -> i64 {
-    let entries = leader.machines.values().flat_map(|m| &m.entries);
+    let entries = leader.fleet.machines.values().flat_map(|m| &m.entries);
     entries
         .filter(|e| e.spec.as_ref().is_some_and(|s| s.team == team.into()))
         .filter(|e| !without.contains(&e.task))
@@ -54,7 +54,7 @@
 
 /// How many tasks of a gang a zone has room for if some tasks are stopped.
 fn room_for(leader: &Leader, job: &Job, zone: &str, without: &BTreeSet<TaskId>) -> u32 {
-    (leader.machines.values())
+    (leader.fleet.machines.values())
         .filter(|m| m.zone == zone.into())
         .map(|m| {
             let mut free = m.room;
@@ -81,7 +81,7 @@
     }
     assert_eq!(scenario.placements.len() as u32, job.spec.tasks);
     let zones: BTreeSet<&str> = (scenario.placements.iter())
-        .map(|p| leader.machines[&p.machine].zone.as_str())
+        .map(|p| leader.fleet.machines[&p.machine].zone.as_str())
         .collect();
     assert_eq!(zones.len(), 1, "one zone");
     let zone = zones.first().copied().unwrap_or_default();
@@ -107,10 +107,11 @@
         );
     }
     let share_of = |team: &str| {
-        let leaf = leader.tree.find(&team.into()).expect("a team");
+        let leaf = leader.policy.teams.find(&team.into()).expect("a team");
         share[leaf][0]
     };
-    let cpus = |milli: i64| milli as f64 * 4.0 / leader.room_of(&"m4".into()).cpus as f64;
+    let cpus =
+        |milli: i64| milli as f64 * 4.0 / leader.policy.capacity_of(&"m4".into()).cpus as f64;
     let need = job.need.times(job.spec.tasks).cpus;
     assert!(
         cpus(used(leader, "red", &stopped)) >= share_of("red") - 1e-6,
@@ -151,12 +152,12 @@
         .collect();
     let quotas = [("red", 4.0), ("blue", 12.0)];
     for (team, quota) in quotas {
-        let leaf = leader.tree.find(&team.into()).expect("a team");
-        leader.tree.nodes[leaf].quota[0] = quota;
+        let leaf = leader.policy.teams.find(&team.into()).expect("a team");
+        leader.policy.teams.nodes[leaf].quota[0] = quota;
     }
     // More is lent than is needed: its limit was tightened.
-    let red = leader.tree.find(&"red".into()).expect("a team");
-    leader.tree.nodes[red].limit[0] = 16.0;
+    let red = leader.policy.teams.find(&"red".into()).expect("a team");
+    leader.policy.teams.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
     let lent = job_of(2, "gang", "red", "normal", 3, 4.0);
     run(&mut leader, &single(1), 0, &ids[0]);
@@ -168,6 +169,7 @@
     assert_eq!(stopped, BTreeSet::from([lent.spec.id.clone()]));
     for id in &ids[1..4] {
         leader
+            .fleet
             .machines
             .get_mut(id)
             .expect("a machine")
--- a/crates/core/src/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -1,12 +1,12 @@
 //! What a leader decides: cycles, cancelled and finished jobs, machines that are taken or lost.
 
-use crate::actions;
-use crate::job::{Job, Stage};
-use crate::leader::{Leader, Reserve, LATELY, STALLED};
-use crate::placement_tracking::{Machine, Phase, PlacedTask, Stop};
-use crate::records::JobRecord;
-use crate::snapshot::Snapshot;
-use crate::statement::Placement;
+use crate::fleet::machine::{Machine, Phase, PlacedTask, Stop};
+use crate::jobs::job::{Job, Stage};
+use crate::leader::Leader;
+use crate::scheduling::actions;
+use crate::scheduling::snapshot::Snapshot;
+use crate::scheduling::statement::Placement;
+use crate::store::records::JobRecord;
 use crate::units::{Now, Resources, Span, Time, Wall};
 use rudderreel_wire::ids::{Attempt, Image, JobId, MachineId, Version};
 use rudderreel_wire::job::{JobState, Kind};
@@ -19,6 +19,22 @@
 /// A machine that still holds a cancelled job's task is returned so long before that must be gone.
 const AT_LAST: Span = Span(8_000);
 
+/// A placement that could not start for so long is taken back.
+const STALLED: Span = Span(10_000);
+/// How far back arrivals are looked at.
+const LATELY: Span = Span(120_000);
+
+/// Room to be kept for urgent work.
+#[derive(Clone, Debug)]
+pub struct Reserve {
+    /// What one task takes.
+    pub need: Resources,
+    /// How many may come.
+    pub tasks: u32,
+    /// The images that they may need.
+    pub images: BTreeSet<Image>,
+}
+
 impl Leader {
     /// Takes in a job's record.
     pub fn learn_job(&mut self, id: &JobId, version: Version, record: &JobRecord) {
@@ -48,10 +64,10 @@
 
     /// Reading back, the log may yet name tasks of a job that is done or cancelled: it is kept for them.
     fn recall_ended(&mut self, id: &JobId, version: Version, record: &JobRecord, stage: Stage) {
-        let Some(spec) = record.spec.as_ref().filter(|_| !self.ready) else {
+        let Some(spec) = record.spec.as_ref().filter(|_| !self.recovery.is_complete) else {
             return;
         };
-        if !self.jobs.contains_key(id) {
+        if !self.jobs.contains(id) {
             let mut job = Job::new(spec.clone(), version, record.submitted);
             job.stage = stage;
             self.jobs.insert(id.clone(), job);
@@ -63,7 +79,7 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.stage = Stage::Finished;
             // While the log is read back, it may yet name some.
-            if job.places.is_empty() && self.ready {
+            if job.places.is_empty() && self.recovery.is_complete {
                 self.jobs.remove(id);
             }
         }
@@ -87,18 +103,24 @@
                 Stage::Cancelled(wall) => Span(now.wall.0.saturating_sub(wall.0)),
                 _ => Span(0),
             };
-            let led = now.time - self.since;
+            let led = now.time - self.term.elected_at;
             for machine in self.stop_cancelled(&id, now.time) {
-                let limits = (self.cancel, self.report, self.silence());
+                let limits = (
+                    self.agent_timings.cancel_deadline,
+                    self.agent_timings.report_interval,
+                    self.silence(),
+                );
                 let (lease, old_leaders_fenced_at, partitioned_zones) = (
-                    self.lease,
-                    self.old_leaders_fenced_at,
-                    &self.partitioned_zones,
+                    self.agent_timings.lease,
+                    self.term.old_leaders_fenced_at,
+                    &self.fleet.partitioned_zones,
                 );
-                if let Some(m) = self.machines.get_mut(&machine) {
+                if let Some(m) = self.fleet.machines.get_mut(&machine) {
                     // Behind a cut its lease ends it, if that is soon enough; the machine holds
                     // much else.
-                    let left = Span((self.cancel.0).saturating_sub(past.0 + AT_LAST.0));
+                    let left = Span(
+                        (self.agent_timings.cancel_deadline.0).saturating_sub(past.0 + AT_LAST.0),
+                    );
                     let ends = partitioned_zones.contains_key(&m.zone)
                         && m.lease_surely_over(now.time + left, lease, old_leaders_fenced_at);
                     if !ends && must_return(m, past, led, limits, now.time) {
@@ -145,21 +167,21 @@
         actions::reclaim(self, &mut snapshot, &rest, &mut scenario);
         actions::preempt(self, &mut snapshot, &rest, &mut scenario);
         actions::reclaim_gangs(self, &mut snapshot, &waiting, &mut scenario);
-        if scenario.evictions.is_empty() && now.time >= self.next_move {
+        if scenario.evictions.is_empty() && now.time >= self.schedule.next_consolidation {
             let emptied = actions::consolidate(self, &mut snapshot, &mut scenario);
-            self.next_move = now.time + self.period;
-            if let Some(machine) = emptied.and_then(|id| self.machines.get_mut(&id)) {
-                machine.cordon = now.time + Span(3 * self.period.0);
+            self.schedule.next_consolidation = now.time + self.policy.cycle_period;
+            if let Some(machine) = emptied.and_then(|id| self.fleet.machines.get_mut(&id)) {
+                machine.cordon = now.time + Span(3 * self.policy.cycle_period.0);
             }
         }
         placements.extend(scenario.placements);
         let gathering = std::mem::take(&mut snapshot.gathering);
-        self.gathering = gathering;
+        self.schedule.gang_reservations = gathering;
         self.apply(placements, now.time);
         for eviction in scenario.evictions {
             let grace = (self.jobs.get(&eviction.task.job)).map_or(0.0, |j| j.spec.save_s);
             log::debug!("{} is {}", eviction.task, eviction.why);
-            let entry = (self.machines.get_mut(&eviction.machine))
+            let entry = (self.fleet.machines.get_mut(&eviction.machine))
                 .and_then(|m| m.entry_mut(&eviction.task, eviction.attempt));
             if let Some(entry) = entry {
                 entry.stop = Some(Stop {
@@ -177,7 +199,7 @@
             .collect();
         for id in needed {
             // It waits for others to come free or to boot: it must not go back as idle meanwhile.
-            if let Some(machine) = self.machines.get_mut(&id) {
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 machine.idle = None;
             }
         }
@@ -197,20 +219,23 @@
     /// several tasks does once room is gathered for it, which begins in time to be done in time.
     pub fn is_overdue(&self, job: &Job, now: Wall) -> bool {
         match job.spec.kind {
-            Kind::Gang if job.spec.tasks > 1 => self.gathering.contains(&job.spec.id),
+            Kind::Gang if job.spec.tasks > 1 => {
+                self.schedule.gang_reservations.contains(&job.spec.id)
+            }
             _ => job.is_overdue(now, PATIENCE),
         }
     }
 
     /// Whether a job's start can't wait for its image to be fetched, by what users say.
     pub fn is_picky(&self, job: &Job) -> bool {
-        let fetch = Span::secs(self.catalog.slowest_fetch_s(job.spec.image_gb));
-        !job.is_preemptible() && (self.wait_aims.get(&job.spec.class)).is_some_and(|w| *w < fetch)
+        let fetch = Span::secs(self.policy.catalog.slowest_fetch_s(job.spec.image_gb));
+        !job.is_preemptible()
+            && (self.policy.start_objectives.get(&job.spec.class)).is_some_and(|w| *w < fetch)
     }
 
     /// Placements that wait for room which does not come free are taken back.
     pub(crate) fn drop_stalled(&mut self, now: Time) {
-        let stalled: Vec<(MachineId, JobId, Attempt)> = (self.machines.values())
+        let stalled: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
             .flat_map(|m| m.entries.iter().map(move |e| (m, e)))
             .filter(|(_, e)| e.phase == Phase::Planned && now > e.placed + STALLED)
             .map(|(m, e)| (m.id.clone(), e.task.job.clone(), e.attempt))
@@ -223,14 +248,15 @@
     /// Room for urgent work that may come before a machine could be had: by need, as many tasks
     /// as came lately in the time that a machine takes to boot, and two standard deviations more.
     pub fn reserve(&self, now: Now) -> Vec<Reserve> {
-        let boot = self.catalog.slowest_boot_s();
+        let boot = self.policy.catalog.slowest_boot_s();
         let mut came: Vec<(Resources, u32, BTreeSet<Image>)> = Vec::new();
         for job in self
             .jobs
             .values()
             .filter(|j| j.is_active() && j.is_ready() && !j.is_preemptible())
         {
-            let urgent = (self.wait_aims.get(&job.spec.class)).is_some_and(|w| w.as_secs() < boot);
+            let urgent = (self.policy.start_objectives.get(&job.spec.class))
+                .is_some_and(|w| w.as_secs() < boot);
             let age = Span(now.wall.0.saturating_sub(job.waits_since().0));
             if !urgent || job.spec.kind != Kind::Service {
                 continue;
@@ -250,15 +276,15 @@
             .map(|(need, n, images)| Reserve {
                 need,
                 images,
-                tasks: (self.reserve_factor * (per_boot(n) + 2.0 * per_boot(n).sqrt())).ceil()
-                    as u32,
+                tasks: (self.policy.reserve_factor * (per_boot(n) + 2.0 * per_boot(n).sqrt()))
+                    .ceil() as u32,
             })
             .collect()
     }
 
     pub(crate) fn apply(&mut self, placements: Vec<Placement>, now: Time) {
         let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
-        self.unrecorded |= !placements.is_empty();
+        self.placement_log.may_have_unrecorded |= !placements.is_empty();
         for placement in placements {
             let id = placement.task.job.clone();
             let Some(spec) = self.jobs.get(&id).map(|j| j.spec.clone()) else {
@@ -267,13 +293,13 @@
             // The tasks of a gang find one another by it; for others, like is recorded shorter.
             let attempt = match attempts.get(&id) {
                 Some(&attempt) => attempt,
-                None => self.next_attempt(),
+                None => self.term.next_attempt(),
             };
             attempts.insert(id.clone(), attempt);
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.place(placement.task.index, &placement.machine, attempt);
             }
-            if let Some(machine) = self.machines.get_mut(&placement.machine) {
+            if let Some(machine) = self.fleet.machines.get_mut(&placement.machine) {
                 log::debug!(
                     "{} attempt {attempt} goes on {}",
                     placement.task,
@@ -289,7 +315,7 @@
     /// Tasks of each job that run, for display.
     pub fn running(&self) -> BTreeMap<JobId, u32> {
         let mut counts = BTreeMap::new();
-        for entry in self.machines.values().flat_map(|m| &m.entries) {
+        for entry in self.fleet.machines.values().flat_map(|m| &m.entries) {
             if entry.is_running() {
                 *counts.entry(entry.task.job.clone()).or_insert(0) += 1;
             }
@@ -301,7 +327,7 @@
     /// and won't finish is stopped at once, to start again elsewhere.
     pub fn drain(&mut self, now: Time) {
         let mut stops = Vec::new();
-        for machine in self.machines.values() {
+        for machine in self.fleet.machines.values() {
             let Some(notice) = machine.notice else {
                 continue;
             };
@@ -335,8 +361,9 @@
 
     /// Machines whose leases have surely run out hold nothing any more.
     pub fn expire(&mut self, now: Now) {
-        let (lease, old_leaders_fenced_at) = (self.lease, self.old_leaders_fenced_at);
-        let over: Vec<MachineId> = (self.machines.values())
+        let (lease, old_leaders_fenced_at) =
+            (self.agent_timings.lease, self.term.old_leaders_fenced_at);
+        let over: Vec<MachineId> = (self.fleet.machines.values())
             .filter(|m| {
                 !m.entries.is_empty() && m.lease_surely_over(now.time, lease, old_leaders_fenced_at)
             })
@@ -351,6 +378,7 @@
     /// Everything on a machine is surely gone.
     pub fn empty_machine(&mut self, id: &MachineId, now: Now) {
         let gone = self
+            .fleet
             .machines
             .get_mut(id)
             .map(Machine::clear)
@@ -363,22 +391,25 @@
     /// Forgets a machine that is surely gone.
     pub fn drop_machine(&mut self, id: &MachineId, now: Now) {
         self.empty_machine(id, now);
-        self.returned.insert(id.clone(), now.time);
+        self.fleet.returned.insert(id.clone(), now.time);
         self.request_cycle(now.time);
-        self.machines.remove(id);
+        self.fleet.machines.remove(id);
     }
 
     /// A machine that has become known in some other way than by a report.
     pub fn expect_machine(&mut self, machine: Machine) {
-        self.unrecorded = true;
-        if !self.returned.contains_key(&machine.id) {
-            self.machines.entry(machine.id.clone()).or_insert(machine);
+        self.placement_log.may_have_unrecorded = true;
+        if !self.fleet.returned.contains_key(&machine.id) {
+            self.fleet
+                .machines
+                .entry(machine.id.clone())
+                .or_insert(machine);
         }
     }
 
     /// Whether a machine is expected to come up.
     pub fn is_booting(&self) -> bool {
-        (self.machines.values()).any(|m| m.last_heard.is_none() && m.returning.is_none())
+        (self.fleet.machines.values()).any(|m| m.last_heard.is_none() && m.returning.is_none())
     }
 
     /// Age of a machine by the time of day.
--- /dev/null
+++ b/crates/core/src/scheduling/mod.rs
@@ -0,0 +1,4 @@
+pub mod actions;
+pub mod cycle;
+pub mod snapshot;
+pub mod statement;
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/scheduling/snapshot.rs
@@ -4,10 +4,10 @@
 //! It is made anew for each cycle from several hundred machines, so names that are compared often
 //! are numbers here.
 
-use crate::job::Job;
+use crate::fleet::machine::{Machine, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::placement_tracking::{Machine, PlacedTask};
-use crate::tree::{amounts, Amounts, KINDS};
+use crate::teams::team_tree::{amounts, Amounts, KINDS};
 use crate::units::{Now, Resources, Span, Time};
 use rudderreel_wire::ids::{Attempt, Image, JobId, MachineId, TaskId, TypeName, Zone};
 use rudderreel_wire::job::{JobSpec, Kind};
@@ -88,10 +88,11 @@
 
 /// Whether new work may be placed on a machine.
 pub fn usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
-    let fresh = (machine.last_heard).is_some_and(|t| now - t < Span(leader.lease.0 / 2));
-    machine.is_known(leader.epoch)
+    let fresh =
+        (machine.last_heard).is_some_and(|t| now - t < Span(leader.agent_timings.lease.0 / 2));
+    machine.is_known(leader.term.epoch)
         && fresh
-        && !leader.partitioned_zones.contains_key(&machine.zone)
+        && !leader.fleet.partitioned_zones.contains_key(&machine.zone)
         // Heard is not commanded: while its worker leaves calls unanswered it gets nothing new.
         && machine.unanswered == 0
         && machine.notice.is_none()
@@ -117,12 +118,12 @@
 impl Snapshot {
     /// Takes the picture.
     pub fn take(leader: &Leader, now: Now) -> Self {
-        let nodes = leader.tree.nodes.len();
+        let nodes = leader.policy.teams.nodes.len();
         let mut snapshot = Self {
             candidates: Vec::new(),
             used: vec![[0.0; KINDS]; nodes],
             counted: vec![[0.0; KINDS]; nodes],
-            apart: leader.catalog.types.iter().any(|t| t.gpus <= 0.0),
+            apart: leader.policy.catalog.types.iter().any(|t| t.gpus <= 0.0),
             firm: vec![[0.0; KINDS]; nodes],
             share_of_all: vec![[0.0; KINDS]; nodes],
             share: vec![[0.0; KINDS]; nodes],
@@ -136,7 +137,7 @@
         };
         let mut total = [0.0; KINDS];
         let mut all = [0.0; KINDS];
-        for machine in leader.machines.values() {
+        for machine in leader.fleet.machines.values() {
             if machine.retire.is_none() && machine.returning.is_none() {
                 add(&mut total, &snapshot.shared_room(machine));
                 add(&mut all, &amounts(&machine.room));
@@ -156,7 +157,7 @@
             snapshot.image_no(&job.spec.image);
             let whole = amounts(&job.need.times(job.free_tasks()));
             let need = snapshot.for_shares(&whole);
-            if let Some(leaf) = leader.tree.find(&job.spec.team) {
+            if let Some(leaf) = leader.policy.teams.find(&job.spec.team) {
                 add(&mut of_all[leaf], &whole);
                 add(&mut requested[leaf], &need);
                 if !job.is_preemptible() {
@@ -166,8 +167,10 @@
         }
         requested[0] = [0.0; KINDS];
         of_all[0] = [0.0; KINDS];
-        snapshot.share = crate::fair_share::fair_shares(&leader.tree, total, &requested, &firm);
-        snapshot.share_of_all = crate::fair_share::fair_shares(&leader.tree, all, &of_all, &firm);
+        snapshot.share =
+            crate::teams::fair_share::fair_shares(&leader.policy.teams, total, &requested, &firm);
+        snapshot.share_of_all =
+            crate::teams::fair_share::fair_shares(&leader.policy.teams, all, &of_all, &firm);
         snapshot
     }
 
@@ -178,7 +181,7 @@
             return;
         }
         for (id, _) in job.places.values().flatten() {
-            if let Some(machine) = leader.machines.get(id) {
+            if let Some(machine) = leader.fleet.machines.get(id) {
                 let zone = self.zone_no(&machine.zone);
                 self.note_zone(&job.spec.id, zone, 1);
             }
@@ -241,7 +244,7 @@
                     .max(seconds_left(entry, spec, self.now.time));
             }
             let active = leader.jobs.get(&spec.id).is_some_and(|j| j.is_active());
-            if !crate::job::is_non_preemptible(spec) && entry.stop.is_none() && active {
+            if !crate::jobs::job::is_non_preemptible(spec) && entry.stop.is_none() && active {
                 spot.is_preemptible += entry.need;
             }
         }
@@ -299,9 +302,9 @@
 
     /// Adds to what a job's team uses, and all above it.
     pub fn charge(&mut self, leader: &Leader, job: &Job, need: &Amounts) {
-        if let Some(leaf) = leader.tree.find(&job.spec.team) {
+        if let Some(leaf) = leader.policy.teams.find(&job.spec.team) {
             let counted = self.for_shares(need);
-            for node in leader.tree.chain(leaf) {
+            for node in leader.policy.teams.chain(leaf) {
                 add(&mut self.used[node], need);
                 add(&mut self.counted[node], &counted);
                 if !job.is_preemptible() {
@@ -421,7 +424,7 @@
     /// Holds free room back for urgent work that may come before a machine could be had, where its
     /// image is. A single team needs none: its own work yields by priority.
     pub fn hold_reserve(&mut self, leader: &Leader) {
-        if leader.tree.nodes.len() <= 2 {
+        if leader.policy.teams.nodes.len() <= 2 {
             return;
         }
         for spot in &mut self.candidates {
@@ -452,7 +455,7 @@
 
     /// How full a team is.
     pub fn saturation(&self, leaf: usize) -> f64 {
-        crate::fair_share::saturation(&self.counted[leaf], &self.share[leaf])
+        crate::teams::fair_share::saturation(&self.counted[leaf], &self.share[leaf])
     }
 }
 
@@ -512,11 +515,11 @@
     used: &[Amounts],
     firm: &[Amounts],
 ) -> bool {
-    let Some(leaf) = leader.tree.find(&job.spec.team) else {
+    let Some(leaf) = leader.policy.teams.find(&job.spec.team) else {
         return false;
     };
-    leader.tree.chain(leaf).all(|node| {
-        let team = &leader.tree.nodes[node];
+    leader.policy.teams.chain(leaf).all(|node| {
+        let team = &leader.policy.teams.nodes[node];
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + 1e-9)
         };
--- a/crates/core/src/statement.rs
+++ b/crates/core/src/scheduling/statement.rs
@@ -1,9 +1,9 @@
 //! Simulate first, commit later: a log of decisions over the snapshot, kept whole or dropped whole.
 
-use crate::job::Job;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::snapshot::{is_bound, Snapshot};
-use crate::tree::amounts;
+use crate::scheduling::snapshot::{is_bound, Snapshot};
+use crate::teams::team_tree::amounts;
 use rudderreel_wire::ids::{MachineId, TaskId};
 use rudderreel_wire::job::Kind;
 
--- /dev/null
+++ b/crates/core/src/store/mod.rs
@@ -0,0 +1,4 @@
+pub mod calls;
+pub mod limits;
+pub mod records;
+pub mod transactions;
--- a/crates/core/src/records.rs
+++ b/crates/core/src/store/records.rs
@@ -12,7 +12,7 @@
 //! | `pub/leader_slot` | the leader, on its lease | what `pub/leader` held, from then on |
 //! | `pub/known/<node>` | that node, while links between nodes fail | which cancellations it knows |
 
-use crate::store_limits::StoreLimits;
+use crate::store::limits::StoreLimits;
 use crate::units::Wall;
 use rudderreel_wire::ids::{
     Attempt, Class, Epoch, Image, JobId, LeaseId, MachineId, NodeName, TypeName, Version, Zone,
--- a/crates/core/src/fair_share.rs
+++ b/crates/core/src/teams/fair_share.rs
@@ -9,7 +9,7 @@
 //! asks for in phase one. Once guarantees are met it gets what such work takes, and then its part of
 //! what is left, by priority and weight.
 
-use crate::tree::{Amounts, TeamTree, KINDS};
+use crate::teams::team_tree::{Amounts, TeamTree, KINDS};
 
 /// Below this, an amount counts as nothing.
 const NOTHING: f64 = 1e-9;
--- a/crates/core/src/fair_share/tests.rs
+++ b/crates/core/src/teams/fair_share/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::tree::TeamNode;
+use crate::teams::team_tree::TeamNode;
 use proptest::prelude::*;
 
 fn node(parent: Option<usize>, quota: f64, limit: f64, weight: f64, priority: i32) -> TeamNode {
--- /dev/null
+++ b/crates/core/src/teams/mod.rs
@@ -0,0 +1,2 @@
+pub mod fair_share;
+pub mod team_tree;
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -1,12 +1,12 @@
 //! A small leader for unit tests.
 
-use crate::election::ElectionWin;
-use crate::job::Job;
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
+use crate::leadership::election::ElectionWin;
 use crate::node::Node;
-use crate::placement_tracking::{Machine, Phase, PlacedTask};
-use crate::records::LeaderKey;
-use crate::tree::TeamTree;
+use crate::store::records::LeaderKey;
+use crate::teams::team_tree::TeamTree;
 use crate::units::{Now, Time, Wall};
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, LeaseId, MachineId, Seq, TaskId, Version};
 use rudderreel_wire::settings::Settings;
@@ -76,23 +76,23 @@
         version: Version(1),
     };
     let mut leader = Leader::new(&settings, tree, won, NOW.time);
-    leader.ready = true;
+    leader.recovery.is_complete = true;
     let catalog = serde_json::json!({"hulls": [{"label": "m4", "vcpus": 4.0, "gpus": 0.0,
         "memoryGb": 16.0, "cacheGb": 50.0, "fetchGbPerS": 1.0, "rate": 1.0,
         "marketPrice": 0.3, "startupS": 40.0, "berths": ["a", "b"]}]});
-    leader.learn_catalog(serde_json::from_value(catalog).expect("a catalog"));
+    leader.set_catalog(serde_json::from_value(catalog).expect("a catalog"));
     leader
 }
 
 /// Adds a machine that was just heard.
 pub fn up(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
-    let room = leader.room_of(&"m4".into());
+    let room = leader.policy.capacity_of(&"m4".into());
     let mut machine = Machine::new(id.into(), "m4".into(), zone.into(), false, room, NOW.wall);
     machine.last_heard = Some(NOW.time);
-    machine.acked = leader.epoch;
+    machine.acked = leader.term.epoch;
     machine.addr = Some("10.0.0.1:1".into());
     let id = machine.id.clone();
-    leader.machines.insert(id.clone(), machine);
+    leader.fleet.machines.insert(id.clone(), machine);
     id
 }
 
@@ -115,10 +115,10 @@
 
 /// Has a task of a job run on a machine since long ago.
 pub fn run(leader: &mut Leader, job: &Job, index: u32, machine: &MachineId) {
-    let job = leader
-        .jobs
-        .entry(job.spec.id.clone())
-        .or_insert_with(|| job.clone());
+    if !leader.jobs.contains(&job.spec.id) {
+        leader.jobs.insert(job.spec.id.clone(), job.clone());
+    }
+    let job = leader.jobs.get_mut(&job.spec.id).expect("a job");
     let attempt = Attempt(1);
     job.place(index, machine, attempt);
     job.begun = true;
@@ -126,7 +126,7 @@
     let mut entry = PlacedTask::planned(task, attempt, Some(job.spec.clone()), Time(1));
     entry.phase = Phase::On(TaskState::Running);
     entry.running = Some(Time(1));
-    if let Some(machine) = leader.machines.get_mut(machine) {
+    if let Some(machine) = leader.fleet.machines.get_mut(machine) {
         machine.entries.push(entry);
     }
 }
