--- a/crates/core/src/api/admin/views.rs
+++ b/crates/core/src/api/admin/views.rs
@@ -3,73 +3,16 @@
 //! Lists are answered in pages or cut, and always say how many there are in all.
 
 use crate::fleet::machine::{Machine, Phase};
-use crate::jobs::job::{Job, Stage};
 use crate::leader::Leader;
-use crate::node::Node;
 use crate::scheduling::snapshot::Snapshot;
-use crate::teams::team_tree::amounts;
 use crate::units::Now;
-use rudderreel_wire::ids::{JobId, MachineId};
+use rudderreel_wire::ids::MachineId;
 use serde_json::{json, Value};
 
 /// Entries of a list in one answer.
-pub(super) const MOST_LISTED: usize = 200;
+pub(crate) const MOST_LISTED: usize = 200;
 
-impl Node {
-    /// Why a job is where it is.
-    pub(super) fn explain(&self, leader: &Leader, id: &JobId, now: Now) -> (u16, Value) {
-        let Some(job) = leader.jobs.get(id) else {
-            return match self.job_cache.jobs.get(id) {
-                Some(known) => (
-                    200,
-                    json!({
-                        "id": id, "state": known.record.state,
-                        "cancelled_with": known.record.cancelled_by,
-                    }),
-                ),
-                None => (404, json!({ "error": "no such job" })),
-            };
-        };
-        let tasks: Vec<Value> = (job.places.iter())
-            .flat_map(|(index, places)| places.iter().map(move |p| (index, p)))
-            .take(MOST_LISTED)
-            .map(|(index, (machine, attempt))| {
-                let entry = (leader.fleet.machines.get(machine)).and_then(|m| {
-                    m.entries
-                        .iter()
-                        .find(|e| e.attempt == *attempt && e.task.index == *index)
-                });
-                json!({
-                    "task": index, "machine": machine, "attempt": attempt,
-                    "phase": entry.map(|e| phase(e.phase)),
-                    "stopping": entry.and_then(|e| e.stop).map(|s| s.why),
-                })
-            })
-            .collect();
-        let body = json!({
-            "id": id,
-            "team": job.spec.team,
-            "cancelled": job.stage != Stage::Active,
-            "waits_for": job.unmet.iter().take(MOST_LISTED).collect::<Vec<_>>(),
-            "waits_for_of": job.unmet.len(),
-            "needed_by": (self.job_cache.graph.dependents_of(id))
-                .take(MOST_LISTED)
-                .collect::<Vec<_>>(),
-            "needed_by_of": self.job_cache.graph.dependents_of(id).count(),
-            "priority": job.goal.priority,
-            "finish_by_ms": job.goal.finish_by.map(|wall| wall.0),
-            "done": job.done.len(),
-            "of": job.spec.tasks,
-            "to_start": job.free_tasks(),
-            "why": why_waiting(leader, job, now),
-            "tasks": tasks,
-            "tasks_of": job.placed(),
-        });
-        (200, body)
-    }
-}
-
-fn phase(phase: Phase) -> String {
+pub(crate) fn phase(phase: Phase) -> String {
     match phase {
         Phase::Planned => "to be started".into(),
         Phase::Sent => "start sent".into(),
@@ -78,42 +21,8 @@
     }
 }
 
-/// What keeps a job's next task from starting.
-fn why_waiting(leader: &Leader, job: &Job, now: Now) -> &'static str {
-    if !job.is_active() {
-        return "it was cancelled";
-    }
-    if !job.is_ready() {
-        return "it waits for jobs that it depends on";
-    }
-    if job.is_suspected() {
-        return "it fails wherever it is tried, perhaps for a mistake; it is tried now and then";
-    }
-    if job.free_tasks() == 0 {
-        return "all its tasks are placed or done";
-    }
-    if job.not_before > now.time {
-        return "its tasks failed, and it waits a little before the next try";
-    }
-    let snapshot = Snapshot::take(leader, now);
-    if !snapshot.within_limits(leader, job, &amounts(&job.need)) {
-        return if job.is_preemptible() {
-            "its team's limit is used up"
-        } else {
-            "its team's quota is used up, and work at priority 100 or above can't borrow"
-        };
-    }
-    if crate::scheduling::actions::has_room(leader, &snapshot, job) {
-        "it is placed in the next cycle"
-    } else if leader.rentals.open.is_empty() && !leader.is_booting() {
-        "no machine has room for it, and none could be rented"
-    } else {
-        "no machine has room for it; machines are being rented or boot"
-    }
-}
-
 /// Who uses what, against quota, limit and share.
-pub(super) fn teams(leader: &Leader, now: Now) -> Value {
+pub(crate) fn teams(leader: &Leader, now: Now) -> Value {
     let snapshot = Snapshot::take(leader, now);
     let finite = |x: f64| x.is_finite().then_some(x);
     let rows: Vec<Value> = (leader.policy.teams.nodes.iter().enumerate().skip(1))
@@ -135,7 +44,7 @@
 }
 
 /// Machines after a name, as many as a page holds, and what all of them cost.
-pub(super) fn machines(leader: &Leader, after: Option<&MachineId>, now: Now) -> Value {
+pub(crate) fn machines(leader: &Leader, after: Option<&MachineId>, now: Now) -> Value {
     let later = |m: &&Machine| after.is_none_or(|after| m.id > *after);
     let mut left = leader.fleet.machines.values().filter(later);
     let listed: Vec<&Machine> = left.by_ref().take(MOST_LISTED).collect();
@@ -162,7 +71,7 @@
     }
 }
 
-fn machine(leader: &Leader, m: &Machine, now: Now) -> Value {
+pub(crate) fn machine(leader: &Leader, m: &Machine, now: Now) -> Value {
     let free = m.free();
     json!({
         "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.spot,
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -1,12 +1,11 @@
 //! Renting and returning machines.
 
 use crate::fleet::machine::Machine;
-use crate::io::{CallId, CloudAnswer, CloudCall, Output};
+use crate::io::{CallId, CloudCall, Output};
 use crate::leader::Leader;
-use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::cloud::{
-    ListedMachine, ListedState, MachineNames, Rent, MACHINES_PER_PAGE, MACHINES_PER_RETURN,
+    ListedMachine, ListedState, Rent, MACHINES_PER_PAGE, MACHINES_PER_RETURN,
 };
 use rudderreel_wire::ids::{Attempt, Epoch, JobId, MachineId, TypeName, Zone};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -47,7 +46,7 @@
     /// When the catalog is due.
     pub next_catalog: Time,
     /// When idle machines may be returned: many at once, for calls are few.
-    next_return: Time,
+    pub(crate) next_return: Time,
 }
 
 /// What a call to the cloud is for.
@@ -73,17 +72,13 @@
 /// costs still less, longer in proportion, up to so many times.
 const KEEP_RATIO: f64 = 5.0;
 const KEEP_MOST: f64 = 9.0;
-/// Idle machines are returned together, so often.
-const RETURNS: Span = Span(2_000);
-/// So long a follower waits for the stored machine types before it asks for them.
-const CATALOG_WAIT: Span = Span(10_000);
 /// The part of the calls to the cloud that the list may take.
 const LIST_PART: f64 = 0.25;
 /// Why idle machines are returned.
-const IDLE: &str = "idle";
+pub(crate) const IDLE: &str = "idle";
 
 impl Rentals {
-    fn refuse(&mut self, offer: Offer, now: Time) {
+    pub(crate) fn refuse(&mut self, offer: Offer, now: Time) {
         let (until, times) = self.refused.entry(offer).or_default();
         *until = now + Span(REFUSED.0 << *times);
         *times = (*times + 1).min(REFUSED_MOST);
@@ -141,7 +136,7 @@
         self.open.clear();
     }
 
-    fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
+    pub(crate) fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
         // Bursts worth two seconds are allowed; one call is left for what the cloud counts otherwise.
         self.tokens += (now - self.filled).as_secs() * self.rate;
         self.tokens = self.tokens.min((self.rate * 2.0 - 1.0).max(1.0));
@@ -158,19 +153,19 @@
     }
 
     /// In what time a fleet of a size may be listed once, so that its pages take a part of the calls.
-    fn listing_span(&self, machines: usize) -> Span {
+    pub(crate) fn listing_span(&self, machines: usize) -> Span {
         let pages = machines.div_ceil(MACHINES_PER_PAGE).max(1);
         Span::secs(pages as f64 / (self.rate * LIST_PART))
     }
 
-    fn has(&self, wanted: impl Fn(&CloudStep) -> bool) -> bool {
+    pub(crate) fn has(&self, wanted: impl Fn(&CloudStep) -> bool) -> bool {
         self.open.values().any(&wanted) || self.queue.iter().any(|(_, s)| wanted(s))
     }
 }
 
 impl Leader {
     /// Machines to return now: idle ones once they have been paid for, stuck and silent ones.
-    fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
+    pub(crate) fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
         let boots: BTreeMap<TypeName, Span> = (self.policy.catalog.types.iter())
             .map(|t| (t.name.clone(), Span::secs(t.boot_s * 4.0 + 30.0)))
             .collect();
@@ -234,7 +229,7 @@
             .collect()
     }
 
-    fn note_returning(&mut self, names: &[MachineId], now: Now) {
+    pub(crate) fn note_returning(&mut self, names: &[MachineId], now: Now) {
         for id in names {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.returning = Some(now.time);
@@ -243,7 +238,7 @@
         }
     }
 
-    fn note_return(&mut self, id: &MachineId) {
+    pub(crate) fn note_return(&mut self, id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get(id) {
             self.rentals.came_free(&Offer {
                 machine_type: machine.machine_type.clone(),
@@ -296,7 +291,7 @@
     }
 
     /// Takes in a page of the machine list, which may be older than what is known.
-    fn learn_list(&mut self, listed: &[ListedMachine], now: Now) {
+    pub(crate) fn learn_list(&mut self, listed: &[ListedMachine], now: Now) {
         for found in listed {
             if self.fleet.returned.contains_key(&found.id) {
                 continue;
@@ -325,163 +320,3 @@
         }
     }
 }
-
-impl Node {
-    /// Lets out calls to the cloud that wait.
-    pub(crate) fn cloud_pump(&mut self, now: Now) {
-        if self.leader.is_some() {
-            self.cloud.pump(now.time, &mut self.out);
-        }
-    }
-
-    /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may
-    /// be too large to be stored.
-    pub(crate) fn fetch_catalog(&mut self, now: Now) {
-        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.complete {
-            return;
-        }
-        let cloud = &mut self.cloud;
-        if cloud.next_catalog == Time(0) {
-            cloud.next_catalog = now.time + CATALOG_WAIT;
-        }
-        if now.time >= cloud.next_catalog {
-            cloud.next_catalog = now.time + CATALOG_WAIT;
-            cloud.call(CloudCall::Catalog, CloudStep::Catalog);
-        }
-        cloud.pump(now.time, &mut self.out);
-    }
-
-    /// Calls to the cloud that are due.
-    pub(crate) fn cloud_tick(&mut self, now: Now) {
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let cloud = &mut self.cloud;
-        let catalog_due = now.time >= cloud.next_catalog;
-        if catalog_due && !cloud.has(|s| matches!(s, CloudStep::Catalog)) {
-            cloud.next_catalog = now.time + Span(5_000);
-            cloud.call(CloudCall::Catalog, CloudStep::Catalog);
-        }
-        if !leader.recovery.is_complete || !leader.term.is_lease_valid(now.time) {
-            return cloud.pump(now.time, &mut self.out);
-        }
-        let names = leader.due_returns(now);
-        let urgent = (names.iter()).any(|id| {
-            leader
-                .fleet
-                .machines
-                .get(id)
-                .is_some_and(|m| m.retire != Some(IDLE))
-        });
-        if urgent || (!names.is_empty() && now.time >= cloud.next_return) {
-            cloud.next_return = now.time + RETURNS;
-            leader.note_returning(&names, now);
-            let call = CloudCall::Return(MachineNames {
-                machines: names.clone(),
-            });
-            cloud.call(call, CloudStep::Return(names));
-        }
-        for rent in &leader.rentals.open {
-            let open = cloud.has(|s| matches!(s, CloudStep::Rent(r) if r.request == rent.request));
-            if !open {
-                cloud.call(CloudCall::Rent(rent.clone()), CloudStep::Rent(rent.clone()));
-            }
-        }
-        let list_due = now.time >= cloud.next_list;
-        if list_due && !cloud.has(|s| matches!(s, CloudStep::List(_))) {
-            let pause = Span(4_000).max(self.list_lag);
-            cloud.next_list = now.time + pause.max(cloud.listing_span(leader.fleet.machines.len()));
-            cloud.call(CloudCall::List(None), CloudStep::List(None));
-        }
-        cloud.pump(now.time, &mut self.out);
-    }
-
-    /// The cloud's answer.
-    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer, now: Now) {
-        let Some(step) = self.cloud.finish(id) else {
-            return;
-        };
-        if matches!(answer, CloudAnswer::Refused | CloudAnswer::Unknown) {
-            self.cloud.after = self.cloud.after.max(now.time + Span(700));
-        }
-        match (step, answer) {
-            (CloudStep::Catalog, CloudAnswer::Catalog(catalog)) => {
-                self.cloud.next_catalog = now.time + Span(60_000);
-                if let Some(leader) = self.leader.as_mut() {
-                    leader.set_catalog(catalog.clone());
-                    leader.request_cycle(now.time);
-                }
-                if self.catalog.is_none() {
-                    self.keep_catalog(&catalog);
-                }
-                self.catalog = Some(catalog);
-            }
-            (CloudStep::Rent(rent), answer) => self.rented(rent, answer, now),
-            (CloudStep::Return(names), CloudAnswer::Returned) => {
-                for id in names {
-                    if let Some(leader) = self.leader.as_mut() {
-                        leader.note_return(&id);
-                    }
-                    if let Some(leader) = self.leader.as_mut() {
-                        leader.drop_machine(&id, now);
-                    }
-                }
-            }
-            // What is missing of a list that takes many pages would not be read for long if it was begun
-            // anew each time.
-            (CloudStep::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
-                let call = CloudCall::List(after.clone());
-                self.cloud.call(call, CloudStep::List(after));
-            }
-            (CloudStep::List(_), CloudAnswer::Page(page)) => {
-                if let Some(leader) = self.leader.as_mut() {
-                    leader.learn_list(&page.machines, now);
-                }
-                if page.more {
-                    let last = page.machines.last().map(|m| m.id.clone());
-                    let call = CloudCall::List(last.clone());
-                    self.cloud.call(call, CloudStep::List(last));
-                }
-            }
-            _ => {}
-        }
-    }
-
-    fn rented(&mut self, rent: Rent, answer: CloudAnswer, now: Now) {
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let offer = Offer {
-            machine_type: rent.machine_type.clone(),
-            zone: rent.zone.clone(),
-            spot: rent.spot,
-        };
-        match answer {
-            CloudAnswer::Rented(names) => {
-                leader.rentals.open.retain(|r| r.request != rent.request);
-                if (names.machines.len() as u32) < rent.count {
-                    leader.rentals.refuse(offer, now.time);
-                } else {
-                    leader.rentals.refused.remove(&offer);
-                }
-                for id in names.machines {
-                    let room = leader.policy.capacity_of(&rent.machine_type);
-                    let (t, z) = (rent.machine_type.clone(), rent.zone.clone());
-                    let machine = Machine::new(id, t, z, rent.spot, room, now.wall);
-                    leader.expect_machine(machine);
-                }
-                leader.request_cycle(now.time);
-            }
-            CloudAnswer::NoCapacity | CloudAnswer::Rejected => {
-                leader.rentals.open.retain(|r| r.request != rent.request);
-                leader.rentals.refuse(offer, now.time);
-                leader.request_cycle(now.time);
-            }
-            // It may have been carried out: the same request is repeated, by the same name.
-            _ => {}
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,2 +1,1 @@
 pub mod commands;
-pub mod direct_calls;
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,4 +1,3 @@
-pub mod cascade;
 pub mod effective_urgency;
 pub mod job;
 pub mod job_table;
--- a/crates/core/src/jobs/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -6,7 +6,7 @@
 //! record that is written shows the next jobs along the pipeline.
 
 use crate::io::{StoreAnswer, StoreCall};
-use crate::leadership::recovery::LeaderCall;
+use crate::node::recovery::LeaderCall;
 use crate::node::Node;
 use crate::store::records::{job_key, JobRecord};
 use crate::store::transactions::{condition, put};
--- a/crates/core/src/capacity/scale_out/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
+use crate::capacity::scale_out::CloudCalls;
+use crate::io::Output;
 use crate::testing::{leader, node, up, NOW};
 use rudderreel_wire::cloud::MachinePage;
+use rudderreel_wire::cloud::{ListedMachine, ListedState, MACHINES_PER_PAGE};
 
 /// Lets calls out and returns them.
 fn calls(node: &mut Node, at: Now) -> Vec<(CallId, CloudCall)> {
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,5 +1,22 @@
 //! The whole of a node's state, and what happens on each input.
 
+mod administration;
+mod admission;
+mod cancellation_replication;
+mod cascade;
+mod cloud;
+mod dependencies;
+mod direct_calls;
+mod explanations;
+mod heartbeats;
+mod leadership_transfer;
+mod placement_log;
+mod read_confirmation;
+pub(crate) mod recovery;
+mod report_forwarding;
+mod user_requests;
+mod version_gate;
+
 use crate::agents::report_forwarding::ReportForwarding;
 use crate::api::cancellation_replication::Cancellations;
 use crate::api::user_requests::{UserCall, UserRequests};
@@ -8,7 +25,7 @@
 use crate::io::{show, CallId, Input, Output, ReqId, StoreAnswer, StoreCall, Value};
 use crate::leader::Leader;
 use crate::leadership::election::{Election, ElectionCall, ElectionEvent, ElectionWin};
-use crate::leadership::recovery::LeaderCall;
+use crate::node::recovery::LeaderCall;
 use crate::overload::backlog::Backlog;
 use crate::overload::fleet_limits::FleetLimits;
 use crate::overload::pacing::{LongStep, Pacing};
--- a/crates/core/src/agents/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -1,5 +1,9 @@
 use super::*;
+use crate::agents::report_forwarding::{ReportForwarding, LEFT_LEAST, LEFT_SPARE};
 use crate::testing::NOW;
+use rudderreel_wire::ids::Seq;
+use rudderreel_wire::peer::MAX_MESSAGE_BYTES;
+use rudderreel_wire::worker::TaskStatus;
 
 /// A leader that no worker reached looked idle, and the others sent it all of theirs.
 #[test]
--- a/crates/core/src/leadership/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
+use crate::cache::job_cache::JobCache;
+use crate::leadership::election::LeaderSlot;
 use crate::leadership::election::LEADER_LEASE_TTL;
+use crate::store::records::LEADER;
 use crate::store::records::RECORD_FORMAT;
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
--- a/crates/core/src/placement_log/log.rs
+++ b/crates/core/src/placement_log/log.rs
@@ -9,31 +9,20 @@
 //! A commit of unknown outcome is repeated with the same page. Its key must not exist yet, so it is
 //! carried out once at most; a conflict on that key alone shows that it was.
 
-mod draft;
+pub(crate) mod draft;
 
 use self::draft::{
     entry_bytes, line_bytes, page_bytes, progress_bytes, PendingSegment, EMPTY_BYTES,
 };
 use crate::fleet::machine::{Machine, Phase, PlacedTask};
-use crate::io::{StoreAnswer, StoreCall};
 use crate::leader::Leader;
-use crate::leadership::recovery::LeaderCall;
-use crate::node::Node;
-use crate::store::records::{segment_key, SegmentId, SegmentRecord};
-use crate::store::transactions::{condition, put};
+use crate::store::records::{SegmentId, SegmentRecord};
 use crate::task_set::TaskSet;
-use crate::units::{Now, Span, Time};
-use rudderreel_wire::ids::{JobId, MachineId, Version};
-use rudderreel_wire::state::{Change, Transaction};
+use crate::units::Time;
+use rudderreel_wire::ids::{JobId, MachineId};
 use rudderreel_wire::worker::Cause;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Commits of pages that may be open at once.
-const OPEN: usize = 3;
-/// How often progress is recorded, and pages are tidied up.
-const TIDY: Span = Span(1_000);
-/// A commit that was refused is repeated after so long.
-const AGAIN: Span = Span(200);
 /// Pages that are left alone however little is on them.
 const FEW_PAGES: usize = 12;
 
@@ -44,12 +33,12 @@
     /// Pages that exist.
     pages: BTreeSet<SegmentId>,
     /// Pages whose commits are open.
-    open: BTreeMap<SegmentId, UncommittedSegment>,
+    pub(crate) open: BTreeMap<SegmentId, UncommittedSegment>,
     /// Pages that nothing holds on any more.
-    dead: Vec<SegmentId>,
-    next_tidy: Time,
+    pub(crate) dead: Vec<SegmentId>,
+    pub(crate) next_tidy: Time,
     /// Changes that may be made now, and when that was counted.
-    budget: (f64, Time),
+    pub(crate) budget: (f64, Time),
     /// Who may make the next change when both wait.
     turn: Turn,
     /// Whether records of cancelled dependents wait for their turn.
@@ -66,12 +55,12 @@
 }
 
 /// A page whose commit is open.
-struct UncommittedSegment {
-    record: SegmentRecord,
-    deletes: Vec<SegmentId>,
-    done: Vec<(JobId, TaskSet)>,
+pub(crate) struct UncommittedSegment {
+    pub(crate) record: SegmentRecord,
+    pub(crate) deletes: Vec<SegmentId>,
+    pub(crate) done: Vec<(JobId, TaskSet)>,
     /// When it must be sent again.
-    again: Option<Time>,
+    pub(crate) again: Option<Time>,
 }
 
 impl Default for PlacementLog {
@@ -178,7 +167,7 @@
 
 impl Leader {
     /// Puts what is not recorded yet on a page, what can't wait first.
-    fn draft(&mut self, page: SegmentId, progress: bool) -> PendingSegment {
+    pub(crate) fn draft(&mut self, page: SegmentId, progress: bool) -> PendingSegment {
         let mut draft = PendingSegment::new();
         let most = page_bytes(&self.store_limits);
         for urgent in [true, false] {
@@ -270,7 +259,7 @@
     }
 
     /// Writes what still holds on some pages on a new one, whole: the old ones are deleted.
-    fn rewrite(&mut self, page: SegmentId, old: &[SegmentId]) -> PendingSegment {
+    pub(crate) fn rewrite(&mut self, page: SegmentId, old: &[SegmentId]) -> PendingSegment {
         let mut draft = PendingSegment::new();
         for machine in self.fleet.machines.values_mut() {
             let mut taken = Vec::new();
@@ -297,7 +286,7 @@
     }
 
     /// A page was not written and never will be: what is on it waits to be recorded again.
-    fn take_apart(&mut self, page: SegmentId) {
+    pub(crate) fn take_apart(&mut self, page: SegmentId) {
         let Some(open) = self.placement_log.open.remove(&page) else {
             return;
         };
@@ -319,7 +308,11 @@
         self.placement_log.dead.retain(|p| pages.contains(p));
     }
 
-    fn page_written(&mut self, page: SegmentId, open: UncommittedSegment) -> Vec<MachineId> {
+    pub(crate) fn page_written(
+        &mut self,
+        page: SegmentId,
+        open: UncommittedSegment,
+    ) -> Vec<MachineId> {
         for old in &open.deletes {
             self.placement_log.pages.remove(old);
         }
@@ -361,165 +354,5 @@
     }
 }
 
-impl Node {
-    /// Commits what has changed in the placement log.
-    pub(crate) fn flush_placement_log(&mut self, now: Now) {
-        self.repeat_pages(now.time);
-        let rate = self.limits.placement_writes();
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let tidy = now.time >= leader.placement_log.next_tidy;
-        if tidy {
-            leader.placement_log.next_tidy = now.time + TIDY;
-        }
-        if tidy {
-            self.tidy_placement_log(rate, now);
-        }
-        let mut progress = tidy;
-        while let Some(leader) = self.leader.as_mut() {
-            let nothing = !leader.placement_log.may_have_unrecorded && !progress;
-            if nothing
-                || leader.placement_log.open.len() >= OPEN
-                || !leader.placement_log.take(1.0, rate, now.time)
-            {
-                break;
-            }
-            let page = leader.term.next_segment();
-            let draft = leader.draft(page, progress);
-            progress = false;
-            if draft.is_empty() {
-                leader.placement_log.may_have_unrecorded = false;
-                leader.placement_log.budget.0 += 1.0;
-                break;
-            }
-            let most = leader.store_limits.operations.saturating_sub(1).min(4);
-            let dead: Vec<SegmentId> = leader
-                .placement_log
-                .dead
-                .iter()
-                .take(most)
-                .copied()
-                .collect();
-            let affordable = leader.placement_log.take(dead.len() as f64, rate, now.time);
-            let deletes = if affordable { dead } else { Vec::new() };
-            leader.placement_log.dead.retain(|p| !deletes.contains(p));
-            self.open_page(page, draft, deletes);
-        }
-    }
-
-    fn tidy_placement_log(&mut self, rate: f64, now: Now) {
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let old = leader.tidy_up();
-        let cost = 1.0 + old.len() as f64;
-        if !old.is_empty() && leader.placement_log.take(cost, rate, now.time) {
-            let page = leader.term.next_segment();
-            let draft = leader.rewrite(page, &old);
-            self.open_page(page, draft, old);
-        } else if leader.placement_log.dead.len() >= leader.store_limits.operations / 2
-            && leader.placement_log.open.is_empty()
-        {
-            let dead: Vec<SegmentId> = leader
-                .placement_log
-                .dead
-                .iter()
-                .take(leader.store_limits.operations)
-                .copied()
-                .collect();
-            if leader.placement_log.take(dead.len() as f64, rate, now.time) {
-                leader.placement_log.dead.retain(|p| !dead.contains(p));
-                let page = leader.term.next_segment();
-                self.open_page(page, PendingSegment::new(), dead);
-            }
-        }
-    }
-
-    fn open_page(&mut self, page: SegmentId, draft: PendingSegment, deletes: Vec<SegmentId>) {
-        if let Some(leader) = self.leader.as_mut() {
-            let open = UncommittedSegment {
-                record: draft.record,
-                done: draft.done,
-                deletes,
-                again: None,
-            };
-            leader.placement_log.open.insert(page, open);
-            self.send_page(page);
-        }
-    }
-
-    fn send_page(&mut self, page: SegmentId) {
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        let leadership_condition = leader.term.key_condition();
-        let Some(open) = leader.placement_log.open.get_mut(&page) else {
-            return;
-        };
-        open.again = None;
-        let mut conditions = vec![leadership_condition];
-        let mut changes: Vec<_> = (open.deletes.iter())
-            .map(|p| Change::Delete {
-                key: segment_key(*p),
-            })
-            .collect();
-        if open.record != SegmentRecord::default() {
-            conditions.push(condition(segment_key(page), Version(0)));
-            changes.push(put(segment_key(page), &open.record));
-        }
-        let call = StoreCall::Commit(Transaction {
-            conditions,
-            changes,
-        });
-        self.call_store_as_leader(call, LeaderCall::Page(page));
-    }
-
-    fn repeat_pages(&mut self, now: Time) {
-        let Some(leader) = &self.leader else {
-            return;
-        };
-        let again: Vec<SegmentId> = (leader.placement_log.open.iter())
-            .filter(|(_, open)| open.again.is_some_and(|at| now >= at))
-            .map(|(page, _)| *page)
-            .collect();
-        for page in again {
-            self.send_page(page);
-        }
-    }
-
-    /// The answer to a page's commit.
-    pub(crate) fn page_answered(&mut self, page: SegmentId, answer: StoreAnswer, now: Now) {
-        let written = match &answer {
-            StoreAnswer::Committed(_) => true,
-            // The page exists, so an earlier try was carried out.
-            StoreAnswer::Conflict(keys) => keys.iter().any(|k| *k == segment_key(page)),
-            _ => false,
-        };
-        if !written && self.step_down_if_superseded(&answer) {
-            return;
-        }
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        if matches!(answer, StoreAnswer::Rejected) {
-            // It would be rejected again as it is: what is on it goes on smaller ones.
-            return leader.take_apart(page);
-        }
-        if !written {
-            if let Some(open) = leader.placement_log.open.get_mut(&page) {
-                open.again = Some(now.time + AGAIN);
-            }
-            return;
-        }
-        let Some(open) = leader.placement_log.open.remove(&page) else {
-            return;
-        };
-        let started = leader.page_written(page, open);
-        self.push_starts(&started, now);
-        self.step_down_if_superseded(&answer);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/placement_log/log/draft.rs
+++ b/crates/core/src/placement_log/log/draft.rs
@@ -22,23 +22,23 @@
 const JOB_BYTES: usize = 24;
 const RANGE_BYTES: usize = 16;
 /// What an empty page takes.
-pub(super) const EMPTY_BYTES: usize = 24;
+pub(crate) const EMPTY_BYTES: usize = 24;
 
 /// A page that is being put together.
 #[derive(Default)]
-pub(super) struct PendingSegment {
-    pub(super) record: SegmentRecord,
-    pub(super) done: Vec<(JobId, TaskSet)>,
+pub(crate) struct PendingSegment {
+    pub(crate) record: SegmentRecord,
+    pub(crate) done: Vec<(JobId, TaskSet)>,
     pub(super) bytes: usize,
 }
 
 /// How many bytes a page is filled with.
-pub(super) fn page_bytes(limits: &StoreLimits) -> usize {
+pub(crate) fn page_bytes(limits: &StoreLimits) -> usize {
     ((limits.value_bytes as f64 * FILL) as usize).min(PAGE_BYTES)
 }
 
 impl PendingSegment {
-    pub(super) fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Self {
             bytes: EMPTY_BYTES,
             ..Self::default()
@@ -137,24 +137,24 @@
         self.done.push((id.clone(), job.recorded.clone()));
     }
 
-    pub(super) fn is_empty(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.record.machines.is_empty() && self.record.done.is_empty()
     }
 }
 
 /// Bytes of an entry that shares nothing with others but its machine's line.
-pub(super) fn entry_bytes(entry: &PlacedTask) -> usize {
+pub(crate) fn entry_bytes(entry: &PlacedTask) -> usize {
     GROUP_BYTES + entry.task.job.as_str().len() + INDEX_BYTES
 }
 
 /// Bytes of what is recorded of a job.
-pub(super) fn progress_bytes(job: &Job) -> usize {
+pub(crate) fn progress_bytes(job: &Job) -> usize {
     let names = if job.is_suspected() { 2 } else { 1 };
     names * (JOB_BYTES + job.spec.id.as_str().len()) + RANGE_BYTES * job.recorded.ranges().count()
 }
 
 /// Bytes of a machine's line without its tasks.
-pub(super) fn line_bytes(machine: &Machine) -> usize {
+pub(crate) fn line_bytes(machine: &Machine) -> usize {
     let names = [
         machine.id.as_str(),
         machine.machine_type.as_str(),
