--- a/crates/core/src/agents/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -7,8 +7,10 @@
 //! task (a gang with all) after growing pauses, holds no room and rents none. It is never given up,
 //! for faulty machines may have deceived us: its first success clears it.
 
-use crate::fleet::machine::{Machine, Phase};
-use crate::jobs::job::{Job, Stage};
+use crate::fleet::blame::JOBS_TO_SUSPECT_MACHINE;
+use crate::fleet::machine::Phase;
+use crate::jobs::failures::{Failures, MAX_DOUBLINGS};
+use crate::jobs::job::Stage;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
@@ -16,125 +18,13 @@
 
 /// A job is suspected after failures on so many machines that nothing else speaks against, or on
 /// one more of any.
-const MACHINES: usize = 2;
-/// A machine is suspected after failures of so many jobs that are not.
-const JOBS: usize = 2;
-/// Evidence is kept for so long, and so much of it.
-const KEPT: Span = Span(180_000);
-const MOST: usize = 8;
-/// A job is not tried again on a machine where it failed for so long.
-const AVOID: Span = Span(20_000);
+const MACHINES_TO_SUSPECT_JOB: usize = 2;
 /// What has run for so long is not broken.
-const PROVEN: Span = Span(30_000);
-/// Tasks of a suspected job that are tried at a time.
-const TRIAL: u32 = 1;
+const PROVEN_AFTER: Span = Span(30_000);
 /// Pauses before another try: for a job that is not suspected, and the first for one that is. They
 /// double with each try that fails, so many times at most.
-const PAUSE: Span = Span(300);
-const TRIAL_PAUSE: Span = Span(2_000);
-const DOUBLED: u32 = 5;
-/// The first quarantine of a machine; it doubles with each further job, so many times at most.
-const QUARANTINE: Span = Span(4_000);
-
-/// What a job's failures show.
-#[derive(Clone, Debug, Default)]
-pub struct Failures {
-    /// Where it failed, and when last.
-    on: Vec<(MachineId, Time)>,
-    /// Tries that failed since the last success.
-    tries: u32,
-    /// The last of them.
-    last: Option<Attempt>,
-    /// Whether anything of it was ever completed, or ran for long.
-    pub proven: bool,
-    /// Whether it is suspected of a mistake.
-    pub suspected: bool,
-}
-
-impl Failures {
-    /// Tries that failed since the last success.
-    pub fn tries(&self) -> u32 {
-        self.tries
-    }
-
-    /// Whether it failed on a machine just now.
-    pub fn avoids(&self, machine: &MachineId, now: Time) -> bool {
-        (self.on.iter()).any(|(m, at)| m == machine && now - *at < AVOID)
-    }
-
-    /// Whether it failed anywhere just now, so that its tasks are not like others of their shape.
-    pub fn is_picky(&self, now: Time) -> bool {
-        self.on.iter().any(|(_, at)| now - *at < AVOID)
-    }
-
-    /// A job that an earlier leader suspected after so many tries.
-    pub fn recall(&mut self, tries: u32) {
-        self.suspected = tries > 0;
-        self.tries = tries;
-    }
-
-    fn note(&mut self, machine: &MachineId, attempt: Attempt, now: Time) -> bool {
-        self.on.retain(|(m, at)| m != machine && now - *at < KEPT);
-        if self.on.len() >= MOST {
-            self.on.remove(0);
-        }
-        self.on.push((machine.clone(), now));
-        let new = self.last != Some(attempt);
-        self.last = Some(attempt);
-        self.tries += u32::from(new);
-        new
-    }
-}
-
-impl Job {
-    /// Whether it was probably submitted with a mistake.
-    pub fn is_suspected(&self) -> bool {
-        self.failures.suspected
-    }
-
-    /// How many more of so many free tasks may be tried now.
-    pub(crate) fn on_trial(&self, free: u32, open: u32) -> u32 {
-        if self.is_suspected() && self.spec.kind != Kind::Gang {
-            free.min(TRIAL.saturating_sub(open))
-        } else {
-            free
-        }
-    }
-}
-
-impl Machine {
-    /// Whether several jobs that are not suspected have failed on it.
-    pub fn is_suspected(&self) -> bool {
-        self.blamed.len() >= JOBS
-    }
-
-    fn note_failure(&mut self, job: &JobId, sound: bool, now: Time) {
-        self.blamed.retain(|(_, at)| now - *at < KEPT);
-        if self.blamed.len() < MOST && !self.blamed.iter().any(|(j, _)| j == job) {
-            self.blamed.push((job.clone(), now));
-        }
-        // A job that never succeeded, on a machine where others do, is the likelier to blame.
-        if sound || !self.proven || self.is_suspected() {
-            let times = (self.blamed.len() as u32).saturating_sub(1).min(DOUBLED);
-            self.quarantine = now + Span(QUARANTINE.0 << times);
-        }
-    }
-
-    fn absolve(&mut self, job: &JobId, now: Time) {
-        let before = self.blamed.len();
-        self.blamed.retain(|(j, _)| j != job);
-        if self.blamed.len() < before && !self.is_suspected() {
-            self.quarantine = self.quarantine.min(now);
-        }
-    }
-
-    /// A task was completed on it.
-    pub(crate) fn succeeded(&mut self, now: Time) {
-        self.blamed.clear();
-        self.proven = true;
-        self.quarantine = self.quarantine.min(now);
-    }
-}
+const RETRY_PAUSE: Span = Span(300);
+const SUSPECTED_RETRY_PAUSE: Span = Span(2_000);
 
 impl Leader {
     /// A task failed on a machine.
@@ -146,38 +36,41 @@
         ran: Option<Span>,
         now: Now,
     ) {
-        let lasted = ran.is_some_and(|r| r >= PROVEN) || self.runs_elsewhere(task, now.time);
+        let lasted = ran.is_some_and(|r| r >= PROVEN_AFTER) || self.runs_elsewhere(task, now.time);
         let (machines, Some(job)) = (&self.fleet.machines, self.jobs.get_mut(&task.job)) else {
             return;
         };
         job.failures.proven |= lasted;
         let was = job.is_suspected();
-        let new = job.failures.note(machine, attempt, now.time);
+        let new = job.failures.record(machine, attempt, now.time);
         let others = |id: &MachineId| {
             machines.get(id).map_or(0, |m| {
                 m.blamed.iter().filter(|(j, _)| *j != task.job).count()
             })
         };
         let on = &job.failures.on;
-        let clean = on.iter().filter(|(m, _)| others(m) < JOBS).count();
-        let many = clean >= MACHINES || on.len() > MACHINES;
+        let clean = on
+            .iter()
+            .filter(|(m, _)| others(m) < JOBS_TO_SUSPECT_MACHINE)
+            .count();
+        let many = clean >= MACHINES_TO_SUSPECT_JOB || on.len() > MACHINES_TO_SUSPECT_JOB;
         job.failures.suspected |= many && !job.failures.proven;
         let suspected = job.is_suspected();
         if new {
-            let times = job.failures.tries.min(DOUBLED + 1).saturating_sub(1);
+            let times = job.failures.tries.min(MAX_DOUBLINGS + 1).saturating_sub(1);
             let pause = if suspected {
-                Span(TRIAL_PAUSE.0 << times)
+                Span(SUSPECTED_RETRY_PAUSE.0 << times)
             } else {
-                PAUSE
+                RETRY_PAUSE
             };
             job.not_before = now.time + pause;
         } else if suspected && !was {
-            job.not_before = job.not_before.max(now.time + TRIAL_PAUSE);
+            job.not_before = job.not_before.max(now.time + SUSPECTED_RETRY_PAUSE);
         }
         if !suspected {
             let sound = job.failures.proven;
             if let Some(m) = self.fleet.machines.get_mut(machine) {
-                m.note_failure(&task.job, sound, now.time);
+                m.record_failure(&task.job, sound, now.time);
             }
         } else if !was {
             self.suspect(&task.job, now.time);
@@ -195,7 +88,7 @@
                 machine.is_some_and(|m| {
                     (m.entries.iter())
                         .filter(|e| e.attempt == *attempt && e.task.job == task.job)
-                        .any(|e| e.running.is_some_and(|t| now - t >= PROVEN))
+                        .any(|e| e.running.is_some_and(|t| now - t >= PROVEN_AFTER))
                 })
             })
     }
@@ -230,10 +123,7 @@
             m.succeeded(now);
         }
         if let Some(job) = self.jobs.get_mut(job).filter(|j| j.stage == Stage::Active) {
-            job.failures = Failures {
-                proven: true,
-                ..Failures::default()
-            };
+            job.failures = Failures::cleared();
             job.not_before = job.not_before.min(now);
         }
     }
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -11,7 +11,7 @@
 use crate::cache::job_cache::JobCache;
 use crate::io::{json, CallId, ReqId};
 use crate::leader::Leader;
-use crate::node::PeerStatus;
+use crate::leadership::peers::PeerStatus;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Epoch, Incarnation, MachineId, NodeName, Seq};
 use rudderreel_wire::peer::{ForwardedAnswer, ForwardedReport, ForwardedTasks, MAX_MESSAGE_BYTES};
--- a/crates/core/src/api/admin/views/tests.rs
+++ b/crates/core/src/api/admin/views/tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_page_is_asked_for_by_its_path() {
-    use crate::api::admin::AdminRequest;
+    use crate::io::AdminRequest;
     let after = AdminRequest::Machines(Some("vm-000200".into()));
     for request in [AdminRequest::Machines(None), after] {
         let path = request.path();
--- /dev/null
+++ b/crates/core/src/cache/leader_slot.rs
@@ -0,0 +1,26 @@
+//! The leader's slot as the cache knows it, and whether jobs depend on others (see `leadership::version_gate`).
+
+use super::job_cache::JobCache;
+use crate::leadership::election::LeaderSlot;
+use crate::store::records::LeaderRecord;
+
+impl JobCache {
+    /// Whether jobs depend on others, now or earlier, as far as this node knows.
+    pub fn dependencies_in_use(&self) -> bool {
+        self.dependencies_seen || self.catalog_moved || self.superseded().is_some()
+    }
+
+    /// The leader's seat as it is known here.
+    pub fn leader_slot(&self) -> LeaderSlot<'_> {
+        match self.leader() {
+            None => LeaderSlot::Vacant(self.superseded()),
+            Some(leader) if self.is_outdated(&leader.1) => LeaderSlot::Outdated(leader),
+            Some(_) => LeaderSlot::Taken(self.leader_key()),
+        }
+    }
+
+    /// Whether a leader is of a version that must not lead any more.
+    fn is_outdated(&self, record: &LeaderRecord) -> bool {
+        !record.knows_dependencies() && self.dependencies_in_use()
+    }
+}
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -1,7 +1,7 @@
 //! Which machines are wanted: work that found no room is packed into what boots, and then into the
 //! cheapest offers. Like tasks are counted as a class, and machines that are alike as one bin.
 
-use crate::capacity::scale_out::Offer;
+use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::fleet::machine::Machine;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -30,7 +30,7 @@
 
 /// Machines that are alike and coming: they boot, or are to be rented.
 struct Bin {
-    offer: Offer,
+    offer: InstanceOffer,
     gpus: bool,
     free: Resources,
     /// What is left for work that can't wait: half of the machines take longer to boot than the
@@ -56,7 +56,7 @@
 struct Plan {
     bins: Vec<Bin>,
     /// By offer: whether work that can't wait wants any, and how many.
-    wanted: BTreeMap<Offer, (bool, u32)>,
+    wanted: BTreeMap<InstanceOffer, (bool, u32)>,
     used: Vec<Amounts>,
     firm: Vec<Amounts>,
     /// Free machines that gangs which wait for more may count on.
@@ -121,22 +121,22 @@
     /// Asks for machines. Calls to the cloud are few, so only some requests are open at a time: what
     /// can't wait first, then the largest. What is not asked for now is counted again in the next
     /// cycle, with more.
-    fn ask(&mut self, wanted: BTreeMap<Offer, (bool, u32)>) {
+    fn ask(&mut self, wanted: BTreeMap<InstanceOffer, (bool, u32)>) {
         // While some are under way, what comes meanwhile adds up: one by one, small requests for each
         // job that arrives would hold up the large ones.
-        if self.rentals.open.len() > UNDER_WAY {
+        if self.scale_out.open.len() > UNDER_WAY {
             return;
         }
         let requests = REQUESTS.max(self.cloud_calls_per_s as usize);
-        let mut wanted: Vec<(Offer, (bool, u32))> = wanted.into_iter().collect();
+        let mut wanted: Vec<(InstanceOffer, (bool, u32))> = wanted.into_iter().collect();
         wanted.sort_by_key(|(_, (firm, count))| (!firm, std::cmp::Reverse(*count)));
         for (offer, (_, mut count)) in wanted {
-            while count > 0 && self.rentals.open.len() < requests {
+            while count > 0 && self.scale_out.open.len() < requests {
                 let part = count.min(MACHINES_PER_RENTAL);
                 count -= part;
-                let request = self.rentals.name(self.term.epoch);
+                let request = self.scale_out.name(self.term.epoch);
                 log::info!("renting {part} {offer:?} as {request}");
-                self.rentals.open.push(Rent {
+                self.scale_out.open.push(Rent {
                     request,
                     machine_type: offer.machine_type.clone(),
                     zone: offer.zone.clone(),
@@ -148,7 +148,7 @@
     }
 
     fn coming(&self, now: Now) -> Vec<Bin> {
-        let mut counts: BTreeMap<Offer, u32> = BTreeMap::new();
+        let mut counts: BTreeMap<InstanceOffer, u32> = BTreeMap::new();
         let wall = now.wall;
         let late: BTreeMap<&TypeName, Span> = (self.policy.catalog.types.iter())
             .map(|t| (&t.name, Span::secs(t.boot_s * LATE)))
@@ -160,15 +160,15 @@
             m.last_heard.is_none() && m.retire.is_none() && m.returning.is_none() && on_time
         };
         for machine in self.fleet.machines.values().filter(booting) {
-            let offer = Offer {
+            let offer = InstanceOffer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
             *counts.entry(offer).or_default() += 1;
         }
-        for rent in &self.rentals.open {
-            let offer = Offer {
+        for rent in &self.scale_out.open {
+            let offer = InstanceOffer {
                 machine_type: rent.machine_type.clone(),
                 zone: rent.zone.clone(),
                 spot: rent.spot,
@@ -180,7 +180,7 @@
             .collect()
     }
 
-    fn bin(&self, offer: Offer, machines: u32) -> Bin {
+    fn bin(&self, offer: InstanceOffer, machines: u32) -> Bin {
         let free = self.policy.capacity_of(&offer.machine_type);
         Bin {
             gpus: free.gpus > 0,
@@ -283,7 +283,7 @@
         &self,
         job: &Job,
         left: u32,
-        offer: Offer,
+        offer: InstanceOffer,
         plan: &mut Plan,
         zones: &mut Zones,
     ) -> u32 {
@@ -424,7 +424,7 @@
     }
 
     /// The cheapest open offer for a job in a zone, by price per task.
-    fn cheapest_in(&self, job: &Job, zone: &Zone, now: Time) -> Option<(f64, Offer)> {
+    fn cheapest_in(&self, job: &Job, zone: &Zone, now: Time) -> Option<(f64, InstanceOffer)> {
         let priced = self.priced_offers(job, now);
         (priced.into_iter())
             .filter(|(_, offer)| offer.zone == *zone)
@@ -432,7 +432,7 @@
     }
 
     /// Open offers that a job may use, with the price of each for one of its tasks.
-    fn priced_offers(&self, job: &Job, now: Time) -> Vec<(f64, Offer)> {
+    fn priced_offers(&self, job: &Job, now: Time) -> Vec<(f64, InstanceOffer)> {
         let plain = job.need.gpus == 0 && self.policy.fits_without_gpus(&job.spec, &job.need);
         let mut found = Vec::new();
         for machine_type in &self.policy.catalog.types {
@@ -443,7 +443,7 @@
             }
             for offer in offers(machine_type) {
                 // What comes up behind a cut can't report.
-                let open = self.rentals.is_open(&offer, now)
+                let open = self.scale_out.is_open(&offer, now)
                     && !self.fleet.partitioned_zones.contains_key(&offer.zone)
                     && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot);
                 if let (true, Some(price)) = (open, price(machine_type, offer.spot)) {
@@ -455,7 +455,13 @@
     }
 
     /// The offer with the lowest price for each task of the job that it would hold.
-    fn cheapest_offer(&self, job: &Job, plan: &Plan, zones: &Zones, now: Time) -> Option<Offer> {
+    fn cheapest_offer(
+        &self,
+        job: &Job,
+        plan: &Plan,
+        zones: &Zones,
+        now: Time,
+    ) -> Option<InstanceOffer> {
         let cap = job.spec.zone_cap();
         let machines = |zone: &Zone| -> u32 {
             (plan.bins.iter().filter(|b| b.offer.zone == *zone))
@@ -474,7 +480,7 @@
 /// What is free on a machine that is up.
 fn free_bin(spot: &CandidateMachine) -> Bin {
     Bin {
-        offer: Offer {
+        offer: InstanceOffer {
             machine_type: spot.machine_type.clone(),
             zone: spot.zone.clone(),
             spot: spot.spot,
@@ -495,9 +501,9 @@
         .fold(0, u32::saturating_add)
 }
 
-fn offers(machine_type: &MachineType) -> impl Iterator<Item = Offer> + '_ {
+fn offers(machine_type: &MachineType) -> impl Iterator<Item = InstanceOffer> + '_ {
     machine_type.zones.iter().flat_map(|zone| {
-        [true, false].map(|spot| Offer {
+        [true, false].map(|spot| InstanceOffer {
             machine_type: machine_type.name.clone(),
             zone: zone.clone(),
             spot,
--- a/crates/core/src/capacity/demand/tests.rs
+++ b/crates/core/src/capacity/demand/tests.rs
@@ -5,7 +5,7 @@
 /// rented at that rate.
 #[test]
 fn as_many_rentals_are_open_as_the_cloud_takes_calls() {
-    let offer = Offer {
+    let offer = InstanceOffer {
         machine_type: "m4".into(),
         zone: "a".into(),
         spot: false,
@@ -14,9 +14,9 @@
         let mut leader = leader();
         leader.cloud_calls_per_s = calls_per_s;
         leader.ask(BTreeMap::from([(offer.clone(), (false, 4_000))]));
-        assert_eq!(leader.rentals.open.len(), open);
-        let each = leader.rentals.open.iter().map(|rent| rent.count);
+        assert_eq!(leader.scale_out.open.len(), open);
+        let each = leader.scale_out.open.iter().map(|rent| rent.count);
         assert!(each.clone().all(|count| count == MACHINES_PER_RENTAL));
-        assert!(leader.rentals.is_open(&offer, NOW.time));
+        assert!(leader.scale_out.is_open(&offer, NOW.time));
     }
 }
--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -1,3 +1,3 @@
 pub mod anticipation;
 pub mod demand;
-pub mod scale_out;
+pub mod scale_in;
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -1,168 +1,22 @@
-//! Renting and returning machines.
+//! Scale-in: which machines are returned to the cloud, and what its list shows.
 
+use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::fleet::machine::Machine;
-use crate::io::{CallId, CloudCall, Output};
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::cloud::{
-    ListedMachine, ListedState, Rent, MACHINES_PER_PAGE, MACHINES_PER_RETURN,
-};
-use rudderreel_wire::ids::{Attempt, Epoch, JobId, MachineId, TypeName, Zone};
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-
-/// A kind of machine on offer.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
-    /// Machine type.
-    pub machine_type: TypeName,
-    /// Zone.
-    pub zone: Zone,
-    /// Spot or ordinary.
-    pub spot: bool,
-}
-
-/// Rental requests of a leader.
-#[derive(Default)]
-pub struct Rentals {
-    /// Requests that wait to go out, are out, or must be repeated.
-    pub open: Vec<Rent>,
-    /// Offers that were refused: until when they are not asked for again, and how often in a row.
-    pub refused: BTreeMap<Offer, (Time, u32)>,
-    named: u64,
-}
-
-/// Calls to the cloud, within its limit.
-pub struct CloudCalls {
-    next: u64,
-    rate: f64,
-    tokens: f64,
-    filled: Time,
-    queue: VecDeque<(CloudCall, CloudStep)>,
-    open: HashMap<CallId, CloudStep>,
-    /// No calls before this moment, after a refusal.
-    pub after: Time,
-    /// When the list is due.
-    pub next_list: Time,
-    /// When the catalog is due.
-    pub next_catalog: Time,
-    /// When idle machines may be returned: many at once, for calls are few.
-    pub(crate) next_return: Time,
-}
-
-/// What a call to the cloud is for.
-#[derive(Clone, Debug)]
-pub enum CloudStep {
-    /// Read the machine types.
-    Catalog,
-    /// Rent.
-    Rent(Rent),
-    /// Return machines.
-    Return(Vec<MachineId>),
-    /// Read a page of the list, after a machine.
-    List(Option<MachineId>),
-}
+use rudderreel_wire::cloud::{ListedMachine, ListedState, MACHINES_PER_RETURN};
+use rudderreel_wire::ids::{Attempt, JobId, MachineId, TypeName, Zone};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// The cloud charges a machine for so long at least.
 const LEAST_CHARGE: Span = Span(60_000);
-/// An offer that was refused is asked for again after so long, and twice as long each time, up to
-/// a bound.
-const REFUSED: Span = Span(4_000);
-const REFUSED_MOST: u32 = 3;
 /// A machine that costs so many times less than the dearest is kept idle as long as that one; one that
 /// costs still less, longer in proportion, up to so many times.
 const KEEP_RATIO: f64 = 5.0;
 const KEEP_MOST: f64 = 9.0;
-/// The part of the calls to the cloud that the list may take.
-const LIST_PART: f64 = 0.25;
 /// Why idle machines are returned.
 pub(crate) const IDLE: &str = "idle";
 
-impl Rentals {
-    pub(crate) fn refuse(&mut self, offer: Offer, now: Time) {
-        let (until, times) = self.refused.entry(offer).or_default();
-        *until = now + Span(REFUSED.0 << *times);
-        *times = (*times + 1).min(REFUSED_MOST);
-    }
-
-    /// The name of a new request. It is never given out twice, since no epoch is.
-    pub fn name(&mut self, epoch: Epoch) -> String {
-        self.named += 1;
-        format!("{epoch}-{}", self.named)
-    }
-
-    /// Whether an offer may be asked for.
-    pub fn is_open(&self, offer: &Offer, now: Time) -> bool {
-        self.refused
-            .get(offer)
-            .is_none_or(|(until, _)| now >= *until)
-    }
-
-    /// A machine was returned, so another like it can be had again.
-    fn came_free(&mut self, offer: &Offer) {
-        self.refused.remove(offer);
-    }
-}
-
-impl CloudCalls {
-    /// `rate` is how many calls a second may be made.
-    pub fn new(rate: f64) -> Self {
-        Self {
-            next: 0,
-            rate,
-            tokens: rate.max(1.0),
-            filled: Time(0),
-            queue: VecDeque::new(),
-            open: HashMap::new(),
-            after: Time(0),
-            next_list: Time(0),
-            next_catalog: Time(0),
-            next_return: Time(0),
-        }
-    }
-
-    /// Queues a call.
-    pub fn call(&mut self, call: CloudCall, step: CloudStep) {
-        self.queue.push_back((call, step));
-    }
-
-    /// What an answered call was for.
-    pub fn finish(&mut self, id: CallId) -> Option<CloudStep> {
-        self.open.remove(&id)
-    }
-
-    /// Forgets what has not gone out.
-    pub fn clear(&mut self) {
-        self.queue.clear();
-        self.open.clear();
-    }
-
-    pub(crate) fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
-        // Bursts worth two seconds are allowed; one call is left for what the cloud counts otherwise.
-        self.tokens += (now - self.filled).as_secs() * self.rate;
-        self.tokens = self.tokens.min((self.rate * 2.0 - 1.0).max(1.0));
-        self.filled = now;
-        while self.tokens >= 1.0 && now >= self.after && self.open.len() < 3 {
-            let Some((call, step)) = self.queue.pop_front() else {
-                return;
-            };
-            self.tokens -= 1.0;
-            self.next += 1;
-            self.open.insert(CallId(self.next), step);
-            out.push(Output::Cloud(CallId(self.next), call));
-        }
-    }
-
-    /// In what time a fleet of a size may be listed once, so that its pages take a part of the calls.
-    pub(crate) fn listing_span(&self, machines: usize) -> Span {
-        let pages = machines.div_ceil(MACHINES_PER_PAGE).max(1);
-        Span::secs(pages as f64 / (self.rate * LIST_PART))
-    }
-
-    pub(crate) fn has(&self, wanted: impl Fn(&CloudStep) -> bool) -> bool {
-        self.open.values().any(&wanted) || self.queue.iter().any(|(_, s)| wanted(s))
-    }
-}
-
 impl Leader {
     /// Machines to return now: idle ones once they have been paid for, stuck and silent ones.
     pub(crate) fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
@@ -240,7 +94,7 @@
 
     pub(crate) fn note_return(&mut self, id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get(id) {
-            self.rentals.came_free(&Offer {
+            self.scale_out.came_free(&InstanceOffer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,7 +1,9 @@
 //! The machines of the fleet, as the leader knows them, and what its calls to their agents show.
 
+pub mod blame;
 pub mod machine;
 
+use crate::overload::fleet_limits::FleetLimits;
 use crate::units::{Span, Time};
 use machine::Machine;
 use rudderreel_wire::ids::{MachineId, Zone};
@@ -55,6 +57,17 @@
             unanswered_calls: 0,
         }
     }
+
+    /// Notes how many machines the connections of all nodes don't suffice for, and says so when some
+    /// are first beyond them.
+    pub(crate) fn update_beyond_connections(&mut self, limits: Option<FleetLimits>) {
+        let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
+        if beyond > 0 && self.beyond_connections == 0 {
+            let machines = self.machines.len();
+            log::warn!("{machines} machines are {beyond} more than the nodes have connections for");
+        }
+        self.beyond_connections = beyond;
+    }
 }
 
 /// The deadlines that agents keep, as the platform's settings say.
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io/mod.rs
@@ -1,5 +1,9 @@
 //! What goes into the core and what comes out of it.
 
+mod admin_request;
+
+pub use admin_request::AdminRequest;
+
 use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
 use rudderreel_wire::ids::{Epoch, JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
@@ -139,7 +143,7 @@
     /// A health check.
     Health(ReqId),
     /// An administrator's request; not local if a peer forwarded it.
-    Admin(ReqId, crate::api::admin::AdminRequest, bool),
+    Admin(ReqId, AdminRequest, bool),
     /// A peer's heartbeat.
     Heartbeat(ReqId, Heartbeat),
     /// A peer's answer to a heartbeat sent at the given moment.
--- a/crates/core/src/jobs/effective_urgency.rs
+++ b/crates/core/src/jobs/effective_urgency.rs
@@ -5,38 +5,44 @@
 //! take. Only the changed edges are followed: a submission, a completion or a cancellation changes
 //! what comes before it, and of that only what is not as urgent already.
 
+use super::job::Goal;
+use super::job_table::JobTable;
 use crate::cache::dependencies::{DependencyGraph, Readiness};
-use crate::jobs::job::Goal;
-use crate::leader::Leader;
 use crate::units::{Now, Span, Wall};
+use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::JobId;
 use std::collections::BTreeSet;
 
-impl Leader {
+impl JobTable {
     /// Notes which dependencies of a job are not done. When the last one was done need not be
-    /// recorded; then the job counts as ready since this leader knows it.
-    pub(crate) fn note_readiness(&mut self, id: &JobId, readiness: Readiness, now: Now) {
-        let Some(job) = self.jobs.get_mut(id) else {
-            return;
+    /// recorded; then the job counts as ready since this leader knows it. Returns whether it has become ready.
+    pub(crate) fn update_readiness(&mut self, id: &JobId, readiness: Readiness, now: Now) -> bool {
+        let Some(job) = self.get_mut(id) else {
+            return false;
         };
-        let ready = readiness.unmet.is_empty();
+        let became_ready = readiness.unmet.is_empty() && job.ready_since.is_none();
         job.unmet = readiness.unmet;
-        if ready && job.ready_since.is_none() {
+        if became_ready {
             let since = readiness.last_done.unwrap_or(now.wall);
             job.ready_since = Some(since.max(job.submitted));
             log::debug!("{id} is ready");
-            self.request_cycle(now.time);
         }
+        became_ready
     }
 
     /// Passes priorities and deadlines on to what comes before, beginning with some jobs.
-    pub(crate) fn inherit_goals(&mut self, graph: &DependencyGraph, start: BTreeSet<JobId>) {
+    pub(crate) fn inherit_urgency(
+        &mut self,
+        graph: &DependencyGraph,
+        catalog: &Catalog,
+        start: BTreeSet<JobId>,
+    ) {
         let mut open: Vec<JobId> = start.into_iter().collect();
         while let Some(id) = open.pop() {
-            let Some(goal) = self.goal_of(graph, &id) else {
+            let Some(goal) = self.effective_urgency(graph, catalog, &id) else {
                 continue;
             };
-            let Some(job) = self.jobs.get_mut(&id) else {
+            let Some(job) = self.get_mut(&id) else {
                 continue;
             };
             if job.goal != goal {
@@ -47,11 +53,16 @@
     }
 
     /// What is expected of a job for its own sake and for that of the jobs that need it.
-    fn goal_of(&self, graph: &DependencyGraph, id: &JobId) -> Option<Goal> {
-        let mut goal = self.jobs.get(id)?.own_goal();
-        let dependents = graph.dependents_of(id).filter_map(|d| self.jobs.get(d));
+    fn effective_urgency(
+        &self,
+        graph: &DependencyGraph,
+        catalog: &Catalog,
+        id: &JobId,
+    ) -> Option<Goal> {
+        let mut goal = self.get(id)?.own_goal();
+        let dependents = graph.dependents_of(id).filter_map(|d| self.get(d));
         for dependent in dependents.filter(|d| d.is_active()) {
-            let after = dependent.expected_span(&self.policy.catalog);
+            let after = dependent.expected_span(catalog);
             goal.priority = goal.priority.max(dependent.goal.priority);
             goal.finish_by = earlier(goal.finish_by, before(dependent.goal.finish_by, after));
         }
--- a/crates/core/src/jobs/effective_urgency/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::cache::job_cache::JobCache;
+use crate::leader::Leader;
 use crate::store::records::JobRecord;
 use crate::testing::{job_of, leader, NOW};
 use rudderreel_wire::ids::Version;
@@ -42,7 +43,8 @@
                 .map(|j| j.spec.dependencies.clone());
             if let Some(needs) = needs.filter(|n| !n.is_empty()) {
                 let readiness = self.job_cache.readiness(&needs);
-                self.leader.note_readiness(dependent, readiness, NOW);
+                let jobs = &mut self.leader.jobs;
+                jobs.update_readiness(dependent, readiness, NOW);
             }
         }
         let known = &self.job_cache.jobs[&id(n)];
@@ -52,7 +54,8 @@
             .cloned()
             .chain([id(n)])
             .collect();
-        self.leader.inherit_goals(graph, start);
+        let catalog = &self.leader.policy.catalog;
+        self.leader.jobs.inherit_urgency(graph, catalog, start);
     }
 
     fn submit(&mut self, spec: JobSpec) {
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,6 +1,6 @@
 //! A job as the leader sees it.
 
-use crate::agents::fault_attribution::Failures;
+use crate::jobs::failures::Failures;
 use crate::store::records::SegmentId;
 use crate::task_set::TaskSet;
 use crate::units::{Resources, Span, Time, Wall};
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -3,7 +3,7 @@
 pub mod policy;
 pub mod recovery_progress;
 
-use crate::capacity::scale_out::Rentals;
+use crate::cloud::scale_out_requests::ScaleOutRequests;
 use crate::fleet::{AgentTimings, Fleet};
 use crate::jobs::job_table::JobTable;
 use crate::leadership::election::ElectionWin;
@@ -57,7 +57,7 @@
     /// The write-ahead log of placements.
     pub placement_log: PlacementLog,
     /// Scale-out requests to the cloud.
-    pub rentals: Rentals,
+    pub scale_out: ScaleOutRequests,
     /// Calls a second that the cloud takes.
     pub cloud_calls_per_s: f64,
     /// When cycles are due.
@@ -85,7 +85,7 @@
             },
             store_limits: StoreLimits::of(&settings.params.state),
             placement_log: PlacementLog::default(),
-            rentals: Rentals::default(),
+            scale_out: ScaleOutRequests::default(),
             cloud_calls_per_s: settings.params.cloud.rps,
             schedule: CycleSchedule {
                 next_cycle: now,
--- a/crates/core/src/leadership/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -17,10 +17,8 @@
 //!
 //! While nothing depends on anything all versions serve and lead together.
 
-use crate::cache::job_cache::JobCache;
+use super::term::Term;
 use crate::io::Value;
-use crate::leader::Leader;
-use crate::leadership::election::LeaderSlot;
 use crate::store::records::{LeaderRecord, LEADER, SEAT};
 use crate::store::transactions::{condition, put};
 use crate::units::Time;
@@ -54,43 +52,18 @@
     }
 }
 
-impl JobCache {
-    /// Whether jobs depend on others, now or earlier, as far as this node knows.
-    pub fn dependencies_in_use(&self) -> bool {
-        self.dependencies_seen || self.catalog_moved || self.superseded().is_some()
-    }
-
-    /// The leader's seat as it is known here.
-    pub fn leader_slot(&self) -> LeaderSlot<'_> {
-        match self.leader() {
-            None => LeaderSlot::Vacant(self.superseded()),
-            Some(leader) if self.is_outdated(&leader.1) => LeaderSlot::Outdated(leader),
-            Some(_) => LeaderSlot::Taken(self.leader_key()),
-        }
-    }
-
-    /// Whether a leader is of a version that must not lead any more.
-    fn is_outdated(&self, record: &LeaderRecord) -> bool {
-        !record.knows_dependencies() && self.dependencies_in_use()
-    }
-}
-
-impl Leader {
-    /// Its record, as its key holds it.
+impl Term {
     /// The commit that moves the leader's key. Late writes that depend on the common one fail from then
     /// on, and are sent again by the other.
     pub(crate) fn change_key(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
-            conditions: vec![
-                self.term.key_condition(),
-                condition(SEAT.into(), Version(0)),
-            ],
+            conditions: vec![self.key_condition(), condition(SEAT.into(), Version(0))],
             changes: vec![
                 put(LEADER.into(), &record.tombstone(None)),
                 Change::Put {
                     key: SEAT.into(),
                     value: serde_json::to_value(record).unwrap_or_default(),
-                    lease: Some(self.term.lease_id),
+                    lease: Some(self.lease_id),
                 },
             ],
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -6,6 +6,7 @@
 mod api;
 mod cache;
 mod capacity;
+mod cloud;
 mod dispatch;
 mod fleet;
 mod io;
@@ -24,10 +25,9 @@
 mod testing;
 pub mod units;
 
-pub use crate::api::admin::AdminRequest;
 pub use crate::io::{
-    CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer, StoreCall,
-    UserRequest, Value,
+    AdminRequest, CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer,
+    StoreCall, UserRequest, Value,
 };
 pub use crate::node::Node;
 pub use crate::overload::fleet_limits::{ConnectionLimits, FleetLimits};
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -1,7 +1,8 @@
 //! Administrators' requests.
 
+use crate::api::admin::check;
 use crate::api::admin::views;
-use crate::api::admin::{check, AdminRequest};
+use crate::io::AdminRequest;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
 use crate::leader::Leader;
 use crate::node::{Node, PendingCall};
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -1,6 +1,8 @@
 //! Calls to the cloud.
 
-use crate::capacity::scale_out::{CloudStep, Offer, IDLE};
+use crate::capacity::scale_in::IDLE;
+use crate::cloud::calls::PendingCloudCall;
+use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::fleet::machine::Machine;
 use crate::io::{CallId, CloudAnswer, CloudCall};
 use crate::node::Node;
@@ -32,7 +34,7 @@
         }
         if now.time >= cloud.next_catalog {
             cloud.next_catalog = now.time + CATALOG_WAIT;
-            cloud.call(CloudCall::Catalog, CloudStep::Catalog);
+            cloud.call(CloudCall::Catalog, PendingCloudCall::Catalog);
         }
         cloud.pump(now.time, &mut self.out);
     }
@@ -44,9 +46,9 @@
         };
         let cloud = &mut self.cloud;
         let catalog_due = now.time >= cloud.next_catalog;
-        if catalog_due && !cloud.has(|s| matches!(s, CloudStep::Catalog)) {
+        if catalog_due && !cloud.has(|s| matches!(s, PendingCloudCall::Catalog)) {
             cloud.next_catalog = now.time + Span(5_000);
-            cloud.call(CloudCall::Catalog, CloudStep::Catalog);
+            cloud.call(CloudCall::Catalog, PendingCloudCall::Catalog);
         }
         if !leader.recovery.is_complete || !leader.term.is_lease_valid(now.time) {
             return cloud.pump(now.time, &mut self.out);
@@ -65,19 +67,23 @@
             let call = CloudCall::Return(MachineNames {
                 machines: names.clone(),
             });
-            cloud.call(call, CloudStep::Return(names));
+            cloud.call(call, PendingCloudCall::Return(names));
         }
-        for rent in &leader.rentals.open {
-            let open = cloud.has(|s| matches!(s, CloudStep::Rent(r) if r.request == rent.request));
+        for rent in &leader.scale_out.open {
+            let open =
+                cloud.has(|s| matches!(s, PendingCloudCall::Rent(r) if r.request == rent.request));
             if !open {
-                cloud.call(CloudCall::Rent(rent.clone()), CloudStep::Rent(rent.clone()));
+                cloud.call(
+                    CloudCall::Rent(rent.clone()),
+                    PendingCloudCall::Rent(rent.clone()),
+                );
             }
         }
         let list_due = now.time >= cloud.next_list;
-        if list_due && !cloud.has(|s| matches!(s, CloudStep::List(_))) {
+        if list_due && !cloud.has(|s| matches!(s, PendingCloudCall::List(_))) {
             let pause = Span(4_000).max(self.list_lag);
             cloud.next_list = now.time + pause.max(cloud.listing_span(leader.fleet.machines.len()));
-            cloud.call(CloudCall::List(None), CloudStep::List(None));
+            cloud.call(CloudCall::List(None), PendingCloudCall::List(None));
         }
         cloud.pump(now.time, &mut self.out);
     }
@@ -91,7 +97,7 @@
             self.cloud.after = self.cloud.after.max(now.time + Span(700));
         }
         match (step, answer) {
-            (CloudStep::Catalog, CloudAnswer::Catalog(catalog)) => {
+            (PendingCloudCall::Catalog, CloudAnswer::Catalog(catalog)) => {
                 self.cloud.next_catalog = now.time + Span(60_000);
                 if let Some(leader) = self.leader.as_mut() {
                     leader.set_catalog(catalog.clone());
@@ -102,8 +108,8 @@
                 }
                 self.catalog = Some(catalog);
             }
-            (CloudStep::Rent(rent), answer) => self.rented(rent, answer, now),
-            (CloudStep::Return(names), CloudAnswer::Returned) => {
+            (PendingCloudCall::Rent(rent), answer) => self.rented(rent, answer, now),
+            (PendingCloudCall::Return(names), CloudAnswer::Returned) => {
                 for id in names {
                     if let Some(leader) = self.leader.as_mut() {
                         leader.note_return(&id);
@@ -115,18 +121,18 @@
             }
             // What is missing of a list that takes many pages would not be read for long if it was begun
             // anew each time.
-            (CloudStep::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
+            (PendingCloudCall::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
                 let call = CloudCall::List(after.clone());
-                self.cloud.call(call, CloudStep::List(after));
+                self.cloud.call(call, PendingCloudCall::List(after));
             }
-            (CloudStep::List(_), CloudAnswer::Page(page)) => {
+            (PendingCloudCall::List(_), CloudAnswer::Page(page)) => {
                 if let Some(leader) = self.leader.as_mut() {
                     leader.learn_list(&page.machines, now);
                 }
                 if page.more {
                     let last = page.machines.last().map(|m| m.id.clone());
                     let call = CloudCall::List(last.clone());
-                    self.cloud.call(call, CloudStep::List(last));
+                    self.cloud.call(call, PendingCloudCall::List(last));
                 }
             }
             _ => {}
@@ -137,18 +143,18 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let offer = Offer {
+        let offer = InstanceOffer {
             machine_type: rent.machine_type.clone(),
             zone: rent.zone.clone(),
             spot: rent.spot,
         };
         match answer {
             CloudAnswer::Rented(names) => {
-                leader.rentals.open.retain(|r| r.request != rent.request);
+                leader.scale_out.open.retain(|r| r.request != rent.request);
                 if (names.machines.len() as u32) < rent.count {
-                    leader.rentals.refuse(offer, now.time);
+                    leader.scale_out.refuse(offer, now.time);
                 } else {
-                    leader.rentals.refused.remove(&offer);
+                    leader.scale_out.refused.remove(&offer);
                 }
                 for id in names.machines {
                     let room = leader.policy.capacity_of(&rent.machine_type);
@@ -159,8 +165,8 @@
                 leader.request_cycle(now.time);
             }
             CloudAnswer::NoCapacity | CloudAnswer::Rejected => {
-                leader.rentals.open.retain(|r| r.request != rent.request);
-                leader.rentals.refuse(offer, now.time);
+                leader.scale_out.open.retain(|r| r.request != rent.request);
+                leader.scale_out.refuse(offer, now.time);
                 leader.request_cycle(now.time);
             }
             // It may have been carried out: the same request is repeated, by the same name.
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::capacity::scale_out::CloudCalls;
+use crate::cloud::calls::CloudCalls;
 use crate::io::Output;
 use crate::testing::{leader, node, up, NOW};
 use rudderreel_wire::cloud::MachinePage;
--- a/crates/core/src/node/dependencies.rs
+++ b/crates/core/src/node/dependencies.rs
@@ -21,7 +21,9 @@
                 };
                 if !job.spec.dependencies.is_empty() {
                     let readiness = self.job_cache.readiness(&job.spec.dependencies);
-                    leader.note_readiness(id, readiness, now);
+                    if leader.jobs.update_readiness(id, readiness, now) {
+                        leader.request_cycle(now.time);
+                    }
                 }
             }
             if let Some(known) = self.job_cache.jobs.get(id) {
@@ -29,7 +31,7 @@
             }
             inheriting.insert(id.clone());
         }
-        leader.inherit_goals(graph, inheriting);
+        (leader.jobs).inherit_urgency(graph, &leader.policy.catalog, inheriting);
     }
 
     /// The same for all jobs, after a take-over.
--- a/crates/core/src/node/explanations.rs
+++ b/crates/core/src/node/explanations.rs
@@ -37,7 +37,7 @@
     }
     if crate::scheduling::actions::has_room(leader, &snapshot, job) {
         "it is placed in the next cycle"
-    } else if leader.rentals.open.is_empty() && !leader.is_booting() {
+    } else if leader.scale_out.open.is_empty() && !leader.is_booting() {
         "no machine has room for it, and none could be rented"
     } else {
         "no machine has room for it; machines are being rented or boot"
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::node::PeerStatus;
+use crate::leadership::peers::PeerStatus;
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::NodeName;
 
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -21,10 +21,11 @@
 use crate::api::cancellation_replication::Cancellations;
 use crate::api::user_requests::{UserCall, UserRequests};
 use crate::cache::job_cache::JobCache;
-use crate::capacity::scale_out::CloudCalls;
+use crate::cloud::calls::CloudCalls;
 use crate::io::{show, CallId, Input, Output, ReqId, StoreAnswer, StoreCall, Value};
 use crate::leader::Leader;
 use crate::leadership::election::{Election, ElectionCall, ElectionEvent, ElectionWin};
+use crate::leadership::peers::PeerStatus;
 use crate::node::recovery::LeaderCall;
 use crate::overload::backlog::Backlog;
 use crate::overload::fleet_limits::FleetLimits;
@@ -37,7 +38,7 @@
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::cloud::Catalog;
-use rudderreel_wire::ids::{Epoch, JobId, LeaseId, MachineId, NodeName, Version, Zone};
+use rudderreel_wire::ids::{JobId, LeaseId, MachineId, NodeName, Version, Zone};
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::state::{Event, Page};
@@ -63,21 +64,6 @@
     leader_keys: Vec<LeaderKey>,
 }
 
-/// What is known of a peer.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct PeerStatus {
-    pub heard: Time,
-    pub store_reachable: bool,
-    pub worker_silence: Span,
-    /// Whether it leads, as it said last, and the highest epoch that it knew.
-    pub leads: bool,
-    pub epoch: Epoch,
-    /// Workers that report to it.
-    pub workers: u32,
-    /// Whether it hears the leader, so that it can pass reports on.
-    pub forwards_reports: bool,
-}
-
 /// A node.
 pub struct Node {
     pub(crate) settings: Settings,
@@ -435,7 +421,7 @@
             // Looking through a large fleet takes longer, so it is done less often.
             self.next_review =
                 now.time + Span(PLACEMENTS.0 + leader.fleet.machines.len() as u64 / 12);
-            leader.note_beyond_connections(self.fleet_limits);
+            leader.fleet.update_beyond_connections(self.fleet_limits);
             leader.detect_partitioned_zones(now.time);
             leader.end_cancelled(now);
             leader.drain(now.time);
--- a/crates/core/src/node/placement_log.rs
+++ b/crates/core/src/node/placement_log.rs
@@ -4,7 +4,7 @@
 use crate::node::recovery::LeaderCall;
 use crate::node::Node;
 use crate::placement_log::log::draft::PendingSegment;
-use crate::placement_log::log::UncommittedSegment;
+use crate::placement_log::log::{PlacementLog, UncommittedSegment};
 use crate::store::records::{segment_key, SegmentId, SegmentRecord};
 use crate::store::transactions::{condition, put};
 use crate::units::{Now, Span, Time};
@@ -44,7 +44,13 @@
                 break;
             }
             let page = leader.term.next_segment();
-            let draft = leader.draft(page, progress);
+            let draft = PlacementLog::draft(
+                &mut leader.fleet,
+                &mut leader.jobs,
+                &leader.store_limits,
+                page,
+                progress,
+            );
             progress = false;
             if draft.is_empty() {
                 leader.placement_log.may_have_unrecorded = false;
@@ -70,11 +76,13 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let old = leader.tidy_up();
+        let old = leader
+            .placement_log
+            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits);
         let cost = 1.0 + old.len() as f64;
         if !old.is_empty() && leader.placement_log.take(cost, rate, now.time) {
             let page = leader.term.next_segment();
-            let draft = leader.rewrite(page, &old);
+            let draft = PlacementLog::rewrite(&mut leader.fleet, &mut leader.jobs, page, &old);
             self.open_page(page, draft, old);
         } else if leader.placement_log.dead.len() >= leader.store_limits.operations / 2
             && leader.placement_log.open.is_empty()
@@ -162,7 +170,9 @@
         };
         if matches!(answer, StoreAnswer::Rejected) {
             // It would be rejected again as it is: what is on it goes on smaller ones.
-            return leader.take_apart(page);
+            return leader
+                .placement_log
+                .take_apart(&mut leader.fleet, &mut leader.jobs, page);
         }
         if !written {
             if let Some(open) = leader.placement_log.open.get_mut(&page) {
@@ -173,7 +183,10 @@
         let Some(open) = leader.placement_log.open.remove(&page) else {
             return;
         };
-        let started = leader.page_written(page, open);
+        let started =
+            leader
+                .placement_log
+                .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
         self.push_starts(&started, now);
         self.step_down_if_superseded(&answer);
     }
--- a/crates/core/src/node/recovery/tests.rs
+++ b/crates/core/src/node/recovery/tests.rs
@@ -61,7 +61,13 @@
         Resources::default(),
         "what they take is not known"
     );
-    assert!(leader.tidy_up().is_empty() && !leader.placement_log.is_dead(SegmentId(1)));
+    assert!(
+        leader
+            .placement_log
+            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits)
+            .is_empty()
+            && !leader.placement_log.is_dead(SegmentId(1))
+    );
     // One of them is there, and is stopped; the other is not, and surely gone.
     let report = running(&machine, Epoch(5), Seq(1), &unknown.task(1), Attempt(3));
     leader.reconcile_report(&report, NOW);
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -2,7 +2,8 @@
 
 use crate::agents::report_forwarding::{Held, SILENT};
 use crate::io::{json, CallId, Output, ReqId};
-use crate::node::{Node, PeerStatus};
+use crate::leadership::peers::PeerStatus;
+use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Epoch, MachineId, NodeName};
 use rudderreel_wire::peer::{ForwardedAnswer, ForwardedReports, ForwardedReportsReply};
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -47,7 +47,7 @@
         }
         if leader.term.key == LeaderKey::Common {
             let record = leader.term.record(&self.settings.node);
-            let call = StoreCall::Commit(leader.change_key(&record));
+            let call = StoreCall::Commit(leader.term.change_key(&record));
             return self.gate_call(VersionGateStep::ChangingKey, call);
         }
         if self.job_cache.catalog_moved && !self.job_cache.catalog_for_all {
--- a/crates/core/src/overload/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -4,7 +4,6 @@
 //! worker keeps a connection to the node that it reports to. A fleet beyond that is served as far as the
 //! connections go, and it is said at start-up, in the log and in the overview.
 
-use crate::leader::Leader;
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
 use std::fmt;
@@ -73,18 +72,5 @@
     }
 }
 
-impl Leader {
-    /// Notes how many machines the connections of all nodes don't suffice for, and says so when some
-    /// are first beyond them.
-    pub(crate) fn note_beyond_connections(&mut self, limits: Option<FleetLimits>) {
-        let beyond = limits.map_or(0, |limits| limits.beyond(self.fleet.machines.len()));
-        if beyond > 0 && self.fleet.beyond_connections == 0 {
-            let machines = self.fleet.machines.len();
-            log::warn!("{machines} machines are {beyond} more than the nodes have connections for");
-        }
-        self.fleet.beyond_connections = beyond;
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/placement_log/log.rs
+++ b/crates/core/src/placement_log/log.rs
@@ -15,7 +15,9 @@
     entry_bytes, line_bytes, page_bytes, progress_bytes, PendingSegment, EMPTY_BYTES,
 };
 use crate::fleet::machine::{Machine, Phase, PlacedTask};
-use crate::leader::Leader;
+use crate::fleet::Fleet;
+use crate::jobs::job_table::JobTable;
+use crate::store::limits::StoreLimits;
 use crate::store::records::{SegmentId, SegmentRecord};
 use crate::task_set::TaskSet;
 use crate::units::Time;
@@ -165,13 +167,19 @@
     }
 }
 
-impl Leader {
+impl PlacementLog {
     /// Puts what is not recorded yet on a page, what can't wait first.
-    pub(crate) fn draft(&mut self, page: SegmentId, progress: bool) -> PendingSegment {
+    pub(crate) fn draft(
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
+        limits: &StoreLimits,
+        page: SegmentId,
+        progress: bool,
+    ) -> PendingSegment {
         let mut draft = PendingSegment::new();
-        let most = page_bytes(&self.store_limits);
+        let most = page_bytes(limits);
         for urgent in [true, false] {
-            for machine in self.fleet.machines.values_mut() {
+            for machine in fleet.machines.values_mut() {
                 draft_entries(&mut draft, machine, page, urgent, most);
                 let unnamed = machine.page == SegmentId::NONE && machine.writing == SegmentId::NONE;
                 if unnamed && !urgent {
@@ -183,7 +191,7 @@
             }
         }
         if progress {
-            for job in self.jobs.values_mut().filter(|j| j.progress_dirty) {
+            for job in jobs.values_mut().filter(|j| j.progress_dirty) {
                 if job.is_active() && !job.is_complete() {
                     if !draft.add_new_progress(job, most) {
                         continue;
@@ -198,15 +206,14 @@
     }
 
     /// How many bytes what still holds on each page takes, counted as on a page of its own.
-    fn weigh_pages(&self) -> BTreeMap<SegmentId, usize> {
-        let mut weight: BTreeMap<SegmentId, usize> =
-            self.placement_log.pages.iter().map(|p| (*p, 0)).collect();
+    fn weigh_pages(&self, fleet: &Fleet, jobs: &JobTable) -> BTreeMap<SegmentId, usize> {
+        let mut weight: BTreeMap<SegmentId, usize> = self.pages.iter().map(|p| (*p, 0)).collect();
         let mut add = |page: SegmentId, bytes: usize| {
             if let Some(sum) = weight.get_mut(&page) {
                 *sum += bytes;
             }
         };
-        for machine in self.fleet.machines.values() {
+        for machine in fleet.machines.values() {
             let held = machine.entries.iter().filter(|e| holds(e));
             for entry in held.clone() {
                 add(entry.page, entry_bytes(entry));
@@ -219,16 +226,21 @@
                 add(page, line_bytes(machine));
             }
         }
-        for job in self.jobs.values().filter(|j| j.is_active()) {
+        for job in jobs.values().filter(|j| j.is_active()) {
             add(job.page, progress_bytes(job));
         }
         weight
     }
 
     /// Finds pages that nothing holds on any more, and picks those to be written together.
-    pub(crate) fn tidy_up(&mut self) -> Vec<SegmentId> {
-        let weight = self.weigh_pages();
-        let busy = |p: &SegmentId| self.placement_log.dead.contains(p);
+    pub(crate) fn tidy_up(
+        &mut self,
+        fleet: &Fleet,
+        jobs: &JobTable,
+        limits: &StoreLimits,
+    ) -> Vec<SegmentId> {
+        let weight = self.weigh_pages(fleet, jobs);
+        let busy = |p: &SegmentId| self.dead.contains(p);
         let dead: Vec<SegmentId> = (weight.iter())
             .filter(|(p, w)| **w == 0 && !busy(p))
             .map(|(p, _)| *p)
@@ -237,14 +249,14 @@
             .filter(|(p, w)| **w > 0 && !busy(p))
             .map(|(p, w)| (*w, *p))
             .collect();
-        self.placement_log.dead.extend(dead);
-        if light.len() <= FEW_PAGES || !self.placement_log.open.is_empty() {
+        self.dead.extend(dead);
+        if light.len() <= FEW_PAGES || !self.open.is_empty() {
             return Vec::new();
         }
         light.sort_unstable();
-        let mut room = page_bytes(&self.store_limits).saturating_sub(EMPTY_BYTES);
+        let mut room = page_bytes(limits).saturating_sub(EMPTY_BYTES);
         let few: Vec<SegmentId> = (light.iter())
-            .take(self.store_limits.operations.saturating_sub(2))
+            .take(limits.operations.saturating_sub(2))
             .take_while(|(w, _)| {
                 let fits = room >= *w;
                 room = room.saturating_sub(*w);
@@ -259,9 +271,14 @@
     }
 
     /// Writes what still holds on some pages on a new one, whole: the old ones are deleted.
-    pub(crate) fn rewrite(&mut self, page: SegmentId, old: &[SegmentId]) -> PendingSegment {
+    pub(crate) fn rewrite(
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
+        page: SegmentId,
+        old: &[SegmentId],
+    ) -> PendingSegment {
         let mut draft = PendingSegment::new();
-        for machine in self.fleet.machines.values_mut() {
+        for machine in fleet.machines.values_mut() {
             let mut taken = Vec::new();
             for entry in machine.entries.iter_mut().filter(|e| holds(e)) {
                 if old.contains(&entry.page) {
@@ -277,7 +294,7 @@
                 machine.writing = page;
             }
         }
-        for job in self.jobs.values_mut() {
+        for job in jobs.values_mut() {
             if job.is_active() && old.contains(&job.page) {
                 draft.add_progress(job);
             }
@@ -286,12 +303,12 @@
     }
 
     /// A page was not written and never will be: what is on it waits to be recorded again.
-    pub(crate) fn take_apart(&mut self, page: SegmentId) {
-        let Some(open) = self.placement_log.open.remove(&page) else {
+    pub(crate) fn take_apart(&mut self, fleet: &mut Fleet, jobs: &mut JobTable, page: SegmentId) {
+        let Some(open) = self.open.remove(&page) else {
             return;
         };
-        self.placement_log.may_have_unrecorded = true;
-        for machine in self.fleet.machines.values_mut() {
+        self.may_have_unrecorded = true;
+        for machine in fleet.machines.values_mut() {
             if machine.writing == page {
                 machine.writing = SegmentId::NONE;
             }
@@ -300,31 +317,31 @@
             }
         }
         for (id, _) in open.done {
-            if let Some(job) = self.jobs.get_mut(&id) {
+            if let Some(job) = jobs.get_mut(&id) {
                 job.progress_dirty = true;
             }
         }
-        let pages = &self.placement_log.pages;
-        self.placement_log.dead.retain(|p| pages.contains(p));
+        let pages = &self.pages;
+        self.dead.retain(|p| pages.contains(p));
     }
 
     pub(crate) fn page_written(
         &mut self,
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
         page: SegmentId,
         open: UncommittedSegment,
     ) -> Vec<MachineId> {
         for old in &open.deletes {
-            self.placement_log.pages.remove(old);
+            self.pages.remove(old);
         }
-        self.placement_log
-            .dead
-            .retain(|p| !open.deletes.contains(p));
+        self.dead.retain(|p| !open.deletes.contains(p));
         let mut started = Vec::new();
         if open.record == SegmentRecord::default() {
             return started;
         }
-        self.placement_log.pages.insert(page);
-        for machine in self.fleet.machines.values_mut() {
+        self.pages.insert(page);
+        for machine in fleet.machines.values_mut() {
             if machine.writing == page {
                 (machine.page, machine.writing) = (page, SegmentId::NONE);
             }
@@ -346,7 +363,7 @@
             }
         }
         for (id, _) in open.done {
-            if let Some(job) = self.jobs.get_mut(&id) {
+            if let Some(job) = jobs.get_mut(&id) {
                 job.page = job.page.max(page);
             }
         }
--- a/crates/core/src/placement_log/log/tests.rs
+++ b/crates/core/src/placement_log/log/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::leader::Leader;
 use crate::testing::{job_of, leader, up, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::ids::Attempt;
@@ -35,7 +36,13 @@
     let mut pages = 0;
     loop {
         let page = leader.term.next_segment();
-        let draft = leader.draft(page, true);
+        let draft = PlacementLog::draft(
+            &mut leader.fleet,
+            &mut leader.jobs,
+            &leader.store_limits,
+            page,
+            true,
+        );
         if draft.is_empty() {
             return pages;
         }
@@ -53,7 +60,9 @@
             done: draft.done,
             again: None,
         };
-        leader.page_written(page, open);
+        leader
+            .placement_log
+            .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
     }
 }
 
@@ -83,7 +92,13 @@
 fn a_rejected_page_is_taken_apart() {
     let mut leader = leader_with_work(10, 5, 40);
     let page = leader.term.next_segment();
-    let draft = leader.draft(page, true);
+    let draft = PlacementLog::draft(
+        &mut leader.fleet,
+        &mut leader.jobs,
+        &leader.store_limits,
+        page,
+        true,
+    );
     let before = json_bytes(&draft.record);
     let open = UncommittedSegment {
         record: draft.record,
@@ -93,7 +108,9 @@
     };
     leader.placement_log.open.insert(page, open);
     leader.store_limits.value_bytes = before / 3;
-    leader.take_apart(page);
+    leader
+        .placement_log
+        .take_apart(&mut leader.fleet, &mut leader.jobs, page);
     assert!(leader.placement_log.open.is_empty());
     assert!(record_all(&mut leader) >= 3);
 }
@@ -142,13 +159,15 @@
     leader.placement_log.pages.extend(&old);
     let mut rewritten = 0;
     for _ in 0..20 {
-        let light = leader.tidy_up();
+        let light = leader
+            .placement_log
+            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits);
         if light.is_empty() {
             break;
         }
         rewritten += light.len();
         let page = leader.term.next_segment();
-        let draft = leader.rewrite(page, &light);
+        let draft = PlacementLog::rewrite(&mut leader.fleet, &mut leader.jobs, page, &light);
         let bytes = json_bytes(&draft.record);
         assert!(bytes <= leader.store_limits.value_bytes, "{bytes} bytes");
         let open = UncommittedSegment {
@@ -157,7 +176,9 @@
             done: draft.done,
             again: None,
         };
-        leader.page_written(page, open);
+        leader
+            .placement_log
+            .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
     }
     assert!(rewritten >= 8, "{rewritten} pages were written together");
 }
