--- a/crates/core/src/agents/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -44,14 +44,14 @@
 
 impl Leader {
     /// A machine that was not heard for so long has missed a report.
-    fn late(&self) -> Span {
+    fn report_timeout(&self) -> Span {
         Span(self.agent_timings.report_interval.0 * 5 / 4 + 500)
     }
 
     /// A machine that was not heard for so long is silent. A worker whose node is gone or cut off
     /// waits for its answer, finds another node and reports again, which takes this long without
     /// anything being wrong with it.
-    pub(crate) fn silence(&self) -> Span {
+    pub(crate) fn silence_timeout(&self) -> Span {
         Span(
             (self.agent_timings.report_interval.0 * 3 / 2 + SEEKING.0)
                 .min(self.agent_timings.lease.0 * 3 / 4 + 1_000),
@@ -60,10 +60,10 @@
 
     /// Whether most machines that were ever heard were heard lately, and some this moment: if not,
     /// it is rather this node that is cut off. Zones that are cut off don't count.
-    fn hears(&self, now: Time) -> bool {
+    fn hears_most_machines(&self, now: Time) -> bool {
         let up: Vec<Time> = (self.fleet.machines.values())
             .filter(|m| !self.fleet.partitioned_zones.contains_key(&m.zone))
-            .filter_map(|m| m.last_heard)
+            .filter_map(|m| m.last_heard_at)
             .collect();
         let heard = |within: u64| up.iter().filter(|&&t| now - t < Span(within)).count();
         heard(self.agent_timings.report_interval.0 * 3 / 2 + 500) * 3 >= up.len() * 2
@@ -78,11 +78,11 @@
             .fleet
             .machines
             .values()
-            .filter(|m| m.returning.is_none())
+            .filter(|m| m.return_requested_at.is_none())
         {
             // What an earlier leader has started tasks on was up.
-            let due = m.last_heard.is_some() || !m.entries.is_empty();
-            let heard = m.last_heard.unwrap_or(self.term.elected_at);
+            let due = m.last_heard_at.is_some() || !m.tasks.is_empty();
+            let heard = m.last_heard_at.unwrap_or(self.term.elected_at);
             let (dues, all, last) = zones.entry(&m.zone).or_insert((0, 0, heard));
             *dues += usize::from(due);
             *all += 1;
@@ -122,7 +122,7 @@
                 log::info!("zone {zone} is cut off");
             }
         }
-        let late = self.late();
+        let late = self.report_timeout();
         for (zone, since) in self
             .fleet
             .partitioned_zones
@@ -145,7 +145,7 @@
     fn zone_silence(&self, machines: usize) -> Span {
         if machines < MANY {
             // They may all report at about the same moment.
-            return self.late();
+            return self.report_timeout();
         }
         ZONE_SILENT.max(Span(
             PAUSES * self.agent_timings.report_interval.0 / machines as u64,
@@ -156,7 +156,7 @@
     /// take-over all workers report at once, and then nobody for a while.
     fn heard_elsewhere(&self, zone: &Zone, within: Span, due: usize, now: Time) -> bool {
         let heard = (self.fleet.machines.values())
-            .filter(|m| m.zone != *zone && m.last_heard.is_some_and(|t| now - t < within))
+            .filter(|m| m.zone != *zone && m.last_heard_at.is_some_and(|t| now - t < within))
             .count();
         heard as u64 * 3 * self.agent_timings.report_interval.0
             >= due as u64 * within.0.min(self.agent_timings.report_interval.0)
@@ -165,14 +165,14 @@
     /// Whether a machine behind a cut should be returned. When the leases there have run out, the
     /// leader that heard of it last knows that nothing runs there any more. One that took over since
     /// can't tell for a lease more; if replicas may run elsewhere, a return is the sooner proof.
-    fn is_given_up(&self, m: &Machine, since: Time, now: Time) -> bool {
+    fn is_declared_dead_in_partition(&self, m: &Machine, since: Time, now: Time) -> bool {
         let healed_zones = self
             .zones()
             .into_iter()
             .filter(|z| !self.fleet.partitioned_zones.contains_key(z));
         let healed_zones: Vec<Zone> = healed_zones.collect();
         let movable = |e: &PlacedTask| {
-            e.holds_room()
+            e.occupies_capacity()
                 && e.spec.as_ref().is_some_and(|s| {
                     let zones = match &s.zone {
                         Some(zone) => u32::from(healed_zones.contains(zone)),
@@ -185,18 +185,19 @@
             now > since + Span(self.agent_timings.lease.0 * leases).with_drift() + Span(1_000)
         };
         // For a while it is kept although nothing runs there: when the cut ends it is wanted at once.
-        over(KEPT) || over(1) && m.entries.iter().any(movable)
+        over(KEPT) || over(1) && m.tasks.iter().any(movable)
     }
 
     /// Machines that are surely lost or can't be commanded, and why.
-    pub fn lost(&self, now: Time) -> BTreeMap<MachineId, &'static str> {
-        let hears = self.hears(now);
+    pub fn machines_declared_dead(&self, now: Time) -> BTreeMap<MachineId, &'static str> {
+        let hears = self.hears_most_machines(now);
         let reaches = now - self.fleet.last_direct_answer_at < CONTROL;
         (self.fleet.machines.values())
             .filter_map(|m| {
                 let why = match self.fleet.partitioned_zones.get(&m.zone) {
-                    Some(since) => (self.is_given_up(m, *since, now)).then_some("behind a cut"),
-                    None => self.why_lost(m, hears, reaches, now),
+                    Some(since) => (self.is_declared_dead_in_partition(m, *since, now))
+                        .then_some("behind a cut"),
+                    None => self.why_declared_dead(m, hears, reaches, now),
                 };
                 Some((m.id.clone(), why?))
             })
@@ -206,32 +207,44 @@
     /// When a machine was last heard. After a cut its reports count as late only from then on.
     fn heard(&self, m: &Machine) -> Option<Time> {
         let healed_zones = self.fleet.healed_zones.get(&m.zone).copied();
-        m.last_heard
+        m.last_heard_at
             .map(|t| healed_zones.map_or(t, |healed_zones| healed_zones.max(t)))
     }
 
-    fn why_lost(&self, m: &Machine, hears: bool, reaches: bool, now: Time) -> Option<&'static str> {
-        let deaf_for = m.deaf_since.map_or(Span(0), |t| now - t);
+    fn why_declared_dead(
+        &self,
+        m: &Machine,
+        hears: bool,
+        reaches: bool,
+        now: Time,
+    ) -> Option<&'static str> {
+        let deaf_for = m.unreachable_since.map_or(Span(0), |t| now - t);
         let Some(last) = self.heard(m) else {
             // What an earlier leader had it run may be gone with it: it is asked by the address
             // that the cloud lists.
-            let asked = m.unanswered > PROBES && deaf_for > UNANSWERED;
-            return (asked && hears && reaches && now - self.term.elected_at > self.late())
-                .then_some("does not answer");
+            let asked = m.unanswered_calls > PROBES && deaf_for > UNANSWERED;
+            return (asked
+                && hears
+                && reaches
+                && now - self.term.elected_at > self.report_timeout())
+            .then_some("does not answer");
         };
         // A leader that hears most, or reaches some, can tell; else it may be this node.
         let silent = now - last;
-        let missed = m.unanswered >= PROBES && silent > self.late();
-        let hung = m.unanswered >= DEAF && deaf_for > UNANSWERED && silent > deaf_for + UNANSWERED;
-        if hears && silent > self.silence() {
+        let missed = m.unanswered_calls >= PROBES && silent > self.report_timeout();
+        let hung =
+            m.unanswered_calls >= DEAF && deaf_for > UNANSWERED && silent > deaf_for + UNANSWERED;
+        if hears && silent > self.silence_timeout() {
             Some("silent")
         } else if hears && reaches && (missed || hung) {
             Some("does not answer")
-        } else if reaches && m.unanswered >= DEAF && deaf_for > Span(self.agent_timings.lease.0 / 2)
+        } else if reaches
+            && m.unanswered_calls >= DEAF
+            && deaf_for > Span(self.agent_timings.lease.0 / 2)
         {
             // It is heard, but nothing reaches it: what it runs can't be stopped.
             Some("does not hear")
-        } else if m.lease_surely_over(
+        } else if m.is_lease_expired(
             now,
             Span(self.agent_timings.lease.0 * 2),
             self.term.old_leaders_fenced_at,
@@ -245,33 +258,35 @@
     /// Machines whose workers have missed a report, or left a call unanswered: they are probed,
     /// those first that run what can't wait. If nobody has answered a call for a while, some that
     /// were heard are called too: it may be this node that reaches nobody.
-    pub fn overdue(&self, now: Time) -> Vec<MachineId> {
-        let late = self.late();
+    pub fn machines_to_probe(&self, now: Time) -> Vec<MachineId> {
+        let late = self.report_timeout();
         let callable = |m: &&Machine| {
-            m.returning.is_none()
-                && !m.direct_open
-                && m.direct_after <= now
+            m.return_requested_at.is_none()
+                && !m.direct_call_open
+                && m.next_direct_call_at <= now
                 && !self.fleet.partitioned_zones.contains_key(&m.zone)
         };
         let suspicious = now < self.fleet.suspect_until;
         // A machine that should stop something is asked at once if that may be gone already: until it
         // has acknowledged this leader nothing it leaves out is proven gone.
         let stops = |m: &Machine| {
-            m.acked != self.term.epoch
-                && m.entries.iter().any(|e| e.stop.is_some() && e.holds_room())
+            m.acknowledged_epoch != self.term.epoch
+                && m.tasks
+                    .iter()
+                    .any(|e| e.stop.is_some() && e.occupies_capacity())
         };
         let doubtful = |m: &&Machine| match self.heard(m) {
             Some(last) => {
                 let just_now = suspicious && now - last > JUST_NOW && m.runs_non_preemptible();
-                m.unanswered > 0 || now - last > late || just_now || stops(m)
+                m.unanswered_calls > 0 || now - last > late || just_now || stops(m)
             }
             None => {
                 let due = stops(m) || now - self.term.elected_at > late;
-                m.addr.is_some() && !m.entries.is_empty() && due
+                m.addr.is_some() && !m.tasks.is_empty() && due
             }
         };
         let open = (self.fleet.machines.values())
-            .filter(|m| m.direct_open)
+            .filter(|m| m.direct_call_open)
             .count();
         let mut found: Vec<&Machine> = (self.fleet.machines.values())
             .filter(|m| callable(m) && doubtful(m))
@@ -282,23 +297,23 @@
         let mut found: Vec<MachineId> = found.into_iter().map(|m| m.id.clone()).collect();
         if !found.is_empty() && now - self.fleet.last_direct_answer_at > CONTROL {
             let sure = (self.fleet.machines.values())
-                .filter(|m| m.last_heard.is_some() && callable(m) && !doubtful(m));
+                .filter(|m| m.last_heard_at.is_some() && callable(m) && !doubtful(m));
             found.extend(sure.take(3).map(|m| m.id.clone()));
         }
         found
     }
 
     /// A worker has left a call unanswered. If it has missed a report, others may be lost as well.
-    pub fn did_not_answer(&mut self, id: &MachineId, now: Time) {
-        let late = self.late();
+    pub fn direct_call_unanswered(&mut self, id: &MachineId, now: Time) {
+        let late = self.report_timeout();
         self.fleet.unanswered_calls += 1;
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
         };
-        machine.did_not_react(now);
-        let wait = 100 << machine.unanswered.min(5);
-        machine.direct_after = now + Span(wait);
-        let missed = machine.last_heard.is_some_and(|t| now - t > late);
+        machine.call_unanswered(now);
+        let wait = 100 << machine.unanswered_calls.min(5);
+        machine.next_direct_call_at = now + Span(wait);
+        let missed = machine.last_heard_at.is_some_and(|t| now - t > late);
         if missed && !self.fleet.partitioned_zones.contains_key(&machine.zone) {
             self.fleet.suspect_until = now + SUSPICION;
         }
--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -18,7 +18,7 @@
                 .machines
                 .get_mut(&id)
                 .expect("a machine")
-                .last_heard = Some(at);
+                .last_heard_at = Some(at);
         }
     }
     leader.fleet.last_direct_answer_at = now;
@@ -30,8 +30,8 @@
 fn a_zone_of_which_nothing_is_heard_is_cut_off() {
     let (mut leader, now) = half_silent(&[], Span(5_000));
     assert!(leader.fleet.partitioned_zones.contains_key(&"b".into()));
-    assert_eq!(leader.lost(now), BTreeMap::new());
-    assert_eq!(leader.overdue(now), Vec::<MachineId>::new());
+    assert_eq!(leader.machines_declared_dead(now), BTreeMap::new());
+    assert_eq!(leader.machines_to_probe(now), Vec::<MachineId>::new());
     // One machine is heard again: the others get time to report.
     let id = MachineId::from("vm-b3");
     leader
@@ -39,10 +39,10 @@
         .machines
         .get_mut(&id)
         .expect("a machine")
-        .last_heard = Some(now);
+        .last_heard_at = Some(now);
     leader.detect_partitioned_zones(now);
     assert!(leader.fleet.partitioned_zones.is_empty());
-    assert_eq!(leader.lost(now), BTreeMap::new());
+    assert_eq!(leader.machines_declared_dead(now), BTreeMap::new());
 }
 
 /// After a take-over all workers report at once and then nobody for a while; the first of one zone
@@ -63,7 +63,7 @@
             .machines
             .get_mut(&id)
             .expect("a machine")
-            .last_heard = Some(now);
+            .last_heard_at = Some(now);
     };
     reconcile_report(&mut leader, 0);
     leader.detect_partitioned_zones(now);
@@ -80,7 +80,7 @@
     let (leader, now) = half_silent(&heard, Span(5_600));
     assert!(leader.fleet.partitioned_zones.is_empty());
     assert_eq!(
-        leader.lost(now),
+        leader.machines_declared_dead(now),
         BTreeMap::from([("vm-b5".into(), "silent")])
     );
 }
@@ -100,7 +100,7 @@
             .machines
             .get_mut(id)
             .expect("a machine")
-            .last_heard = None;
+            .last_heard_at = None;
         if n < 4 {
             run(
                 &mut leader,
@@ -118,12 +118,15 @@
             .values_mut()
             .filter(|m| m.zone == "a".into())
         {
-            m.last_heard = Some(now);
+            m.last_heard_at = Some(now);
         }
         leader.detect_partitioned_zones(now);
         (
             leader.fleet.partitioned_zones.len(),
-            leader.lost(now).into_keys().collect::<Vec<_>>(),
+            leader
+                .machines_declared_dead(now)
+                .into_keys()
+                .collect::<Vec<_>>(),
         )
     };
     assert_eq!(later(6_500), (1, Vec::new()));
@@ -134,7 +137,7 @@
             .machines
             .get_mut(id)
             .expect("a machine")
-            .entries
+            .tasks
             .clear();
     }
     leader.detect_partitioned_zones(NOW.time + Span(8_000));
@@ -153,14 +156,17 @@
         .machines
         .get_mut(&id)
         .expect("a machine")
-        .last_heard = None;
+        .last_heard_at = None;
     let now = NOW.time + Span(5_000);
-    assert!(leader.overdue(now).contains(&id));
-    assert!(!leader.lost(now).contains_key(&id));
+    assert!(leader.machines_to_probe(now).contains(&id));
+    assert!(!leader.machines_declared_dead(now).contains_key(&id));
     for after in [0, 400, 900] {
-        leader.did_not_answer(&id, Time(now.0 - 1_500 + after));
+        leader.direct_call_unanswered(&id, Time(now.0 - 1_500 + after));
     }
-    assert_eq!(leader.lost(now).get(&id), Some(&"does not answer"));
+    assert_eq!(
+        leader.machines_declared_dead(now).get(&id),
+        Some(&"does not answer")
+    );
 }
 
 /// When one machine is found silent, those that run replicas are asked before they miss a report.
@@ -176,12 +182,12 @@
             .machines
             .get_mut(&id.into())
             .expect("a machine")
-            .last_heard = Some(Time(now.0 - 1_600));
+            .last_heard_at = Some(Time(now.0 - 1_600));
     }
     let replicas = MachineId::from("vm-a1");
-    assert!(!leader.overdue(now).contains(&replicas));
-    leader.did_not_answer(&"vm-b5".into(), now);
-    let asked = leader.overdue(now);
+    assert!(!leader.machines_to_probe(now).contains(&replicas));
+    leader.direct_call_unanswered(&"vm-b5".into(), now);
+    let asked = leader.machines_to_probe(now);
     assert_eq!(asked.first(), Some(&replicas));
     assert!(!asked.contains(&"vm-a2".into()));
 }
@@ -196,7 +202,7 @@
             up(&mut leader, &format!("vm-{n}"), "a");
         }
         leader.fleet.last_direct_answer_at = NOW.time + Span(3_000);
-        let asked = leader.overdue(NOW.time + Span(3_000));
+        let asked = leader.machines_to_probe(NOW.time + Span(3_000));
         assert!(asked.len() >= least, "{machines} machines: {}", asked.len());
         assert!(
             asked.len() <= least.max(64),
--- a/crates/core/src/agents/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -10,7 +10,7 @@
 use crate::fleet::blame::JOBS_TO_SUSPECT_MACHINE;
 use crate::fleet::machine::Phase;
 use crate::jobs::failures::{Failures, MAX_DOUBLINGS};
-use crate::jobs::job::Stage;
+use crate::jobs::job::JobStage;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
@@ -28,7 +28,7 @@
 
 impl Leader {
     /// A task failed on a machine.
-    pub(crate) fn failed(
+    pub(crate) fn task_failed(
         &mut self,
         machine: &MachineId,
         task: &TaskId,
@@ -45,7 +45,7 @@
         let new = job.failures.record(machine, attempt, now.time);
         let others = |id: &MachineId| {
             machines.get(id).map_or(0, |m| {
-                m.blamed.iter().filter(|(j, _)| *j != task.job).count()
+                m.failed_jobs.iter().filter(|(j, _)| *j != task.job).count()
             })
         };
         let on = &job.failures.on;
@@ -63,9 +63,9 @@
             } else {
                 RETRY_PAUSE
             };
-            job.not_before = now.time + pause;
+            job.retry_at = now.time + pause;
         } else if suspected && !was {
-            job.not_before = job.not_before.max(now.time + SUSPECTED_RETRY_PAUSE);
+            job.retry_at = job.retry_at.max(now.time + SUSPECTED_RETRY_PAUSE);
         }
         if !suspected {
             let sound = job.failures.proven;
@@ -83,12 +83,12 @@
             return false;
         };
         job.spec.kind == Kind::Service
-            && (job.places.values().flatten()).any(|(id, attempt)| {
+            && (job.placements.values().flatten()).any(|(id, attempt)| {
                 let machine = self.fleet.machines.get(id);
                 machine.is_some_and(|m| {
-                    (m.entries.iter())
+                    (m.tasks.iter())
                         .filter(|e| e.attempt == *attempt && e.task.job == task.job)
-                        .any(|e| e.running.is_some_and(|t| now - t >= PROVEN_AFTER))
+                        .any(|e| e.running_since.is_some_and(|t| now - t >= PROVEN_AFTER))
                 })
             })
     }
@@ -100,31 +100,35 @@
         self.metrics.count("suspected jobs");
         let mut planned = Vec::new();
         for machine in self.fleet.machines.values_mut() {
-            machine.absolve(id, now);
+            machine.clear_blame(id, now);
             let waits = |e: &&crate::fleet::machine::PlacedTask| {
                 e.task.job == *id && e.phase == Phase::Planned && !e.is_recorded()
             };
             planned.extend(
-                (machine.entries.iter().filter(waits)).map(|e| (machine.id.clone(), e.attempt)),
+                (machine.tasks.iter().filter(waits)).map(|e| (machine.id.clone(), e.attempt)),
             );
         }
         for (machine, attempt) in planned {
-            self.stop_on(&machine, id, attempt, 0.0, "its job is suspected", now);
+            self.stop_attempt_on(&machine, id, attempt, 0.0, "its job is suspected", now);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             // So that the next leader knows.
-            job.progress_dirty = true;
+            job.has_unrecorded_progress = true;
         }
     }
 
     /// A task was completed on a machine: neither is to blame for what failed before.
-    pub(crate) fn succeeded(&mut self, machine: &MachineId, job: &JobId, now: Time) {
+    pub(crate) fn task_succeeded(&mut self, machine: &MachineId, job: &JobId, now: Time) {
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.succeeded(now);
+            m.task_succeeded(now);
         }
-        if let Some(job) = self.jobs.get_mut(job).filter(|j| j.stage == Stage::Active) {
+        if let Some(job) = self
+            .jobs
+            .get_mut(job)
+            .filter(|j| j.stage == JobStage::Active)
+        {
             job.failures = Failures::cleared();
-            job.not_before = job.not_before.min(now);
+            job.retry_at = job.retry_at.min(now);
         }
     }
 }
--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -12,7 +12,7 @@
 /// Tries a job on machines in turn, in its own attempt each time.
 fn fail(leader: &mut Leader, n: u32, machine: &str, at: u64) {
     let task = format!("wk-{n}/0").parse().expect("a task");
-    leader.failed(&machine.into(), &task, Attempt(at), None, now(at));
+    leader.task_failed(&machine.into(), &task, Attempt(at), None, now(at));
 }
 
 fn fleet(jobs: &[u32]) -> Leader {
@@ -35,7 +35,7 @@
         .fleet
         .machines
         .values()
-        .filter(|m| m.quarantine <= at)
+        .filter(|m| m.quarantined_until <= at)
         .count()
 }
 
@@ -56,8 +56,8 @@
     assert_eq!(usable(&leader, 21), 5);
     // It is tried again, one task at a time, after growing pauses.
     let broken = &leader.jobs[&"wk-1".parse().expect("an id")];
-    assert_eq!(broken.free_tasks(), 1);
-    assert!(broken.not_before >= now(21).time + Span(32_000));
+    assert_eq!(broken.startable_tasks(), 1);
+    assert!(broken.retry_at >= now(21).time + Span(32_000));
 }
 
 /// A faulty machine is told from sound jobs, which are soon tried elsewhere.
@@ -71,9 +71,9 @@
     assert!(leader.fleet.machines[&"vm-0".into()].is_suspected());
     assert_eq!((usable(&leader, 4), usable(&leader, 40)), (4, 5));
     let job = &leader.jobs[&"wk-3".parse().expect("an id")];
-    assert!(job.not_before <= now(4).time);
-    assert!(job.failures.avoids(&"vm-0".into(), now(4).time));
-    assert!(!job.failures.avoids(&"vm-1".into(), now(4).time));
+    assert!(job.retry_at <= now(4).time);
+    assert!(job.failures.avoids_machine(&"vm-0".into(), now(4).time));
+    assert!(!job.failures.avoids_machine(&"vm-1".into(), now(4).time));
 }
 
 /// Faulty machines may deceive us; the first success clears the job, and a service whose replicas
@@ -84,7 +84,7 @@
     fail(&mut leader, 1, "vm-0", 1);
     fail(&mut leader, 1, "vm-1", 2);
     assert!(suspected(&leader, 1));
-    leader.succeeded(&"vm-2".into(), &"wk-1".parse().expect("an id"), now(9).time);
+    leader.task_succeeded(&"vm-2".into(), &"wk-1".parse().expect("an id"), now(9).time);
     assert!(!suspected(&leader, 1));
     fail(&mut leader, 1, "vm-0", 10);
     fail(&mut leader, 1, "vm-1", 11);
@@ -114,8 +114,8 @@
             let time = now(at as u64).time;
             let (id, vm) = (format!("wk-{n}"), format!("vm-{machine}"));
             let job = &leader.jobs[&id.parse().expect("an id")];
-            let may = job.not_before <= time && !job.failures.avoids(&vm.as_str().into(), time)
-                && leader.fleet.machines[&vm.as_str().into()].quarantine <= time;
+            let may = job.retry_at <= time && !job.failures.avoids_machine(&vm.as_str().into(), time)
+                && leader.fleet.machines[&vm.as_str().into()].quarantined_until <= time;
             if done[n] || !may {
                 continue;
             }
@@ -123,7 +123,7 @@
                 fail(&mut leader, n as u32, &vm, at as u64);
                 failures[n] += 1;
             } else {
-                leader.succeeded(&vm.as_str().into(), &id.parse().expect("an id"), time);
+                leader.task_succeeded(&vm.as_str().into(), &id.parse().expect("an id"), time);
                 done[n] = true;
             }
         }
@@ -135,7 +135,7 @@
         let late = now(400 + 8);
         for n in (0..5).filter(|n| !faulty.contains(n)) {
             let machine = &leader.fleet.machines[&format!("vm-{n}").as_str().into()];
-            prop_assert!(machine.quarantine <= late.time, "vm-{n} is kept out");
+            prop_assert!(machine.quarantined_until <= late.time, "vm-{n} is kept out");
         }
     }
 }
--- a/crates/core/src/agents/reconciliation.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -37,29 +37,29 @@
         let newest = (report.incarnation, report.seq);
         let machine = match self.fleet.machines.get_mut(&report.machine) {
             Some(machine) if self.recovery.is_complete => machine,
-            _ => return Some(job_cache.stops_of_cancelled(report)),
+            _ => return Some(job_cache.stops_for_cancelled_tasks(report)),
         };
-        machine.last_answer = Some(now.time);
-        if machine.newest != newest {
+        machine.last_answered_at = Some(now.time);
+        if machine.last_message != newest {
             // It renews the worker's lease all the same, so it carries what must not go on.
-            return Some(job_cache.stops_of_cancelled(report));
+            return Some(job_cache.stops_for_cancelled_tasks(report));
         }
         let id = machine.id.clone();
         Some(self.commands(&id, now.time, false))
     }
 
     /// A worker has answered a direct call.
-    pub fn reacted(&mut self, report: &StatusReport, now: Now) {
+    pub fn direct_call_answered(&mut self, report: &StatusReport, now: Now) {
         self.fleet.last_direct_answer_at = now.time;
         self.fleet.unanswered_calls = 0;
         self.reconcile_report(report, now);
         if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
-            machine.reacted();
+            machine.call_answered();
         }
     }
 
     /// Whether another direct call may be made now.
-    pub fn may_call(&mut self, now: Time) -> bool {
+    pub fn may_call_directly(&mut self, now: Time) -> bool {
         let rate = DIRECT_CALLS_PER_S + self.fleet.machines.len() as f64 / DIRECT_PER;
         let rate = self.processor_share.slowed(rate);
         let more = (now - self.fleet.direct_calls_counted_at).as_secs() * rate;
@@ -69,7 +69,7 @@
     }
 
     /// Whether no worker has answered a direct call for a while, although several were called.
-    pub fn reaches_nobody(&self, now: Time) -> bool {
+    pub fn reaches_no_agent(&self, now: Time) -> bool {
         self.fleet.unanswered_calls >= UNREACHED_CALLS
             && now - self.fleet.last_direct_answer_at > UNREACHED
     }
@@ -77,7 +77,7 @@
     /// Whether a machine waits for the start of work that can't wait.
     pub fn is_urgent(&self, machine: &Machine) -> bool {
         let firm = |e: &&PlacedTask| e.spec.as_ref().is_some_and(|s| is_non_preemptible(s));
-        (machine.entries.iter().filter(|e| e.phase == Phase::Planned)).any(|e| firm(&e))
+        (machine.tasks.iter().filter(|e| e.phase == Phase::Planned)).any(|e| firm(&e))
     }
 
     /// Takes in a worker's report.
@@ -110,20 +110,21 @@
             let (t, z) = (report.machine_type.clone(), report.zone.clone());
             Machine::new(report.machine.clone(), t, z, report.spot, room, now.wall)
         });
-        let was_known = machine.is_known(epoch);
+        let was_known = machine.is_reconciled(epoch);
         let changes = machine.apply_report(report, epoch, now.time);
-        let newest = machine.newest == (report.incarnation, report.seq);
-        let same = machine.list.0 .0 == report.incarnation && *machine.list.1 == *report.tasks;
+        let newest = machine.last_message == (report.incarnation, report.seq);
+        let same = machine.last_task_list.0 .0 == report.incarnation
+            && *machine.last_task_list.1 == *report.tasks;
         if newest && !same {
-            machine.list = (machine.newest, report.tasks.as_slice().into());
+            machine.last_task_list = (machine.last_message, report.tasks.as_slice().into());
         }
-        self.placement_log.may_have_unrecorded |= machine.page == SegmentId::NONE;
-        let became_known = !was_known && machine.is_known(epoch);
+        self.placement_log.may_have_unrecorded |= machine.segment == SegmentId::NONE;
+        let became_known = !was_known && machine.is_reconciled(epoch);
         let release = report.token;
-        for entry in machine.entries.iter_mut().filter(|e| e.unsure) {
+        for entry in machine.tasks.iter_mut().filter(|e| e.start_may_arrive_late) {
             // A start sent under an older epoch is refused from now on.
-            if release > entry.sent.0 {
-                entry.unsure = false;
+            if release > entry.start_sent.0 {
+                entry.start_may_arrive_late = false;
             }
         }
         stop_unknown(machine, now.time);
@@ -140,8 +141,8 @@
             Change::Started(task, _) => {
                 let image = self.jobs.get(&task.job).map(|j| j.spec.image.clone());
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.begun = true;
-                    let waited = Span(now.wall.0.saturating_sub(job.waits_since().0));
+                    job.has_started = true;
+                    let waited = Span(now.wall.0.saturating_sub(job.waiting_since().0));
                     let class = job.spec.class.clone();
                     let s = waited.as_secs();
                     log::debug!("{task} of {class} runs on {machine}, {s} s after it was ready");
@@ -149,21 +150,21 @@
                 }
                 self.metrics.count("started");
                 if let (Some(image), Some(m)) = (image, self.fleet.machines.get_mut(machine)) {
-                    m.images.insert(image);
+                    m.cached_images.insert(image);
                 }
             }
             Change::Exited(task, attempt, why, ran) => {
-                self.exited(machine, &task, attempt, why, ran, now)
+                self.task_exited(machine, &task, attempt, why, ran, now)
             }
             Change::Gone(task, attempt) => {
                 log::info!("{task} attempt {attempt} is gone from {machine}");
-                self.vanished(machine, &task, attempt, now);
+                self.task_lost(machine, &task, attempt, now);
             }
-            Change::Foreign(told) => self.adopt(machine, told, now),
+            Change::Foreign(told) => self.adopt_unknown_task(machine, told, now),
         }
     }
 
-    pub(crate) fn exited(
+    pub(crate) fn task_exited(
         &mut self,
         machine: &MachineId,
         task: &TaskId,
@@ -174,7 +175,7 @@
     ) {
         log::debug!("{task} attempt {attempt} exited on {machine}: {why:?}");
         let stop = (self.fleet.machines.get_mut(machine))
-            .and_then(|m| m.entry_mut(task, attempt))
+            .and_then(|m| m.task_mut(task, attempt))
             .and_then(|e| e.stop);
         match stop {
             Some(stop) => self.metrics.record_stop(now.wall, task, machine, stop.why),
@@ -185,24 +186,24 @@
         self.request_cycle(now.time);
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             if why == Cause::NoRoom {
-                m.quarantine = m.quarantine.max(now.time + Span(1_000));
+                m.quarantined_until = m.quarantined_until.max(now.time + Span(1_000));
             }
             if why != Cause::Done {
-                if let Some(entry) = m.entry_mut(task, attempt) {
-                    entry.settled = true;
+                if let Some(entry) = m.task_mut(task, attempt) {
+                    entry.outcome_recorded = true;
                 }
             }
         }
         let Some(job) = self.jobs.get_mut(&task.job) else {
-            self.settle(machine, task, attempt);
+            self.mark_outcome_recorded(machine, task, attempt);
             return;
         };
         job.unplace(task.index, machine, attempt);
         let over = !job.is_active();
         match why {
             Cause::Done => {
-                job.begun = true;
-                job.progress_dirty = true;
+                job.has_started = true;
+                job.has_unrecorded_progress = true;
                 job.longest_run_s = job.longest_run_s.max(ran.unwrap_or_default().as_secs());
                 if job.spec.kind == Kind::Gang {
                     (0..job.spec.tasks).for_each(|i| job.finish(i));
@@ -211,27 +212,32 @@
                 }
                 if over {
                     // Its end is committed already.
-                    self.settle(machine, task, attempt);
+                    self.mark_outcome_recorded(machine, task, attempt);
                 }
-                self.succeeded(machine, &task.job, now.time);
+                self.task_succeeded(machine, &task.job, now.time);
             }
             Cause::Error => {
-                self.failed(machine, task, attempt, ran, now);
-                self.break_gang(task, attempt, now.time);
+                self.task_failed(machine, task, attempt, ran, now);
+                self.stop_broken_gang(task, attempt, now.time);
             }
-            Cause::Unknown => job.not_before = now.time + Span(2_000),
-            _ => self.break_gang(task, attempt, now.time),
+            Cause::Unknown => job.retry_at = now.time + Span(2_000),
+            _ => self.stop_broken_gang(task, attempt, now.time),
         }
     }
 
-    pub(crate) fn settle(&mut self, machine: &MachineId, task: &TaskId, attempt: Attempt) {
+    pub(crate) fn mark_outcome_recorded(
+        &mut self,
+        machine: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+    ) {
         let machine = self.fleet.machines.get_mut(machine);
-        if let Some(entry) = machine.and_then(|m| m.entry_mut(task, attempt)) {
-            entry.settled = true;
+        if let Some(entry) = machine.and_then(|m| m.task_mut(task, attempt)) {
+            entry.outcome_recorded = true;
         }
     }
 
-    pub(crate) fn vanished(
+    pub(crate) fn task_lost(
         &mut self,
         machine: &MachineId,
         task: &TaskId,
@@ -243,12 +249,12 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.unplace(task.index, machine, attempt);
         }
-        self.break_gang(task, attempt, now.time);
+        self.stop_broken_gang(task, attempt, now.time);
         self.request_cycle(now.time);
     }
 
     /// A gang that lost a task goes on only as a whole, with a new attempt.
-    pub(crate) fn break_gang(&mut self, task: &TaskId, attempt: Attempt, now: Time) {
+    pub(crate) fn stop_broken_gang(&mut self, task: &TaskId, attempt: Attempt, now: Time) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -256,14 +262,20 @@
             return;
         }
         let grace_s = job.spec.save_s;
-        for (id, a) in job.places.values().flatten().cloned().collect::<Vec<_>>() {
+        for (id, a) in job
+            .placements
+            .values()
+            .flatten()
+            .cloned()
+            .collect::<Vec<_>>()
+        {
             if a == attempt {
-                self.stop_on(&id, &task.job, a, grace_s, "gang is broken", now);
+                self.stop_attempt_on(&id, &task.job, a, grace_s, "gang is broken", now);
             }
         }
     }
 
-    pub(crate) fn stop_on(
+    pub(crate) fn stop_attempt_on(
         &mut self,
         machine: &MachineId,
         job: &JobId,
@@ -276,8 +288,8 @@
             return;
         };
         let mut dropped = Vec::new();
-        machine.entries.retain_mut(|e| {
-            if e.task.job != *job || e.attempt != attempt || !e.holds_room() {
+        machine.tasks.retain_mut(|e| {
+            if e.task.job != *job || e.attempt != attempt || !e.occupies_capacity() {
                 return true;
             }
             if e.phase == Phase::Planned {
@@ -301,11 +313,12 @@
     }
 
     /// A task that is not in the placement log: a late start, or one whose record was dropped.
-    pub(crate) fn adopt(&mut self, machine: &MachineId, told: TaskStatus, now: Now) {
+    pub(crate) fn adopt_unknown_task(&mut self, machine: &MachineId, told: TaskStatus, now: Now) {
         let spec = (self.jobs.get(&told.task.job)).map(|j| j.spec.clone());
         let mut entry = PlacedTask::planned(told.task.clone(), told.attempt, spec, now.time);
-        let incarnation = (self.fleet.machines.get(machine)).map_or(Incarnation(0), |m| m.newest.0);
-        entry.sent = (self.term.epoch, incarnation);
+        let incarnation =
+            (self.fleet.machines.get(machine)).map_or(Incarnation(0), |m| m.last_message.0);
+        entry.start_sent = (self.term.epoch, incarnation);
         if told.state == TaskState::Exited {
             entry.phase = Phase::Exited(told.why.unwrap_or(Cause::Error));
         } else {
@@ -327,10 +340,10 @@
         let exited = entry.phase;
         self.placement_log.may_have_unrecorded = true;
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.entries.push(entry);
+            m.tasks.push(entry);
         }
         if let Phase::Exited(why) = exited {
-            self.exited(machine, &told.task, told.attempt, why, None, now);
+            self.task_exited(machine, &told.task, told.attempt, why, None, now);
         }
     }
 }
@@ -338,7 +351,7 @@
 /// Stops what a report shows to be there of jobs that are not known: nothing else would end it.
 fn stop_unknown(machine: &mut Machine, now: Time) {
     let there = |e: &&mut PlacedTask| matches!(e.phase, Phase::On(_)) && e.spec.is_none();
-    for entry in machine.entries.iter_mut().filter(there) {
+    for entry in machine.tasks.iter_mut().filter(there) {
         entry.stop.get_or_insert(Stop {
             grace_s: 0.0,
             since: now,
--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -18,7 +18,7 @@
     let mut job_cache = JobCache::default();
     let mut record = JobRecord::queued(&job.spec, NOW.wall);
     record.state = JobState::Cancelled;
-    job_cache.learn_job(job.spec.id.clone(), Version(5), record);
+    job_cache.update_job(job.spec.id.clone(), Version(5), record);
     let task = job.spec.id.task(0);
     let newest = leader.answer_report(&report(&id, 5, &task), &JobCache::default(), NOW);
     assert_eq!(newest, Some(vec![]));
@@ -40,11 +40,11 @@
     let job = job(1, "sweep", "red", "normal");
     run(&mut leader, &job, 0, &id);
     let job_id = job.spec.id.clone();
-    leader.stop_on(&id, &job_id, Attempt(1), 20.0, "evicted", NOW.time);
+    leader.stop_attempt_on(&id, &job_id, Attempt(1), 20.0, "evicted", NOW.time);
     let machine = leader.fleet.machines.get_mut(&id).expect("a machine");
-    machine.entries[0].phase = Phase::On(TaskState::Saving);
+    machine.tasks[0].phase = Phase::On(TaskState::Saving);
     assert_eq!(leader.commands(&id, NOW.time, false), vec![]);
-    leader.stop_on(&id, &job_id, Attempt(1), 0.0, "cancelled", NOW.time);
+    leader.stop_attempt_on(&id, &job_id, Attempt(1), 0.0, "cancelled", NOW.time);
     let graces: Vec<f64> = (leader.commands(&id, NOW.time, true).iter())
         .filter_map(|c| match c {
             Command::Stop { grace_s, .. } => Some(*grace_s),
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -39,7 +39,7 @@
 pub(crate) const SILENT: Span = Span(3_000);
 
 /// A report that waits to be passed on, or for the leader's answer.
-pub(crate) struct Held {
+pub(crate) struct HeldReport {
     pub(crate) req: ReqId,
     pub(crate) report: StatusReport,
     pub(crate) whole: bool,
@@ -50,9 +50,9 @@
 /// What a follower remembers of reports.
 #[derive(Default)]
 pub struct ReportForwarding {
-    pub(crate) waiting: Vec<Held>,
+    pub(crate) waiting: Vec<HeldReport>,
     pub(crate) since: Option<Time>,
-    pub(crate) open: BTreeMap<CallId, Vec<Held>>,
+    pub(crate) open: BTreeMap<CallId, Vec<HeldReport>>,
     pub(crate) next: u64,
     /// By machine: the last list that the leader took in whole.
     pub(crate) taken: BTreeMap<MachineId, (Incarnation, Seq, Vec<TaskStatus>)>,
@@ -100,7 +100,7 @@
         now: Time,
     ) -> bool {
         let pause = PAUSES * report.0 / u64::from(peer.workers.max(1));
-        let reached = peer.workers > 0 && peer.worker_silence < UNREACHED.max(Span(pause));
+        let reached = peer.workers > 0 && peer.agent_silence < UNREACHED.max(Span(pause));
         reached || self.trials.get(name).is_none_or(|t| now - *t > TRIAL)
     }
 
@@ -119,7 +119,7 @@
         batch
     }
 
-    fn shortened(&self, held: &Held) -> ForwardedReport {
+    fn shortened(&self, held: &HeldReport) -> ForwardedReport {
         let report = &held.report;
         let as_in = (self.taken.get(&report.machine))
             .filter(|(incarnation, _, tasks)| {
@@ -142,7 +142,7 @@
 }
 
 impl Leader {
-    pub(crate) fn take_passed(
+    pub(crate) fn apply_forwarded_report(
         &mut self,
         passed: ForwardedReport,
         job_cache: &JobCache,
@@ -156,7 +156,7 @@
                 _ => return ForwardedAnswer::Refused,
             },
             ForwardedTasks::SameAs(seq) => {
-                match self.as_in(&id, Incarnation(passed.incarnation), Seq(seq)) {
+                match self.repeat_report(&id, Incarnation(passed.incarnation), Seq(seq)) {
                     Some(mut report) => {
                         report.seq = Seq(passed.seq);
                         report.token = Epoch(passed.token);
@@ -170,8 +170,8 @@
         let answer = self.answer_report(&report, job_cache, now);
         if let Some(machine) = self.fleet.machines.get_mut(&id).filter(|_| whole) {
             // What the peer may refer to from now on.
-            if machine.newest == (report.incarnation, report.seq) {
-                machine.list.0 = machine.newest;
+            if machine.last_message == (report.incarnation, report.seq) {
+                machine.last_task_list.0 = machine.last_message;
             }
         }
         match answer {
@@ -185,9 +185,14 @@
     }
 
     /// A report that lists what an earlier one did, which this leader took in last.
-    fn as_in(&self, id: &MachineId, incarnation: Incarnation, seq: Seq) -> Option<StatusReport> {
+    fn repeat_report(
+        &self,
+        id: &MachineId,
+        incarnation: Incarnation,
+        seq: Seq,
+    ) -> Option<StatusReport> {
         let machine = self.fleet.machines.get(id)?;
-        if machine.list.0 != (incarnation, seq) || !self.recovery.is_complete {
+        if machine.last_task_list.0 != (incarnation, seq) || !self.recovery.is_complete {
             return None;
         }
         Some(StatusReport {
@@ -195,12 +200,12 @@
             addr: machine.addr.clone()?,
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
-            spot: machine.spot,
+            spot: machine.is_spot,
             incarnation,
             seq,
             token: self.term.epoch,
             notice_s: None,
-            tasks: machine.list.1.to_vec(),
+            tasks: machine.last_task_list.1.to_vec(),
         })
     }
 }
--- a/crates/core/src/api/admin/views.rs
+++ b/crates/core/src/api/admin/views.rs
@@ -64,7 +64,7 @@
 /// What a machine costs an hour, if its type is known.
 fn price_of(leader: &Leader, machine: &Machine) -> Option<f64> {
     let machine_type = leader.policy.machine_type(&machine.machine_type)?;
-    if machine.spot {
+    if machine.is_spot {
         machine_type.spot_price
     } else {
         Some(machine_type.price)
@@ -74,15 +74,15 @@
 pub(crate) fn machine(leader: &Leader, m: &Machine, now: Now) -> Value {
     let free = m.free();
     json!({
-        "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.spot,
+        "machine": m.id, "type": m.machine_type, "zone": m.zone, "spot": m.is_spot,
         "age_s": Leader::age(m, now.wall).as_secs(),
-        "silent_s": m.last_heard.map(|t| (now.time - t).as_secs()),
-        "tasks": m.entries.iter().filter(|e| e.holds_room()).count(),
+        "silent_s": m.last_heard_at.map(|t| (now.time - t).as_secs()),
+        "tasks": m.tasks.iter().filter(|e| e.occupies_capacity()).count(),
         "free_cpus": free.cpus as f64 / 1000.0,
         "free_gpus": free.gpus as f64 / 1000.0,
-        "going": m.retire, "price_per_hour": price_of(leader, m),
-        "failed_jobs": m.blamed.iter().map(|(j, _)| j).collect::<Vec<_>>(),
-        "quarantined_s": (m.quarantine - now.time).as_secs(),
+        "going": m.retire_reason, "price_per_hour": price_of(leader, m),
+        "failed_jobs": m.failed_jobs.iter().map(|(j, _)| j).collect::<Vec<_>>(),
+        "quarantined_s": (m.quarantined_until - now.time).as_secs(),
     })
 }
 
--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -19,7 +19,7 @@
 
 /// A cancellation that not every node is known to know.
 #[derive(Debug)]
-pub(crate) struct Spread {
+pub(crate) struct CancellationReplication {
     pub(crate) version: Version,
     /// Nodes that have said so.
     pub(crate) knows: BTreeSet<NodeName>,
@@ -34,7 +34,7 @@
     pub cancellation_watermark: Version,
     /// The same for each peer, as it said last.
     pub(crate) peers: BTreeMap<NodeName, Version>,
-    pub(crate) spread: BTreeMap<JobId, Spread>,
+    pub(crate) replications: BTreeMap<JobId, CancellationReplication>,
     /// Requests that wait, and since when.
     pub(crate) waiting: Vec<(Waiting, Time)>,
     /// Announcements under way, with what they name.
@@ -44,8 +44,8 @@
     /// Something may have to be announced.
     pub(crate) due: bool,
     /// What the other nodes are asked to write that they know, and what they ask.
-    pub(crate) asks: Version,
-    pub(crate) asked: Version,
+    pub(crate) watermark_wanted: Version,
+    pub(crate) watermark_asked_for: Version,
     pub(crate) written: KnownRecord,
     pub(crate) next_write: Time,
     pub(crate) writing: bool,
@@ -53,13 +53,17 @@
 
 impl Cancellations {
     /// A peer says how much it knows.
-    pub(crate) fn heard(&mut self, peer: &NodeName, cancellation_watermark: Version) {
+    pub(crate) fn peer_watermark_received(
+        &mut self,
+        peer: &NodeName,
+        cancellation_watermark: Version,
+    ) {
         let known = self.peers.entry(peer.clone()).or_default();
         *known = (*known).max(cancellation_watermark);
     }
 
     pub(crate) fn knows(&self, peer: &NodeName, id: &JobId, version: Version) -> bool {
         let all = self.peers.get(peer).is_some_and(|to| *to >= version);
-        all || (self.spread.get(id)).is_some_and(|s| s.knows.contains(peer))
+        all || (self.replications.get(id)).is_some_and(|s| s.knows.contains(peer))
     }
 }
--- a/crates/core/src/api/read_confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -33,7 +33,7 @@
 }
 
 /// What a confirmation says of a job.
-pub(crate) enum Standing {
+pub(crate) enum ReadResult {
     /// It is not final, and nothing that it depends on is cancelled.
     Fresh,
     /// It does not exist.
--- a/crates/core/src/cache/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -118,11 +118,11 @@
         for k in 0..jobs {
             let n = (k * 7 + order as usize % jobs) % jobs;
             if !job_cache.jobs.contains_key(&id(n)) {
-                job_cache.learn_job(id(n), Version(1), model.record(n));
+                job_cache.update_job(id(n), Version(1), model.record(n));
             }
         }
         for n in 0..jobs {
-            job_cache.learn_job(id(n), Version(1), model.record(n));
+            job_cache.update_job(id(n), Version(1), model.record(n));
         }
         check(&job_cache, &model)?;
         for (step, (n, cancel)) in ends.into_iter().enumerate() {
@@ -136,7 +136,7 @@
             } else {
                 continue;
             }
-            job_cache.learn_job(id(n), Version(2 + step as u64), model.record(n));
+            job_cache.update_job(id(n), Version(2 + step as u64), model.record(n));
             check(&job_cache, &model)?;
         }
     }
@@ -146,7 +146,7 @@
 #[test]
 fn an_unknown_dependency_counts_as_unfinished() {
     let mut job_cache = JobCache::default();
-    job_cache.learn_job(
+    job_cache.update_job(
         id(2),
         Version(4),
         JobRecord::queued(&spec(2, &[1]), Wall(0)),
@@ -160,13 +160,13 @@
 #[test]
 fn a_cancellation_heard_from_a_peer_condemns_dependents() {
     let mut job_cache = JobCache::default();
-    job_cache.learn_job(id(1), Version(3), JobRecord::queued(&spec(1, &[]), Wall(0)));
-    job_cache.learn_job(
+    job_cache.update_job(id(1), Version(3), JobRecord::queued(&spec(1, &[]), Wall(0)));
+    job_cache.update_job(
         id(2),
         Version(4),
         JobRecord::queued(&spec(2, &[1]), Wall(0)),
     );
-    job_cache.learn_cancelled(&rudderreel_wire::peer::CancelledJob {
+    job_cache.update_cancelled(&rudderreel_wire::peer::CancelledJob {
         job: id(1).to_string(),
         version: Version(9),
         cancelled_ms: 7,
@@ -186,14 +186,14 @@
     let mut job_cache = JobCache::default();
     for n in 0..1_000 {
         let needs: Vec<usize> = (n > 0).then(|| n - 1).into_iter().collect();
-        job_cache.learn_job(
+        job_cache.update_job(
             id(n),
             Version(1),
             JobRecord::queued(&spec(n, &needs), Wall(0)),
         );
     }
     let all: Vec<usize> = (0..1_000).collect();
-    job_cache.learn_job(
+    job_cache.update_job(
         id(1_000),
         Version(1),
         JobRecord::queued(&spec(1_000, &all), Wall(0)),
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -65,15 +65,15 @@
     /// Machine types as a leader has kept them.
     pub catalog: Option<Catalog>,
     /// Whether they are where versions that know no dependencies read them.
-    pub catalog_for_all: bool,
+    pub catalog_in_common_key: bool,
     /// Whether they are where only later versions read them (see `version_gate`).
-    pub catalog_moved: bool,
+    pub catalog_in_gated_key: bool,
     /// Whether a job was seen whose user named dependencies.
     pub dependencies_seen: bool,
     /// Operators' settings that have yet to be taken up.
     pub admin: Option<(Version, AdminSettings)>,
     /// Whether the first read is complete.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Jobs that changed since the leader last looked.
     pub changed: Vec<JobId>,
     /// Which unfinished jobs need which others.
@@ -83,12 +83,12 @@
     /// How often a record could not be read.
     pub unreadable: u64,
     /// What other nodes have written about the cancellations that they know.
-    pub known: BTreeMap<NodeName, KnownRecord>,
+    pub peer_watermarks: BTreeMap<NodeName, KnownRecord>,
 }
 
 impl JobCache {
     /// Takes in a job's record if it is newer. A record never leaves a final state.
-    pub fn learn_job(&mut self, id: JobId, version: Version, record: JobRecord) {
+    pub fn update_job(&mut self, id: JobId, version: Version, record: JobRecord) {
         if let Some(known) = self.jobs.get_mut(&id) {
             if known.version >= version {
                 // A cancellation that a peer told of came without the submission.
@@ -116,7 +116,7 @@
     }
 
     /// Takes in a cancellation that another node knows of.
-    pub fn learn_cancelled(&mut self, told: &CancelledJob) {
+    pub fn update_cancelled(&mut self, told: &CancelledJob) {
         let Ok(id) = told.job.parse::<JobId>() else {
             return log::warn!("a peer tells of a job that can't be: {:.40}", told.job);
         };
@@ -130,7 +130,7 @@
             names_dependencies: false,
             spec: (self.jobs.get(&id)).and_then(|known| known.record.spec.clone()),
         };
-        self.learn_job(id, told.version, record);
+        self.update_job(id, told.version, record);
     }
 
     /// Cancellations after a revision, about so many: those of one revision are never parted, since who is
@@ -165,7 +165,7 @@
     /// Stops for what a report lists of cancelled jobs. They hold whoever gives them, since a job that
     /// is cancelled remains so: a node that answers workers in an outage, or that has not read back
     /// what runs where, gives no other commands, and would keep those tasks alive for too long.
-    pub fn stops_of_cancelled(&self, report: &StatusReport) -> Vec<Command> {
+    pub fn stops_for_cancelled_tasks(&self, report: &StatusReport) -> Vec<Command> {
         let cancelled = |id: &JobId| {
             let known = self.jobs.get(id);
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
@@ -182,7 +182,7 @@
 
     /// Which key the leader holds.
     pub fn leader_key(&self) -> LeaderKey {
-        match self.superseded() {
+        match self.superseded_leader() {
             Some(_) => LeaderKey::Gated,
             None => LeaderKey::Common,
         }
@@ -194,7 +194,7 @@
     }
 
     /// The common key with its version, once the leader's key is the other one.
-    pub fn superseded(&self) -> Option<&(Version, LeaderRecord)> {
+    pub fn superseded_leader(&self) -> Option<&(Version, LeaderRecord)> {
         let record = self.common_leader.record.as_ref();
         record.filter(|(_, record)| record.superseded)
     }
@@ -207,7 +207,7 @@
     }
 
     /// Takes in a leader's key as read at a revision.
-    pub fn learn_leader(
+    pub fn update_leader(
         &mut self,
         key: LeaderKey,
         revision: Version,
@@ -224,10 +224,10 @@
     }
 
     /// Takes in a leader's key as it was read by itself, at a revision that was not told.
-    pub fn learn_leader_read(&mut self, key: LeaderKey, record: Option<(Version, LeaderRecord)>) {
+    pub fn update_leader_read(&mut self, key: LeaderKey, record: Option<(Version, LeaderRecord)>) {
         let seen = self.held_key(key).seen;
         let revision = record.as_ref().map_or(seen, |(version, _)| *version);
-        self.learn_leader(key, revision, record);
+        self.update_leader(key, revision, record);
     }
 
     /// A leader of this node has stopped: its key is gone, or will be.
@@ -239,54 +239,54 @@
 
     /// A record can't be read: perhaps a later version wrote it. What it says is not known here, and a
     /// task or a cancellation may hang on it.
-    pub fn note_unreadable(&mut self, key: &str, why: &dyn std::fmt::Display) {
+    pub fn record_unreadable(&mut self, key: &str, why: &dyn std::fmt::Display) {
         self.unreadable += 1;
         log::error!("unreadable record {key}: {why}");
     }
 
     /// Takes in a key of the shared prefix.
-    pub fn learn(&mut self, key: &str, version: Version, value: &Value) {
+    pub fn apply_item(&mut self, key: &str, version: Version, value: &Value) {
         if let Some(leader_key) = LeaderKey::of_name(key) {
             match LeaderRecord::deserialize_from(value) {
-                Some(record) => self.learn_leader(leader_key, version, Some((version, record))),
-                None => self.note_unreadable(key, &"no leader's record"),
+                Some(record) => self.update_leader(leader_key, version, Some((version, record))),
+                None => self.record_unreadable(key, &"no leader's record"),
             }
         } else if key == ADMIN {
             match serde_json::from_value(value.clone()) {
                 Ok(settings) => self.admin = Some((version, settings)),
-                Err(e) => self.note_unreadable(key, &e),
+                Err(e) => self.record_unreadable(key, &e),
             }
         } else if key == CATALOG {
             self.catalog = serde_json::from_value(value.clone()).ok();
-            self.catalog_for_all = true;
+            self.catalog_in_common_key = true;
         } else if key == MACHINE_TYPES {
             // Null if they are too large to be stored.
             self.catalog = serde_json::from_value(value.clone()).ok();
-            self.catalog_moved = true;
+            self.catalog_in_gated_key = true;
         } else if let Some(node) = key.strip_prefix(KNOWN) {
             match serde_json::from_value(value.clone()) {
-                Ok(record) => drop(self.known.insert(node.into(), record)),
-                Err(e) => self.note_unreadable(key, &e),
+                Ok(record) => drop(self.peer_watermarks.insert(node.into(), record)),
+                Err(e) => self.record_unreadable(key, &e),
             }
         } else if let Some(id) = key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) {
             match serde_json::from_value(value.clone()) {
-                Ok(record) => self.learn_job(id, version, record),
-                Err(e) => self.note_unreadable(key, &e),
+                Ok(record) => self.update_job(id, version, record),
+                Err(e) => self.record_unreadable(key, &e),
             }
         }
     }
 
     /// Takes in an event of the watch.
-    pub fn learn_event(&mut self, event: &Event<Value>) {
+    pub fn apply_event(&mut self, event: &Event<Value>) {
         match event {
             Event::Put {
                 key,
                 value,
                 version,
-            } => self.learn(key, *version, value),
-            Event::Delete { key, .. } if key == CATALOG => self.catalog_for_all = false,
+            } => self.apply_item(key, *version, value),
+            Event::Delete { key, .. } if key == CATALOG => self.catalog_in_common_key = false,
             Event::Delete { key, version } => match LeaderKey::of_name(key) {
-                Some(leader_key) => self.learn_leader(leader_key, *version, None),
+                Some(leader_key) => self.update_leader(leader_key, *version, None),
                 None => log::debug!("{key} was deleted"),
             },
         }
--- a/crates/core/src/cache/job_cache/tests.rs
+++ b/crates/core/src/cache/job_cache/tests.rs
@@ -24,9 +24,9 @@
 fn all_cancellations_of_one_revision_are_told() {
     let mut cache = JobCache::default();
     for n in 1..=3 {
-        cache.learn_job(id(n), Version(7), cancelled(n));
+        cache.update_job(id(n), Version(7), cancelled(n));
     }
-    cache.learn_job(id(4), Version(9), cancelled(4));
+    cache.update_job(id(4), Version(9), cancelled(4));
     let told = cache.cancelled_after(Version(6), 100);
     let jobs: Vec<&str> = told.jobs.iter().map(|c| c.job.as_str()).collect();
     assert_eq!(jobs, ["wk-1", "wk-2", "wk-3", "wk-4"]);
@@ -39,7 +39,7 @@
 fn cancellations_are_cut_between_revisions() {
     let mut cache = JobCache::default();
     for n in 1..=6 {
-        cache.learn_job(id(n), Version(10 + u64::from(n.div_ceil(2))), cancelled(n));
+        cache.update_job(id(n), Version(10 + u64::from(n.div_ceil(2))), cancelled(n));
     }
     let told = cache.cancelled_after(Version(0), 3);
     assert_eq!((told.jobs.len(), told.cut_after), (2, Some(Version(11))));
@@ -54,10 +54,10 @@
 #[test]
 fn records_that_can_not_be_read_are_counted() {
     let mut cache = JobCache::default();
-    cache.learn_job(id(1), Version(3), JobRecord::queued(&spec(1), Wall(5)));
+    cache.update_job(id(1), Version(3), JobRecord::queued(&spec(1), Wall(5)));
     let later = serde_json::json!({"state": "suspended", "submitted": 5});
-    cache.learn("pub/job/wk-1", Version(4), &later);
-    cache.learn("pub/seat", Version(4), &serde_json::json!([]));
+    cache.apply_item("pub/job/wk-1", Version(4), &later);
+    cache.apply_item("pub/seat", Version(4), &serde_json::json!([]));
     assert_eq!(cache.unreadable, 2);
     assert_eq!(cache.jobs[&id(1)].version, Version(3));
     assert!(cache.leader().is_none());
--- a/crates/core/src/cache/leader_slot.rs
+++ b/crates/core/src/cache/leader_slot.rs
@@ -7,13 +7,13 @@
 impl JobCache {
     /// Whether jobs depend on others, now or earlier, as far as this node knows.
     pub fn dependencies_in_use(&self) -> bool {
-        self.dependencies_seen || self.catalog_moved || self.superseded().is_some()
+        self.dependencies_seen || self.catalog_in_gated_key || self.superseded_leader().is_some()
     }
 
     /// The leader's seat as it is known here.
     pub fn leader_slot(&self) -> LeaderSlot<'_> {
         match self.leader() {
-            None => LeaderSlot::Vacant(self.superseded()),
+            None => LeaderSlot::Vacant(self.superseded_leader()),
             Some(leader) if self.is_outdated(&leader.1) => LeaderSlot::Outdated(leader),
             Some(_) => LeaderSlot::Taken(self.leader_key()),
         }
--- a/crates/core/src/capacity/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -27,7 +27,7 @@
     /// In what time all that a job depends on will probably be done; none if some of that has yet to
     /// be started.
     fn ready_in(&self, job: &Job, now: Time) -> Option<Span> {
-        let spans = job.unmet.iter().map(|id| {
+        let spans = job.unmet_dependencies.iter().map(|id| {
             let dependency = self.jobs.get(id)?;
             self.done_in(dependency, now)
         });
@@ -35,14 +35,14 @@
     }
 
     fn done_in(&self, job: &Job, now: Time) -> Option<Span> {
-        if !job.is_ready() || job.free_tasks() > 0 {
+        if !job.is_ready() || job.startable_tasks() > 0 {
             return None;
         }
         let mut longest = Span(0);
-        for (index, places) in &job.places {
+        for (index, places) in &job.placements {
             for (machine, attempt) in places {
                 let task = job.spec.id.task(*index);
-                let entry = (self.fleet.machines.get(machine)?.entries.iter())
+                let entry = (self.fleet.machines.get(machine)?.tasks.iter())
                     .find(|e| e.task == task && e.attempt == *attempt)?;
                 longest = longest.max(ends_in(job, entry, now));
             }
@@ -54,7 +54,9 @@
 /// In what time a task will probably end.
 fn ends_in(job: &Job, entry: &PlacedTask, now: Time) -> Span {
     let estimate = job.spec.estimate_s;
-    let ran = entry.running.map_or(0.0, |since| (now - since).as_secs());
+    let ran = entry
+        .running_since
+        .map_or(0.0, |since| (now - since).as_secs());
     Span::secs((estimate - ran).max(ran * OVERRUN))
 }
 
--- a/crates/core/src/capacity/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -10,8 +10,8 @@
         run(&mut leader, &first, index, &machine);
     }
     for machine in leader.fleet.machines.values_mut() {
-        for entry in &mut machine.entries {
-            entry.running = Some(Time(NOW.time.0 - ran.0));
+        for entry in &mut machine.tasks {
+            entry.running_since = Some(Time(NOW.time.0 - ran.0));
         }
     }
     let mut second = (*job(2, "sweep", "red", "urgent").spec).clone();
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -78,12 +78,12 @@
             spare: vec![true; snapshot.candidates.len()],
         };
         let mut jobs: Vec<&Job> = (self.jobs.values())
-            .filter(|j| j.is_active() && j.free_tasks() > 0 && !j.is_suspected())
+            .filter(|j| j.is_active() && j.startable_tasks() > 0 && !j.is_suspected())
             .collect();
-        jobs.sort_by_cached_key(|j| j.order(self.is_overdue(j, now.wall)));
+        jobs.sort_by_cached_key(|j| j.queue_order(self.is_overdue(j, now.wall)));
         for job in jobs {
             match job.spec.kind {
-                Kind::Gang if !job.places.is_empty() => {}
+                Kind::Gang if !job.placements.is_empty() => {}
                 Kind::Gang if job.spec.one_zone => self.plan_gang(job, snapshot, &mut plan, now),
                 _ => self.plan_tasks(job, &mut plan, now),
             }
@@ -102,7 +102,7 @@
         if jobs.is_empty() {
             return;
         }
-        jobs.sort_by_cached_key(|j| j.order(false));
+        jobs.sort_by_cached_key(|j| j.queue_order(false));
         let mut free: Vec<Bin> = snapshot.candidates.iter().map(free_bin).collect();
         for job in jobs {
             let mut zones = Zones::new();
@@ -157,13 +157,16 @@
             let on_time = late
                 .get(&m.machine_type)
                 .is_none_or(|t| Leader::age(m, wall) < *t);
-            m.last_heard.is_none() && m.retire.is_none() && m.returning.is_none() && on_time
+            m.last_heard_at.is_none()
+                && m.retire_reason.is_none()
+                && m.return_requested_at.is_none()
+                && on_time
         };
         for machine in self.fleet.machines.values().filter(booting) {
             let offer = InstanceOffer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
-                spot: machine.spot,
+                spot: machine.is_spot,
             };
             *counts.entry(offer).or_default() += 1;
         }
@@ -199,13 +202,13 @@
     /// that users give it, with a machine's boot before it: a machine that is rented for one short
     /// task after the other costs less than one for each.
     fn tasks_wanted(&self, job: &Job, now: Now) -> u32 {
-        let free = job.free_tasks();
+        let free = job.startable_tasks();
         let spec = &job.spec;
-        let left = (job.goal.finish_by)
+        let left = (job.urgency.deadline)
             .map(|wall| now.wall.until(wall))
             .or_else(|| {
                 let aim = *self.policy.completion_objectives.get(&spec.class)?;
-                Some(now.wall.until(job.waits_since() + aim))
+                Some(now.wall.until(job.waiting_since() + aim))
             });
         let (Kind::Array, Some(left)) = (spec.kind, left) else {
             return free;
@@ -217,7 +220,7 @@
         let each = spec.estimate_s.max(1.0);
         let rounds = (((left.as_secs() - boot) * USE / each).floor()).max(1.0);
         let placed = job
-            .places
+            .placements
             .keys()
             .filter(|i| !job.done.contains(**i))
             .count() as u32;
@@ -257,7 +260,7 @@
     fn zones_of(&self, job: &Job) -> Zones {
         let mut zones = Zones::new();
         if is_bound(&job.spec) {
-            for (id, _) in job.places.values().flatten() {
+            for (id, _) in job.placements.values().flatten() {
                 if let Some(machine) = self.fleet.machines.get(id) {
                     *zones.entry(machine.zone.clone()).or_default() += 1;
                 }
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -19,7 +19,7 @@
 
 impl Leader {
     /// Machines to return now: idle ones once they have been paid for, stuck and silent ones.
-    pub(crate) fn due_returns(&mut self, now: Now) -> Vec<MachineId> {
+    pub(crate) fn machines_to_return(&mut self, now: Now) -> Vec<MachineId> {
         let boots: BTreeMap<TypeName, Span> = (self.policy.catalog.types.iter())
             .map(|t| (t.name.clone(), Span::secs(t.boot_s * 4.0 + 30.0)))
             .collect();
@@ -27,39 +27,40 @@
         let keeps = self.keep_times();
         let partitioned_zones: BTreeSet<Zone> =
             self.fleet.partitioned_zones.keys().cloned().collect();
-        let lost = self.lost(now.time);
+        let lost = self.machines_declared_dead(now.time);
         let (led, lease) = (now.time - self.term.elected_at, self.agent_timings.lease);
         let mut names = Vec::new();
         for machine in self.fleet.machines.values_mut() {
             let age = Leader::age(machine, now.wall);
             let boot = (boots.get(&machine.machine_type).copied()).unwrap_or(Span(180_000));
             if let Some(why) = lost.get(&machine.id) {
-                machine.retire.get_or_insert(why);
+                machine.retire_reason.get_or_insert(why);
             }
             // This leader may not have been told yet that a machine of an earlier one is up.
-            if machine.last_heard.is_none() && age > boot && led > Span(lease.0 * 2) {
-                machine.retire.get_or_insert("never came up");
+            if machine.last_heard_at.is_none() && age > boot && led > Span(lease.0 * 2) {
+                machine.retire_reason.get_or_insert("never came up");
             }
             let keep = (keeps
-                .get(&(machine.machine_type.clone(), machine.spot))
+                .get(&(machine.machine_type.clone(), machine.is_spot))
                 .copied())
             .unwrap_or(self.policy.idle_retention);
             // Behind a cut it can't be used, and is not idle for that.
-            let idle = !partitioned_zones.contains(&machine.zone) && machine.entries.is_empty()
+            let idle = !partitioned_zones.contains(&machine.zone) && machine.tasks.is_empty()
                 || spare_only.contains(&machine.id);
             if !idle {
-                machine.idle = None;
+                machine.idle_since = None;
             } else {
-                let since = *machine.idle.get_or_insert(now.time);
-                if machine.last_heard.is_some() && age > LEAST_CHARGE && now.time - since > keep {
-                    machine.retire.get_or_insert(IDLE);
+                let since = *machine.idle_since.get_or_insert(now.time);
+                if machine.last_heard_at.is_some() && age > LEAST_CHARGE && now.time - since > keep
+                {
+                    machine.retire_reason.get_or_insert(IDLE);
                 }
             }
             let asked = machine
-                .returning
+                .return_requested_at
                 .is_some_and(|t| now.time - t < Span(5_000));
-            let urgent = machine.retire.is_some_and(|why| why != IDLE);
-            let due = machine.retire.is_some() && (urgent || machine.entries.is_empty());
+            let urgent = machine.retire_reason.is_some_and(|why| why != IDLE);
+            let due = machine.retire_reason.is_some() && (urgent || machine.tasks.is_empty());
             if due && !asked && names.len() < MACHINES_PER_RETURN {
                 names.push(machine.id.clone());
             }
@@ -83,21 +84,21 @@
             .collect()
     }
 
-    pub(crate) fn note_returning(&mut self, names: &[MachineId], now: Now) {
+    pub(crate) fn record_return_request(&mut self, names: &[MachineId], now: Now) {
         for id in names {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
-                machine.returning = Some(now.time);
-                log::info!("returning {id}: {}", machine.retire.unwrap_or(""));
+                machine.return_requested_at = Some(now.time);
+                log::info!("returning {id}: {}", machine.retire_reason.unwrap_or(""));
             }
         }
     }
 
-    pub(crate) fn note_return(&mut self, id: &MachineId) {
+    pub(crate) fn record_return(&mut self, id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get(id) {
             self.scale_out.came_free(&InstanceOffer {
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
-                spot: machine.spot,
+                spot: machine.is_spot,
             });
         }
     }
@@ -106,11 +107,11 @@
     /// work that has ended, and is not worth the machine.
     fn spare_only(&self) -> BTreeSet<MachineId> {
         let spare = |m: &&Machine| {
-            m.room.gpus > 0
-                && !m.entries.is_empty()
-                && m.entries.iter().all(|e| {
+            m.capacity.gpus > 0
+                && !m.tasks.is_empty()
+                && m.tasks.iter().all(|e| {
                     let job = self.jobs.get(&e.task.job);
-                    !e.holds_room()
+                    !e.occupies_capacity()
                         || job.is_some_and(|j| {
                             j.need.gpus == 0
                                 && j.is_preemptible()
@@ -124,16 +125,16 @@
     }
 
     /// Stops what is left on machines that are to be returned once they are empty.
-    pub fn empty_retired(&mut self, now: Time) {
+    pub fn stop_tasks_on_retired(&mut self, now: Time) {
         let left: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
-            .filter(|m| m.retire == Some(IDLE))
-            .flat_map(|m| m.entries.iter().map(move |e| (m, e)))
-            .filter(|(_, e)| e.holds_room() && e.stop.is_none())
+            .filter(|m| m.retire_reason == Some(IDLE))
+            .flat_map(|m| m.tasks.iter().map(move |e| (m, e)))
+            .filter(|(_, e)| e.occupies_capacity() && e.stop.is_none())
             .map(|(m, e)| (m.id.clone(), e.task.job.clone(), e.attempt))
             .collect();
         for (machine, job, attempt) in left {
             let grace = self.jobs.get(&job).map_or(0.0, |j| j.spec.save_s);
-            self.stop_on(
+            self.stop_attempt_on(
                 &machine,
                 &job,
                 attempt,
@@ -145,7 +146,7 @@
     }
 
     /// Takes in a page of the machine list, which may be older than what is known.
-    pub(crate) fn learn_list(&mut self, listed: &[ListedMachine], now: Now) {
+    pub(crate) fn apply_cloud_list(&mut self, listed: &[ListedMachine], now: Now) {
         for found in listed {
             if self.fleet.returned.contains_key(&found.id) {
                 continue;
@@ -164,12 +165,12 @@
                     let since = crate::units::Wall(since);
                     Machine::new(found.id.clone(), t, z, found.spot, room, since)
                 });
-            machine.listed = true;
+            machine.in_cloud_list = true;
             if machine.addr.is_none() {
                 machine.addr = found.addr.clone();
             }
             if found.state == ListedState::Failed {
-                machine.retire.get_or_insert("failed");
+                machine.retire_reason.get_or_insert("failed");
             }
         }
     }
--- a/crates/core/src/dispatch/commands.rs
+++ b/crates/core/src/dispatch/commands.rs
@@ -25,8 +25,8 @@
     pub(crate) fn of(&self, leader: &Leader) -> &[Resources] {
         self.by_node.get_or_init(|| {
             let mut sums = vec![Resources::default(); leader.policy.teams.nodes.len()];
-            for job in leader.jobs.values().filter(|j| !j.places.is_empty()) {
-                let used = job.need.times(job.placed());
+            for job in leader.jobs.values().filter(|j| !j.placements.is_empty()) {
+                let used = job.need.times(job.placement_count());
                 let leaf = leader.policy.teams.find(&job.spec.team);
                 for node in leaf
                     .into_iter()
@@ -53,12 +53,12 @@
         let Some(job) = self.jobs.get(&entry.task.job) else {
             return false;
         };
-        let elsewhere = (job.places.get(&entry.task.index)).is_some_and(|p| {
+        let elsewhere = (job.placements.get(&entry.task.index)).is_some_and(|p| {
             p.iter()
                 .any(|(m, a)| *m != machine.id || *a != entry.attempt)
         });
         let spec = &job.spec;
-        let fresh = (machine.last_heard).is_some_and(|t| now - t < self.agent_timings.lease);
+        let fresh = (machine.last_heard_at).is_some_and(|t| now - t < self.agent_timings.lease);
         let free = machine.free();
         let rules = [
             (
@@ -70,15 +70,18 @@
             (!job.done.contains(entry.task.index), "not done"),
             (!elsewhere, "nowhere else"),
             (entry.is_recorded() && entry.stop.is_none(), "recorded"),
-            (machine.is_known(self.term.epoch) && fresh, "machine known"),
-            (machine.returning.is_none(), "machine kept"),
             (
-                actions::allowed(spec, &machine.machine_type, &machine.zone, machine.spot),
+                machine.is_reconciled(self.term.epoch) && fresh,
+                "machine known",
+            ),
+            (machine.return_requested_at.is_none(), "machine kept"),
+            (
+                actions::allowed(spec, &machine.machine_type, &machine.zone, machine.is_spot),
                 "type, zone, kind",
             ),
             (free.cpus >= 0 && free.gpus >= 0 && free.memory >= 0, "room"),
-            (self.zones_hold(job), "zones"),
-            (self.limit_holds(job, usage), "limit"),
+            (self.keeps_zone_rules(job), "zones"),
+            (self.keeps_team_limits(job, usage), "limit"),
         ];
         match rules.iter().find(|(holds, _)| !holds) {
             Some((_, rule)) => {
@@ -90,13 +93,13 @@
     }
 
     /// Whether everything of a job that may exist keeps to its zones, planned starts included.
-    pub(crate) fn zones_hold(&self, job: &Job) -> bool {
+    pub(crate) fn keeps_zone_rules(&self, job: &Job) -> bool {
         let spec = &job.spec;
         if !spec.spread && !spec.one_zone {
             return true;
         }
         let mut zones: Vec<(&Zone, u32)> = Vec::new();
-        let machines = job.places.values().flatten();
+        let machines = job.placements.values().flatten();
         for machine in machines.filter_map(|(id, _)| self.fleet.machines.get(id)) {
             match zones.iter_mut().find(|(zone, _)| **zone == machine.zone) {
                 Some((_, n)) => *n += 1,
@@ -107,7 +110,7 @@
     }
 
     /// Whether everything of a team that may exist keeps to its limit, planned starts included.
-    pub(crate) fn limit_holds(&self, job: &Job, usage: &TeamUsage) -> bool {
+    pub(crate) fn keeps_team_limits(&self, job: &Job, usage: &TeamUsage) -> bool {
         let Some(leaf) = self.policy.teams.find(&job.spec.team) else {
             return false;
         };
@@ -129,9 +132,9 @@
     /// The same, looked up on every machine: the slow plain way, which tests compare with.
     fn used_below_by_machine(&self, node: usize) -> Resources {
         let mut sum = Resources::default();
-        for entry in self.fleet.machines.values().flat_map(|m| &m.entries) {
+        for entry in self.fleet.machines.values().flat_map(|m| &m.tasks) {
             let job = self.jobs.get(&entry.task.job);
-            if entry.holds_room() && job.is_some_and(|j| self.is_below(j, node)) {
+            if entry.occupies_capacity() && job.is_some_and(|j| self.is_below(j, node)) {
                 sum += entry.need;
             }
         }
@@ -163,11 +166,11 @@
         let mut commands = Vec::new();
         let mut started = Vec::new();
         let leads = self.term.is_lease_valid(now);
-        for entry in &machine.entries {
+        for entry in &machine.tasks {
             let (task, attempt) = (entry.task.clone(), entry.attempt);
             if entry.may_forget() && !direct {
                 commands.push(Command::Forget { task, attempt });
-            } else if let (Some(stop), true) = (entry.stop, entry.holds_room()) {
+            } else if let (Some(stop), true) = (entry.stop, entry.occupies_capacity()) {
                 if entry.awaits_stop() {
                     commands.insert(
                         0,
@@ -180,7 +183,7 @@
                 }
             } else if leads
                 && matches!(entry.phase, Phase::Planned | Phase::Sent)
-                && !(direct && entry.phase == Phase::Sent && entry.sent.0 == self.term.epoch)
+                && !(direct && entry.phase == Phase::Sent && entry.start_sent.0 == self.term.epoch)
                 && self.may_start(machine, entry, usage, now)
             {
                 commands.push(Command::Start { task, attempt });
@@ -189,12 +192,12 @@
         }
         let epoch = self.term.epoch;
         if let Some(machine) = self.fleet.machines.get_mut(id) {
-            let incarnation = machine.newest.0;
+            let incarnation = machine.last_message.0;
             for (task, attempt) in started {
-                if let Some(entry) = machine.entry_mut(&task, attempt) {
+                if let Some(entry) = machine.task_mut(&task, attempt) {
                     entry.phase = Phase::Sent;
-                    entry.sent = (epoch, incarnation);
-                    entry.in_flight += u32::from(direct);
+                    entry.start_sent = (epoch, incarnation);
+                    entry.open_direct_starts += u32::from(direct);
                 }
             }
         }
@@ -202,27 +205,30 @@
     }
 
     /// Direct starts have ended, with or without an answer.
-    pub fn direct_ended(&mut self, id: &MachineId, commands: &[Command], unsure: bool) {
+    pub fn direct_call_ended(&mut self, id: &MachineId, commands: &[Command], unsure: bool) {
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
         };
-        machine.direct_open = false;
+        machine.direct_call_open = false;
         for command in commands {
             if let Command::Start { task, attempt } = command {
-                if let Some(entry) = machine.entry_mut(task, *attempt) {
-                    entry.in_flight = entry.in_flight.saturating_sub(1);
-                    entry.unsure |= unsure;
+                if let Some(entry) = machine.task_mut(task, *attempt) {
+                    entry.open_direct_starts = entry.open_direct_starts.saturating_sub(1);
+                    entry.start_may_arrive_late |= unsure;
                 }
             }
         }
     }
 
     /// Whether commands are waiting that a direct call would speed up.
-    pub fn wants_direct(&self, machine: &Machine, now: Time) -> bool {
-        if machine.direct_open || machine.direct_after > now || !machine.is_known(self.term.epoch) {
+    pub fn needs_direct_call(&self, machine: &Machine, now: Time) -> bool {
+        if machine.direct_call_open
+            || machine.next_direct_call_at > now
+            || !machine.is_reconciled(self.term.epoch)
+        {
             return false;
         }
-        machine.entries.iter().any(|e| {
+        machine.tasks.iter().any(|e| {
             let start = e.is_recorded() && e.phase == Phase::Planned && e.stop.is_none();
             start || e.awaits_stop()
         })
@@ -231,12 +237,16 @@
     /// Whether a start of unknown outcome stands in the way and only a new epoch rules it out.
     pub fn needs_epoch_bump(&self, now: Time) -> bool {
         let stuck = |e: &PlacedTask| {
-            let ended = matches!(e.phase, Phase::Exited(_)) && e.settled && e.unsure;
-            let missing = e.missing.is_some_and(|since| now > since + Span(3_000));
+            let ended = matches!(e.phase, Phase::Exited(_))
+                && e.outcome_recorded
+                && e.start_may_arrive_late;
+            let missing = e
+                .missing_since
+                .is_some_and(|since| now > since + Span(3_000));
             ended || (missing && e.stop.is_some())
         };
         now > self.term.epoch_bump.last_at + Span(5_000)
             && (self.fleet.machines.values())
-                .any(|m| m.is_known(self.term.epoch) && m.entries.iter().any(stuck))
+                .any(|m| m.is_reconciled(self.term.epoch) && m.tasks.iter().any(stuck))
     }
 }
--- a/crates/core/src/fleet/blame.rs
+++ b/crates/core/src/fleet/blame.rs
@@ -13,37 +13,38 @@
 impl Machine {
     /// Whether several jobs that are not suspected have failed on it.
     pub fn is_suspected(&self) -> bool {
-        self.blamed.len() >= JOBS_TO_SUSPECT_MACHINE
+        self.failed_jobs.len() >= JOBS_TO_SUSPECT_MACHINE
     }
 
     /// A job failed on it; `sound` if nothing speaks against the job.
     pub fn record_failure(&mut self, job: &JobId, sound: bool, now: Time) {
-        self.blamed.retain(|(_, at)| now - *at < EVIDENCE_TTL);
-        if self.blamed.len() < MAX_EVIDENCE && !self.blamed.iter().any(|(j, _)| j == job) {
-            self.blamed.push((job.clone(), now));
+        self.failed_jobs.retain(|(_, at)| now - *at < EVIDENCE_TTL);
+        if self.failed_jobs.len() < MAX_EVIDENCE && !self.failed_jobs.iter().any(|(j, _)| j == job)
+        {
+            self.failed_jobs.push((job.clone(), now));
         }
         // A job that never succeeded, on a machine where others do, is the likelier to blame.
-        if sound || !self.proven || self.is_suspected() {
-            let times = (self.blamed.len() as u32)
+        if sound || !self.has_completed_task || self.is_suspected() {
+            let times = (self.failed_jobs.len() as u32)
                 .saturating_sub(1)
                 .min(MAX_DOUBLINGS);
-            self.quarantine = now + Span(FIRST_QUARANTINE.0 << times);
+            self.quarantined_until = now + Span(FIRST_QUARANTINE.0 << times);
         }
     }
 
     /// The machine is not to blame for a job's failures.
-    pub fn absolve(&mut self, job: &JobId, now: Time) {
-        let before = self.blamed.len();
-        self.blamed.retain(|(j, _)| j != job);
-        if self.blamed.len() < before && !self.is_suspected() {
-            self.quarantine = self.quarantine.min(now);
+    pub fn clear_blame(&mut self, job: &JobId, now: Time) {
+        let before = self.failed_jobs.len();
+        self.failed_jobs.retain(|(j, _)| j != job);
+        if self.failed_jobs.len() < before && !self.is_suspected() {
+            self.quarantined_until = self.quarantined_until.min(now);
         }
     }
 
     /// A task was completed on it.
-    pub fn succeeded(&mut self, now: Time) {
-        self.blamed.clear();
-        self.proven = true;
-        self.quarantine = self.quarantine.min(now);
+    pub fn task_succeeded(&mut self, now: Time) {
+        self.failed_jobs.clear();
+        self.has_completed_task = true;
+        self.quarantined_until = self.quarantined_until.min(now);
     }
 }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -48,25 +48,25 @@
     /// How far it has come.
     pub phase: Phase,
     /// The committed page that names it.
-    pub page: SegmentId,
+    pub segment: SegmentId,
     /// A page whose commit is open and that names it.
-    pub writing: SegmentId,
+    pub pending_segment: SegmentId,
     /// The epoch and session that a start was last sent under.
-    pub sent: (Epoch, Incarnation),
+    pub start_sent: (Epoch, Incarnation),
     /// Direct starts whose outcome is open.
-    pub in_flight: u32,
+    pub open_direct_starts: u32,
     /// A direct start ended without an answer and may still be carried out.
-    pub unsure: bool,
+    pub start_may_arrive_late: bool,
     /// It is to be stopped, with so much time to save.
     pub stop: Option<Stop>,
     /// The outcome was taken in, and the worker may forget it.
-    pub settled: bool,
+    pub outcome_recorded: bool,
     /// When it was placed.
-    pub placed: Time,
+    pub placed_at: Time,
     /// Since when it has been running.
-    pub running: Option<Time>,
+    pub running_since: Option<Time>,
     /// Since when newest reports omit it although it should be there.
-    pub missing: Option<Time>,
+    pub missing_since: Option<Time>,
 }
 
 /// Why and how a task is stopped.
@@ -89,26 +89,26 @@
             need: spec.as_deref().map(Resources::of_task).unwrap_or_default(),
             spec,
             phase: Phase::Planned,
-            page: SegmentId::NONE,
-            writing: SegmentId::NONE,
-            sent: (Epoch(0), Incarnation(0)),
-            in_flight: 0,
-            unsure: false,
+            segment: SegmentId::NONE,
+            pending_segment: SegmentId::NONE,
+            start_sent: (Epoch(0), Incarnation(0)),
+            open_direct_starts: 0,
+            start_may_arrive_late: false,
             stop: None,
-            settled: false,
-            placed: now,
-            running: None,
-            missing: None,
+            outcome_recorded: false,
+            placed_at: now,
+            running_since: None,
+            missing_since: None,
         }
     }
 
     /// Whether a committed page names it.
     pub fn is_recorded(&self) -> bool {
-        self.page != SegmentId::NONE
+        self.segment != SegmentId::NONE
     }
 
     /// Whether it takes room: everything that has not surely ended.
-    pub fn holds_room(&self) -> bool {
+    pub fn occupies_capacity(&self) -> bool {
         !matches!(self.phase, Phase::Exited(_))
     }
 
@@ -123,16 +123,16 @@
     /// Whether its worker has yet to be told to stop it, or to end what it still saves.
     pub fn awaits_stop(&self) -> bool {
         let saves = self.phase == Phase::On(TaskState::Saving);
-        (self.stop).is_some_and(|stop| self.holds_room() && !(saves && stop.grace_s > 0.0))
+        (self.stop).is_some_and(|stop| self.occupies_capacity() && !(saves && stop.grace_s > 0.0))
     }
 
     /// Whether the worker may forget it: no start for it may be under way, for after that a
     /// repeated start would run it again.
     pub fn may_forget(&self) -> bool {
         matches!(self.phase, Phase::Exited(_))
-            && self.settled
-            && self.in_flight == 0
-            && !self.unsure
+            && self.outcome_recorded
+            && self.open_direct_starts == 0
+            && !self.start_may_arrive_late
     }
 }
 
@@ -146,58 +146,58 @@
     /// Its zone.
     pub zone: Zone,
     /// Spot or ordinary.
-    pub spot: bool,
+    pub is_spot: bool,
     /// What it offers; nothing while its type is unknown.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Where its worker takes commands, once it has reported.
     pub addr: Option<String>,
     /// Newest message taken in.
-    pub newest: (Incarnation, Seq),
+    pub last_message: (Incarnation, Seq),
     /// Highest epoch that its worker has acknowledged.
-    pub acked: Epoch,
+    pub acknowledged_epoch: Epoch,
     /// What may be on it.
-    pub entries: Vec<PlacedTask>,
+    pub tasks: Vec<PlacedTask>,
     /// The committed page that names it, and one whose commit is open.
-    pub page: SegmentId,
+    pub segment: SegmentId,
     /// A page whose commit is open and that names it.
-    pub writing: SegmentId,
+    pub pending_segment: SegmentId,
     /// The last full list of tasks that was taken in, and the message that it came with.
-    pub list: ((Incarnation, Seq), Arc<[TaskStatus]>),
+    pub last_task_list: ((Incarnation, Seq), Arc<[TaskStatus]>),
     /// When a node last answered a report of its worker.
-    pub last_answer: Option<Time>,
+    pub last_answered_at: Option<Time>,
     /// When its worker was last heard.
-    pub last_heard: Option<Time>,
+    pub last_heard_at: Option<Time>,
     /// When the cloud will take it away.
-    pub notice: Option<Time>,
+    pub reclaim_at: Option<Time>,
     /// Images that it should have.
-    pub images: BTreeSet<Image>,
+    pub cached_images: BTreeSet<Image>,
     /// A direct call to its worker is open.
-    pub direct_open: bool,
+    pub direct_call_open: bool,
     /// Direct calls wait until then, after one without an answer.
-    pub direct_after: Time,
+    pub next_direct_call_at: Time,
     /// Direct calls in a row that its worker has not answered. Reports alone don't show that it
     /// can be commanded: they may arrive while nothing reaches it.
-    pub unanswered: u32,
+    pub unanswered_calls: u32,
     /// When the first of them was sent.
-    pub deaf_since: Option<Time>,
+    pub unreachable_since: Option<Time>,
     /// It is to be emptied and returned, and why.
-    pub retire: Option<&'static str>,
+    pub retire_reason: Option<&'static str>,
     /// A return was asked for.
-    pub returning: Option<Time>,
+    pub return_requested_at: Option<Time>,
     /// When it was rented or first seen.
-    pub since: Wall,
+    pub known_since: Wall,
     /// Since when nothing has been on it.
-    pub idle: Option<Time>,
+    pub idle_since: Option<Time>,
     /// Jobs that failed on it with nothing else speaking against them, and when.
-    pub blamed: Vec<(JobId, Time)>,
+    pub failed_jobs: Vec<(JobId, Time)>,
     /// Whether a task was ever completed on it.
-    pub proven: bool,
+    pub has_completed_task: bool,
     /// No starts before this moment, after errors.
-    pub quarantine: Time,
+    pub quarantined_until: Time,
     /// Nothing new before this moment: it is being emptied.
-    pub cordon: Time,
+    pub cordoned_until: Time,
     /// It was in the cloud's list.
-    pub listed: bool,
+    pub in_cloud_list: bool,
 }
 
 /// What a report changed.
@@ -227,32 +227,32 @@
             id,
             machine_type,
             zone,
-            spot,
-            room,
+            is_spot: spot,
+            capacity: room,
             addr: None,
-            newest: (Incarnation(0), Seq(0)),
-            acked: Epoch(0),
-            entries: Vec::new(),
-            page: SegmentId::NONE,
-            writing: SegmentId::NONE,
-            list: ((Incarnation(0), Seq(0)), Arc::new([])),
-            last_answer: None,
-            last_heard: None,
-            notice: None,
-            images: BTreeSet::new(),
-            direct_open: false,
-            direct_after: Time(0),
-            unanswered: 0,
-            deaf_since: None,
-            retire: None,
-            returning: None,
-            since,
-            idle: None,
-            blamed: Vec::new(),
-            proven: false,
-            quarantine: Time(0),
-            cordon: Time(0),
-            listed: false,
+            last_message: (Incarnation(0), Seq(0)),
+            acknowledged_epoch: Epoch(0),
+            tasks: Vec::new(),
+            segment: SegmentId::NONE,
+            pending_segment: SegmentId::NONE,
+            last_task_list: ((Incarnation(0), Seq(0)), Arc::new([])),
+            last_answered_at: None,
+            last_heard_at: None,
+            reclaim_at: None,
+            cached_images: BTreeSet::new(),
+            direct_call_open: false,
+            next_direct_call_at: Time(0),
+            unanswered_calls: 0,
+            unreachable_since: None,
+            retire_reason: None,
+            return_requested_at: None,
+            known_since: since,
+            idle_since: None,
+            failed_jobs: Vec::new(),
+            has_completed_task: false,
+            quarantined_until: Time(0),
+            cordoned_until: Time(0),
+            in_cloud_list: false,
         }
     }
 
@@ -263,55 +263,56 @@
                 .as_ref()
                 .is_some_and(|s| crate::jobs::job::is_non_preemptible(s))
         };
-        self.entries.iter().any(|e| e.holds_room() && firm(e))
+        self.tasks.iter().any(|e| e.occupies_capacity() && firm(e))
     }
 
     /// What is free: nothing that may still be there is counted as free, and nothing at all while there
     /// may be something of which it is not known what it takes.
     pub fn free(&self) -> Resources {
-        if (self.entries.iter()).any(|e| e.holds_room() && e.spec.is_none()) {
+        if (self.tasks.iter()).any(|e| e.occupies_capacity() && e.spec.is_none()) {
             return Resources::default();
         }
-        let mut free = self.room;
-        for entry in self.entries.iter().filter(|e| e.holds_room()) {
+        let mut free = self.capacity;
+        for entry in self.tasks.iter().filter(|e| e.occupies_capacity()) {
             free -= entry.need;
         }
         free
     }
 
     /// The entry of a task's attempt.
-    pub fn entry_mut(&mut self, task: &TaskId, attempt: Attempt) -> Option<&mut PlacedTask> {
-        self.entries
+    pub fn task_mut(&mut self, task: &TaskId, attempt: Attempt) -> Option<&mut PlacedTask> {
+        self.tasks
             .iter_mut()
             .find(|e| e.attempt == attempt && e.task == *task)
     }
 
     /// Whether it is up and its contents are known under this epoch.
-    pub fn is_known(&self, epoch: Epoch) -> bool {
-        self.last_heard.is_some() && self.acked == epoch
+    pub fn is_reconciled(&self, epoch: Epoch) -> bool {
+        self.last_heard_at.is_some() && self.acknowledged_epoch == epoch
     }
 
     /// Takes in a report. Old ones change nothing.
     pub fn apply_report(&mut self, report: &StatusReport, epoch: Epoch, now: Time) -> Vec<Change> {
-        if (report.incarnation, report.seq) <= self.newest {
+        if (report.incarnation, report.seq) <= self.last_message {
             log::debug!("an old report of {} changes nothing", self.id);
             return Vec::new();
         }
-        let renewed = report.incarnation > self.newest.0 && self.newest.0 != Incarnation(0);
-        if report.token > self.acked {
-            self.reacted();
-        } else if renewed && self.last_answer.is_some() {
+        let renewed =
+            report.incarnation > self.last_message.0 && self.last_message.0 != Incarnation(0);
+        if report.token > self.acknowledged_epoch {
+            self.call_answered();
+        } else if renewed && self.last_answered_at.is_some() {
             // Its lease ran out although it was answered: perhaps nothing reaches it. Until it
             // has answered a call it gets nothing new.
-            self.did_not_react(now);
+            self.call_unanswered(now);
         }
-        self.newest = (report.incarnation, report.seq);
-        self.acked = report.token;
+        self.last_message = (report.incarnation, report.seq);
+        self.acknowledged_epoch = report.token;
         self.addr = Some(report.addr.clone());
-        self.last_heard = Some(now);
-        self.notice = report.notice_s.map(|s| now + Span::secs(s));
+        self.last_heard_at = Some(now);
+        self.reclaim_at = report.notice_s.map(|s| now + Span::secs(s));
         let mut changes = Vec::new();
-        self.entries.retain_mut(|entry| {
+        self.tasks.retain_mut(|entry| {
             let told =
                 (report.tasks.iter()).find(|t| t.attempt == entry.attempt && t.task == entry.task);
             match told {
@@ -319,11 +320,11 @@
                     entry.reconcile_report(told, now, &mut changes);
                     true
                 }
-                None => entry.omitted(report, epoch, now, &mut changes),
+                None => entry.apply_omission(report, epoch, now, &mut changes),
             }
         });
         for told in &report.tasks {
-            if !(self.entries.iter()).any(|e| e.attempt == told.attempt && e.task == told.task) {
+            if !(self.tasks.iter()).any(|e| e.attempt == told.attempt && e.task == told.task) {
                 changes.push(Change::Foreign(told.clone()));
             }
         }
@@ -331,20 +332,20 @@
     }
 
     /// Its worker has answered a call, or shown that it got an answer.
-    pub fn reacted(&mut self) {
-        self.unanswered = 0;
-        self.deaf_since = None;
+    pub fn call_answered(&mut self) {
+        self.unanswered_calls = 0;
+        self.unreachable_since = None;
     }
 
     /// Its worker has left a call unanswered.
-    pub fn did_not_react(&mut self, now: Time) {
-        self.unanswered += 1;
-        self.deaf_since.get_or_insert(now);
+    pub fn call_unanswered(&mut self, now: Time) {
+        self.unanswered_calls += 1;
+        self.unreachable_since.get_or_insert(now);
     }
 
     /// Whether nobody can have answered its worker for so long that everything on it is gone.
     /// `old_leaders_fenced_at`: since when no older leader can have answered; none while that is not known.
-    pub fn lease_surely_over(
+    pub fn is_lease_expired(
         &self,
         now: Time,
         lease: Span,
@@ -352,9 +353,9 @@
     ) -> bool {
         let margin = Span(500);
         old_leaders_fenced_at.is_some_and(|old_leaders_fenced_at| {
-            let heard = self.last_heard.unwrap_or(old_leaders_fenced_at);
+            let heard = self.last_heard_at.unwrap_or(old_leaders_fenced_at);
             let last = self
-                .last_answer
+                .last_answered_at
                 .unwrap_or(old_leaders_fenced_at)
                 .max(heard)
                 .max(old_leaders_fenced_at);
@@ -363,34 +364,34 @@
     }
 
     /// Everything on it is surely gone. Returns what was there.
-    pub fn clear(&mut self) -> Vec<(TaskId, Attempt)> {
-        let gone = self.entries.drain(..).filter(PlacedTask::holds_room);
+    pub fn take_tasks(&mut self) -> Vec<(TaskId, Attempt)> {
+        let gone = self.tasks.drain(..).filter(PlacedTask::occupies_capacity);
         gone.map(|e| (e.task, e.attempt)).collect()
     }
 }
 
 impl PlacedTask {
     fn reconcile_report(&mut self, told: &TaskStatus, now: Time, changes: &mut Vec<Change>) {
-        self.missing = None;
+        self.missing_since = None;
         if matches!(self.phase, Phase::Exited(_)) {
             return;
         }
         if told.state == TaskState::Exited {
             let why = told.why.unwrap_or(Cause::Error);
-            let ran = self.running.map(|since| now - since);
+            let ran = self.running_since.map(|since| now - since);
             self.phase = Phase::Exited(why);
             changes.push(Change::Exited(self.task.clone(), self.attempt, why, ran));
             return;
         }
-        if told.state == TaskState::Running && self.running.is_none() {
-            self.running = Some(now);
+        if told.state == TaskState::Running && self.running_since.is_none() {
+            self.running_since = Some(now);
             changes.push(Change::Started(self.task.clone(), self.attempt));
         }
         self.phase = Phase::On(told.state);
     }
 
     /// The newest report omits it. Returns whether it may still be there, or come.
-    fn omitted(
+    fn apply_omission(
         &mut self,
         report: &StatusReport,
         epoch: Epoch,
@@ -400,10 +401,10 @@
         if self.phase == Phase::Planned {
             return true;
         }
-        let later_session = report.incarnation > self.sent.1;
-        let later_epoch = report.token == epoch && report.token > self.sent.0;
+        let later_session = report.incarnation > self.start_sent.1;
+        let later_epoch = report.token == epoch && report.token > self.start_sent.0;
         if later_session || later_epoch {
-            if self.holds_room() {
+            if self.occupies_capacity() {
                 changes.push(Change::Gone(self.task.clone(), self.attempt));
             }
             return false;
@@ -412,7 +413,7 @@
             // It was forgotten as told. Nothing is under way, or it would not have been told to.
             return !self.may_forget();
         }
-        self.missing.get_or_insert(now);
+        self.missing_since.get_or_insert(now);
         true
     }
 }
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -15,7 +15,7 @@
 fn sent(phase: Phase) -> PlacedTask {
     let mut entry = PlacedTask::planned(task(), Attempt(7), None, NOW);
     entry.phase = phase;
-    entry.sent = (EPOCH, Incarnation(1));
+    entry.start_sent = (EPOCH, Incarnation(1));
     entry
 }
 
@@ -47,37 +47,37 @@
 #[test]
 fn a_report_that_omits_a_start_under_way_proves_nothing() {
     let mut m = machine();
-    m.entries.push(sent(Phase::Sent));
+    m.tasks.push(sent(Phase::Sent));
     assert_eq!(m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW), vec![]);
-    assert_eq!(m.entries.len(), 1);
+    assert_eq!(m.tasks.len(), 1);
 }
 
 #[test]
 fn a_later_epoch_or_session_rules_a_start_out() {
     for proof in [report(1, 2, 6, vec![]), report(2, 1, 5, vec![])] {
         let mut m = machine();
-        m.entries.push(sent(Phase::Sent));
+        m.tasks.push(sent(Phase::Sent));
         let gone = vec![Change::Gone(task(), Attempt(7))];
         assert_eq!(m.apply_report(&proof, proof.token, NOW), gone);
-        assert!(m.entries.is_empty());
+        assert!(m.tasks.is_empty());
     }
 }
 
 #[test]
 fn a_token_that_is_not_this_epochs_proves_nothing() {
     let mut m = machine();
-    m.entries.push(sent(Phase::Sent));
+    m.tasks.push(sent(Phase::Sent));
     assert_eq!(
         m.apply_report(&report(1, 1, 6, vec![]), Epoch(7), NOW),
         vec![]
     );
-    assert_eq!(m.entries.len(), 1);
+    assert_eq!(m.tasks.len(), 1);
 }
 
 #[test]
 fn old_reports_change_nothing() {
     let mut m = machine();
-    m.entries.push(sent(Phase::Sent));
+    m.tasks.push(sent(Phase::Sent));
     m.apply_report(
         &report(1, 9, 5, vec![told(TaskState::Running, None)]),
         EPOCH,
@@ -85,7 +85,7 @@
     );
     let late = report(1, 8, 5, vec![told(TaskState::Exited, Some(Cause::Done))]);
     assert_eq!(m.apply_report(&late, EPOCH, NOW), vec![]);
-    assert_eq!(m.entries[0].phase, Phase::On(TaskState::Running));
+    assert_eq!(m.tasks[0].phase, Phase::On(TaskState::Running));
 }
 
 /// A late copy of a report does not make a machine heard, does not take a spot notice back, and
@@ -96,13 +96,13 @@
     let mut newest = report(2, 9, 5, vec![]);
     newest.notice_s = Some(10.0);
     m.apply_report(&newest, EPOCH, NOW);
-    m.did_not_react(NOW);
+    m.call_unanswered(NOW);
     let later = NOW + Span(30_000);
     for copy in [report(2, 8, 4, vec![]), report(1, 90, 6, vec![]), newest] {
         assert_eq!(m.apply_report(&copy, EPOCH, later), vec![]);
-        assert_eq!(m.last_heard, Some(NOW));
-        assert_eq!(m.notice, Some(NOW + Span(10_000)));
-        assert_eq!((m.acked, m.unanswered), (EPOCH, 1));
+        assert_eq!(m.last_heard_at, Some(NOW));
+        assert_eq!(m.reclaim_at, Some(NOW + Span(10_000)));
+        assert_eq!((m.acknowledged_epoch, m.unanswered_calls), (EPOCH, 1));
     }
 }
 
@@ -112,12 +112,12 @@
 fn a_new_session_in_spite_of_answers_puts_a_machine_in_doubt() {
     let mut m = machine();
     m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW);
-    m.last_answer = Some(NOW);
-    assert_eq!(m.unanswered, 0);
+    m.last_answered_at = Some(NOW);
+    assert_eq!(m.unanswered_calls, 0);
     m.apply_report(&report(2, 1, 5, vec![]), EPOCH, NOW + Span(13_000));
-    assert_eq!(m.unanswered, 1);
-    m.reacted();
-    assert_eq!((m.unanswered, m.deaf_since), (0, None));
+    assert_eq!(m.unanswered_calls, 1);
+    m.call_answered();
+    assert_eq!((m.unanswered_calls, m.unreachable_since), (0, None));
 }
 
 /// After `reap` a worker no longer knows the attempt: a start that arrives late would run it
@@ -125,12 +125,12 @@
 #[test]
 fn nothing_is_forgotten_while_a_start_may_be_under_way() {
     let mut entry = sent(Phase::Exited(Cause::Done));
-    entry.settled = true;
+    entry.outcome_recorded = true;
     assert!(entry.may_forget());
-    entry.in_flight = 1;
+    entry.open_direct_starts = 1;
     assert!(!entry.may_forget());
-    entry.in_flight = 0;
-    entry.unsure = true;
+    entry.open_direct_starts = 0;
+    entry.start_may_arrive_late = true;
     assert!(!entry.may_forget());
 }
 
@@ -146,16 +146,16 @@
     let lease = Span(12_000);
     let mut m = machine();
     let over = |m: &Machine, at: u64, old_leaders_fenced_at| {
-        m.lease_surely_over(Time(NOW.0 + at), lease, old_leaders_fenced_at)
+        m.is_lease_expired(Time(NOW.0 + at), lease, old_leaders_fenced_at)
     };
     assert!(!over(&m, 900_000, None), "an older leader may still answer");
     assert!(!over(&m, 12_400, Some(NOW)));
     assert!(over(&m, 12_600, Some(NOW)));
-    m.last_answer = Some(NOW + Span(5_000));
+    m.last_answered_at = Some(NOW + Span(5_000));
     assert!(!over(&m, 17_400, Some(NOW)));
     assert!(over(&m, 17_600, Some(NOW)));
     // Its lease ran out, and a task was started in the session that began then: the worker was
     // heard by a direct call. Seen as a task running twice in the simulated world (seed 1060).
-    m.last_heard = Some(NOW + Span(17_000));
+    m.last_heard_at = Some(NOW + Span(17_000));
     assert!(!over(&m, 17_600, Some(NOW)));
 }
--- a/crates/core/src/jobs/effective_urgency.rs
+++ b/crates/core/src/jobs/effective_urgency.rs
@@ -5,7 +5,7 @@
 //! take. Only the changed edges are followed: a submission, a completion or a cancellation changes
 //! what comes before it, and of that only what is not as urgent already.
 
-use super::job::Goal;
+use super::job::EffectiveUrgency;
 use super::job_table::JobTable;
 use crate::cache::dependencies::{DependencyGraph, Readiness};
 use crate::units::{Now, Span, Wall};
@@ -21,7 +21,7 @@
             return false;
         };
         let became_ready = readiness.unmet.is_empty() && job.ready_since.is_none();
-        job.unmet = readiness.unmet;
+        job.unmet_dependencies = readiness.unmet;
         if became_ready {
             let since = readiness.last_done.unwrap_or(now.wall);
             job.ready_since = Some(since.max(job.submitted));
@@ -45,8 +45,8 @@
             let Some(job) = self.get_mut(&id) else {
                 continue;
             };
-            if job.goal != goal {
-                job.goal = goal;
+            if job.urgency != goal {
+                job.urgency = goal;
                 open.extend(job.spec.dependencies.iter().cloned());
             }
         }
@@ -58,13 +58,13 @@
         graph: &DependencyGraph,
         catalog: &Catalog,
         id: &JobId,
-    ) -> Option<Goal> {
-        let mut goal = self.get(id)?.own_goal();
+    ) -> Option<EffectiveUrgency> {
+        let mut goal = self.get(id)?.own_urgency();
         let dependents = graph.dependents_of(id).filter_map(|d| self.get(d));
         for dependent in dependents.filter(|d| d.is_active()) {
             let after = dependent.expected_span(catalog);
-            goal.priority = goal.priority.max(dependent.goal.priority);
-            goal.finish_by = earlier(goal.finish_by, before(dependent.goal.finish_by, after));
+            goal.priority = goal.priority.max(dependent.urgency.priority);
+            goal.deadline = earlier(goal.deadline, before(dependent.urgency.deadline, after));
         }
         Some(goal)
     }
--- a/crates/core/src/jobs/effective_urgency/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -31,8 +31,8 @@
 
     fn learn(&mut self, n: u32, version: u64, record: JobRecord) {
         self.job_cache
-            .learn_job(id(n), Version(version), record.clone());
-        self.leader.learn_job(&id(n), Version(version), &record);
+            .update_job(id(n), Version(version), record.clone());
+        self.leader.update_job(&id(n), Version(version), &record);
         let graph = &self.job_cache.graph;
         let dependents: Vec<JobId> = graph.dependents_of(&id(n)).cloned().collect();
         for dependent in dependents.iter().chain([&id(n)]) {
@@ -63,8 +63,8 @@
         self.learn(n, 1, JobRecord::queued(&spec, NOW.wall));
     }
 
-    fn goal(&self, n: u32) -> Goal {
-        self.leader.jobs[&id(n)].goal
+    fn goal(&self, n: u32) -> EffectiveUrgency {
+        self.leader.jobs[&id(n)].urgency
     }
 }
 
@@ -83,7 +83,7 @@
     for (n, after) in [(4, 0), (3, 1), (2, 1), (1, 2)] {
         assert_eq!(p.goal(n).priority, Priority::High, "job {n}");
         let finish_by = Wall(due.0 - after * EACH.0);
-        assert_eq!(p.goal(n).finish_by, Some(finish_by), "job {n}");
+        assert_eq!(p.goal(n).deadline, Some(finish_by), "job {n}");
     }
     // What is evictable, and what may exceed a quota, stays with a job's own priority.
     assert!(p.leader.jobs[&id(1)].is_preemptible());
@@ -99,7 +99,7 @@
     let limits = p.leader.store_limits;
     p.learn(2, 2, record.cancelled(NOW.wall, None, &limits));
     assert_eq!(p.goal(1).priority, Priority::Low);
-    assert_eq!(p.goal(1).finish_by, None);
+    assert_eq!(p.goal(1).deadline, None);
 }
 
 #[test]
@@ -110,14 +110,14 @@
     p.submit(spec(3, "urgent", &[1, 2], None));
     let job = |p: &Pipeline| p.leader.jobs[&id(3)].clone();
     assert!(!job(&p).is_ready());
-    assert_eq!(job(&p).free_tasks(), 0);
+    assert_eq!(job(&p).startable_tasks(), 0);
     p.learn(1, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(3_000)));
     assert!(!job(&p).is_ready());
     p.learn(2, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(2_000)));
     assert!(job(&p).is_ready());
-    assert_eq!(job(&p).free_tasks(), 1);
+    assert_eq!(job(&p).startable_tasks(), 1);
     // Its age begins when the last one was done.
-    assert_eq!(job(&p).waits_since(), NOW.wall + Span(3_000));
+    assert_eq!(job(&p).waiting_since(), NOW.wall + Span(3_000));
 }
 
 /// A long chain whose last job comes late is followed once; sharing does not multiply the cost.
--- a/crates/core/src/jobs/failures.rs
+++ b/crates/core/src/jobs/failures.rs
@@ -46,19 +46,19 @@
     }
 
     /// Whether it failed on a machine just now.
-    pub fn avoids(&self, machine: &MachineId, now: Time) -> bool {
+    pub fn avoids_machine(&self, machine: &MachineId, now: Time) -> bool {
         (self.on.iter()).any(|(m, at)| m == machine && now - *at < AVOID_AFTER_FAILURE)
     }
 
     /// Whether it failed anywhere just now, so that its tasks are not like others of their shape.
-    pub fn is_picky(&self, now: Time) -> bool {
+    pub fn avoids_any_machine(&self, now: Time) -> bool {
         self.on
             .iter()
             .any(|(_, at)| now - *at < AVOID_AFTER_FAILURE)
     }
 
     /// A job that an earlier leader suspected after so many tries.
-    pub fn recall(&mut self, tries: u32) {
+    pub fn restore(&mut self, tries: u32) {
         self.suspected = tries > 0;
         self.tries = tries;
     }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -13,7 +13,7 @@
 
 /// Whether a job's work goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum JobStage {
     /// It is neither done nor cancelled.
     Active,
     /// Its user withdrew it; what is left of it is being stopped.
@@ -25,7 +25,7 @@
 
 /// Where a job stands among others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct QueueOrder {
     /// The highest priority first.
     priority: Reverse<Priority>,
     /// What has waited too long for its first start comes before the rest.
@@ -38,11 +38,11 @@
 
 /// What is expected of a job for its own sake and for that of the jobs that need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Goal {
+pub struct EffectiveUrgency {
     /// The highest priority among them.
     pub priority: Priority,
     /// When it has to be done for all of them to be in time.
-    pub finish_by: Option<Wall>,
+    pub deadline: Option<Wall>,
 }
 
 /// A job as the leader sees it. Done jobs are not kept.
@@ -55,37 +55,37 @@
     /// When it was submitted.
     pub submitted: Wall,
     /// Jobs that it depends on and that are not done.
-    pub unmet: BTreeSet<JobId>,
+    pub unmet_dependencies: BTreeSet<JobId>,
     /// Since when all that it depends on is done; none while something is not.
     pub ready_since: Option<Wall>,
     /// What is expected of it.
-    pub goal: Goal,
+    pub urgency: EffectiveUrgency,
     /// Whether its work goes on.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// What one task takes.
     pub need: Resources,
     /// Tasks that are done.
     pub done: TaskSet,
     /// Where tasks may be: everything that is not surely gone.
-    pub places: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
+    pub placements: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// No start before this moment, after failures.
-    pub not_before: Time,
+    pub retry_at: Time,
     /// What its failures show.
     pub failures: Failures,
     /// Tasks that are neither done nor anywhere.
-    idle: TaskSet,
+    unplaced: TaskSet,
     /// Where tasks may be, each place counted.
-    placed: u32,
+    placement_count: u32,
     /// Tasks that are done and recorded, or being recorded.
-    pub recorded: TaskSet,
+    pub recorded_done: TaskSet,
     /// The newest page that names all of its recorded progress.
-    pub page: SegmentId,
+    pub segment: SegmentId,
     /// Whether `done` holds more than is recorded or being recorded.
-    pub progress_dirty: bool,
+    pub has_unrecorded_progress: bool,
     /// Whether a commit of its completion is open.
-    pub committing: bool,
+    pub completion_open: bool,
     /// Whether any of its tasks ever ran, as far as this leader knows.
-    pub begun: bool,
+    pub has_started: bool,
     /// The longest run time of a completed task, in seconds.
     pub longest_run_s: f64,
 }
@@ -96,31 +96,31 @@
         let ready = spec.dependencies.is_empty();
         Self {
             need: Resources::of_task(&spec),
-            unmet: spec.dependencies.iter().cloned().collect(),
+            unmet_dependencies: spec.dependencies.iter().cloned().collect(),
             ready_since: ready.then_some(submitted),
-            goal: own_goal(&spec, submitted),
-            idle: TaskSet::below(spec.tasks),
+            urgency: own_goal(&spec, submitted),
+            unplaced: TaskSet::below(spec.tasks),
             spec: Arc::new(spec),
             version,
             submitted,
-            stage: Stage::Active,
+            stage: JobStage::Active,
             done: TaskSet::default(),
-            places: BTreeMap::new(),
-            not_before: Time(0),
+            placements: BTreeMap::new(),
+            retry_at: Time(0),
             failures: Failures::default(),
-            placed: 0,
-            recorded: TaskSet::default(),
-            page: SegmentId::NONE,
-            progress_dirty: false,
-            committing: false,
-            begun: false,
+            placement_count: 0,
+            recorded_done: TaskSet::default(),
+            segment: SegmentId::NONE,
+            has_unrecorded_progress: false,
+            completion_open: false,
+            has_started: false,
             longest_run_s: 0.0,
         }
     }
 
     /// Whether it may start tasks.
     pub fn is_active(&self) -> bool {
-        self.stage == Stage::Active
+        self.stage == JobStage::Active
     }
 
     /// Whether all that it depends on is done. Before, it takes part in nothing.
@@ -129,12 +129,12 @@
     }
 
     /// Since when it waits for room: what it depends on does not count.
-    pub fn waits_since(&self) -> Wall {
+    pub fn waiting_since(&self) -> Wall {
         self.ready_since.unwrap_or(self.submitted)
     }
 
     /// What is expected of it for its own sake.
-    pub fn own_goal(&self) -> Goal {
+    pub fn own_urgency(&self) -> EffectiveUrgency {
         own_goal(&self.spec, self.submitted)
     }
 
@@ -152,13 +152,17 @@
     /// start, then the one with the least work left. Users count jobs that are done in time, and in
     /// a rush one large job costs many small ones their time, but not the other way round. Without
     /// the second part a large job would never begin while small ones keep coming.
-    pub fn order(&self, overdue: bool) -> Order {
+    pub fn queue_order(&self, overdue: bool) -> QueueOrder {
         let tasks = f64::from(self.spec.tasks.saturating_sub(self.done.len()));
         let left = (tasks * self.spec.estimate_s.max(0.0) * 1000.0) as u64;
-        Order {
-            priority: Reverse(self.goal.priority),
+        QueueOrder {
+            priority: Reverse(self.urgency.priority),
             in_time: !overdue,
-            rank: if overdue { self.waits_since().0 } else { left },
+            rank: if overdue {
+                self.waiting_since().0
+            } else {
+                left
+            },
             submitted: self.submitted,
             id: self.spec.id.clone(),
         }
@@ -166,18 +170,18 @@
 
     /// Whether it has waited too long for its first start.
     pub fn is_overdue(&self, now: Wall, patience: Span) -> bool {
-        !self.begun
+        !self.has_started
             && !self.is_suspected()
-            && self.places.is_empty()
-            && now.0 > self.waits_since().0 + patience.0
+            && self.placements.is_empty()
+            && now.0 > self.waiting_since().0 + patience.0
     }
 
     /// How many tasks are neither done nor anywhere, and may be started.
-    pub fn free_tasks(&self) -> u32 {
+    pub fn startable_tasks(&self) -> u32 {
         if !self.is_ready() {
             return 0;
         }
-        let free = self.idle.len();
+        let free = self.unplaced.len();
         let open = self.spec.tasks.saturating_sub(free + self.done.len());
         self.on_trial(free, open)
     }
@@ -185,43 +189,47 @@
     /// Notes that a task is done.
     pub fn finish(&mut self, index: u32) {
         self.done.insert(index);
-        self.idle.remove(index);
+        self.unplaced.remove(index);
     }
 
     /// The first tasks that are neither done nor anywhere, after so many, at most `most`.
-    pub fn next_free(&self, skip: usize, most: usize) -> Vec<u32> {
-        let free = (self.free_tasks() as usize).saturating_sub(skip);
-        self.idle.iter().skip(skip).take(most.min(free)).collect()
+    pub fn next_startable(&self, skip: usize, most: usize) -> Vec<u32> {
+        let free = (self.startable_tasks() as usize).saturating_sub(skip);
+        self.unplaced
+            .iter()
+            .skip(skip)
+            .take(most.min(free))
+            .collect()
     }
 
     /// Notes that a task may be on a machine.
     pub fn place(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
-        self.idle.remove(index);
-        let places = self.places.entry(index).or_default();
+        self.unplaced.remove(index);
+        let places = self.placements.entry(index).or_default();
         if !places.iter().any(|p| p.0 == *machine && p.1 == attempt) {
             places.push((machine.clone(), attempt));
-            self.placed += 1;
+            self.placement_count += 1;
         }
     }
 
     /// Notes that a task is surely not on a machine any more.
     pub fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
-        if let Some(places) = self.places.get_mut(&index) {
+        if let Some(places) = self.placements.get_mut(&index) {
             let before = places.len();
             places.retain(|p| !(p.0 == *machine && p.1 == attempt));
-            self.placed -= (before - places.len()) as u32;
+            self.placement_count -= (before - places.len()) as u32;
             if places.is_empty() {
-                self.places.remove(&index);
+                self.placements.remove(&index);
                 if !self.done.contains(index) && index < self.spec.tasks {
-                    self.idle.insert(index);
+                    self.unplaced.insert(index);
                 }
             }
         }
     }
 
     /// How many tasks may be somewhere, each counted as often as it may be.
-    pub fn placed(&self) -> u32 {
-        self.placed
+    pub fn placement_count(&self) -> u32 {
+        self.placement_count
     }
 
     /// Whether it may be evicted to make room. Work at priority 100 or above is not, and in
@@ -232,29 +240,29 @@
 
     /// Whether everything that is done is recorded or being recorded.
     pub fn is_all_recorded(&self) -> bool {
-        self.recorded.len() == self.done.len()
+        self.recorded_done.len() == self.done.len()
     }
 
     /// Takes in recorded progress.
-    pub fn learn_progress(&mut self, page: SegmentId, ranges: &[(u32, u32)]) {
-        self.page = self.page.max(page);
-        self.begun = true;
+    pub fn restore_progress(&mut self, page: SegmentId, ranges: &[(u32, u32)]) {
+        self.segment = self.segment.max(page);
+        self.has_started = true;
         self.failures.proven |= !ranges.is_empty();
         let last = self.spec.tasks.saturating_sub(1);
         for &(from, to) in ranges {
             for index in from..=to.min(last) {
                 self.finish(index);
-                self.recorded.insert(index);
+                self.recorded_done.insert(index);
             }
         }
     }
 }
 
-fn own_goal(spec: &JobSpec, submitted: Wall) -> Goal {
+fn own_goal(spec: &JobSpec, submitted: Wall) -> EffectiveUrgency {
     let deadline = spec.deadline_s.map(Span::secs);
-    Goal {
+    EffectiveUrgency {
         priority: spec.priority,
-        finish_by: deadline.map(|span| Wall(submitted.0.saturating_add(span.0))),
+        deadline: deadline.map(|span| Wall(submitted.0.saturating_add(span.0))),
     }
 }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -118,7 +118,7 @@
     pub fn set_catalog(&mut self, catalog: Catalog) {
         self.policy.catalog = catalog;
         for machine in self.fleet.machines.values_mut() {
-            machine.room = self.policy.capacity_of(&machine.machine_type);
+            machine.capacity = self.policy.capacity_of(&machine.machine_type);
         }
     }
 }
--- a/crates/core/src/leadership/peers.rs
+++ b/crates/core/src/leadership/peers.rs
@@ -6,9 +6,9 @@
 /// What is known of a peer.
 #[derive(Clone, Debug, Default)]
 pub struct PeerStatus {
-    pub heard: Time,
+    pub last_heartbeat_at: Time,
     pub store_reachable: bool,
-    pub worker_silence: Span,
+    pub agent_silence: Span,
     /// Whether it leads, as it said last, and the highest epoch that it knew.
     pub leads: bool,
     pub epoch: Epoch,
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -97,7 +97,7 @@
     }
 
     /// The answer to a change of settings.
-    pub(crate) fn settings_replaced(
+    pub(crate) fn admin_settings_replaced(
         &mut self,
         req: ReqId,
         settings: AdminSettings,
@@ -105,7 +105,7 @@
     ) {
         match answer {
             StoreAnswer::Committed(version) => {
-                self.take_up(version, settings);
+                self.apply_admin_settings(version, settings);
                 let body = json(&self.admin_settings);
                 self.answer(req, 200, body);
             }
@@ -119,7 +119,7 @@
     }
 
     /// Takes up settings that were stored.
-    pub(crate) fn take_up(&mut self, version: Version, settings: AdminSettings) {
+    pub(crate) fn apply_admin_settings(&mut self, version: Version, settings: AdminSettings) {
         if version <= self.admin_settings.version {
             return;
         }
--- a/crates/core/src/node/admission.rs
+++ b/crates/core/src/node/admission.rs
@@ -12,7 +12,7 @@
 
 impl Node {
     /// Why a job can never run; none if that can't be decided yet.
-    pub(crate) fn never_runs(&self, spec: &JobSpec) -> Option<Result<(), NeverRuns>> {
+    pub(crate) fn check_runnable(&self, spec: &JobSpec) -> Option<Result<(), NeverRuns>> {
         let catalog = self.catalog.as_ref()?;
         let Some(leaf) = self.tree.find(&spec.team) else {
             return Some(Err(NeverRuns::UnknownTeam));
@@ -121,7 +121,7 @@
                 let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
                     return self.refuse(waiting.req, "unreadable record");
                 };
-                self.job_cache.learn_job(id, item.version, record);
+                self.job_cache.update_job(id, item.version, record);
             }
             // It was read before what the cache has learned since.
             StoreAnswer::Missing if self.job_cache.jobs.contains_key(&id) => {}
@@ -148,18 +148,18 @@
         match answer {
             StoreAnswer::Committed(version) => {
                 let id = waiting.job().clone();
-                self.job_cache.learn_job(id.clone(), version, job.record);
+                self.job_cache.update_job(id.clone(), version, job.record);
                 // Another node may have read it and cancelled it meanwhile, or what it depends on.
                 let cancelled = self.job_cache.ancestry_of(&id).cancelled;
                 if self.is_final(&id) || !job.confirmed || cancelled.is_some() {
-                    return self.tell_read(waiting, now);
+                    return self.respond_to_read(waiting, now);
                 }
                 let state = JobState::Queued;
                 self.answer(waiting.req, 201, json(&JobAnswer { id, state }));
             }
             StoreAnswer::Conflict(keys) => self.creation_conflicts(waiting, &keys, now),
             // It may have been created, or may yet be: reading or creating it again is safe.
-            StoreAnswer::Unknown => self.again(waiting, now),
+            StoreAnswer::Unknown => self.retry(waiting, now),
             _ => self.forward_or_refuse(waiting, now),
         }
     }
@@ -172,7 +172,7 @@
             Some(dependency) if keys.iter().all(|k| *k != job_key(waiting.job())) => {
                 self.read_dependency(waiting, dependency)
             }
-            _ => self.again(waiting, now),
+            _ => self.retry(waiting, now),
         }
     }
 }
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -1,6 +1,6 @@
 //! Replication of cancellations.
 
-use crate::api::cancellation_replication::Spread;
+use crate::api::cancellation_replication::CancellationReplication;
 use crate::api::user_requests::Waiting;
 use crate::io::{Output, ReqId, StoreCall};
 use crate::jobs::job::Job;
@@ -34,19 +34,25 @@
 
 impl Node {
     /// Whether a user may be told that a job is cancelled.
-    fn may_tell_cancelled(&self, id: &JobId, version: Version, waited: Span, now: Now) -> bool {
+    fn may_acknowledge_cancellation(
+        &self,
+        id: &JobId,
+        version: Version,
+        waited: Span,
+        now: Now,
+    ) -> bool {
         let known = &self.cancellations;
         let knowing = self.peers.keys().filter(|p| known.knows(p, id, version));
         let majority = knowing.count() + 1 >= self.election.majority();
-        let leader = self.near_leader(now.time);
+        let leader = self.reachable_leader(now.time);
         let led = leader.is_none_or(|l| known.knows(&l, id, version)) || waited >= FOR_LEADER;
-        majority && led || self.nothing_is_left(id, now)
+        majority && led || self.no_task_left(id, now)
     }
 
     /// Whether this node leads and surely no task of a cancelled job is anywhere. Every start stands in
     /// the placement log that it has read back, and nobody may start more.
-    fn nothing_is_left(&self, id: &JobId, now: Now) -> bool {
-        let nothing = |job: &Job| !job.is_active() && job.places.is_empty();
+    fn no_task_left(&self, id: &JobId, now: Now) -> bool {
+        let nothing = |job: &Job| !job.is_active() && job.placements.is_empty();
         self.leader.as_ref().is_some_and(|leader| {
             leader.recovery.is_complete
                 && leader.term.is_lease_valid(now.time)
@@ -56,17 +62,17 @@
 
     /// Whether the answer to a request that a job is cancelled must wait for other nodes; if so, it is
     /// kept for a moment, or refused.
-    pub(crate) fn waits_for_others(
+    pub(crate) fn waits_for_replication(
         &mut self,
         waiting: &Waiting,
         version: Version,
         now: Now,
     ) -> bool {
         let id = waiting.job().clone();
-        if self.may_tell_cancelled(&id, version, Span(0), now) {
+        if self.may_acknowledge_cancellation(&id, version, Span(0), now) {
             return false;
         }
-        self.spread_of(&id, version).announce = true;
+        self.replication_of(&id, version).announce = true;
         self.cancellations.due = true;
         if self.cancellations.waiting.len() < MOST_WAITING {
             self.cancellations.waiting.push((waiting.clone(), now.time));
@@ -76,9 +82,9 @@
         true
     }
 
-    fn spread_of(&mut self, id: &JobId, version: Version) -> &mut Spread {
-        let spread = self.cancellations.spread.entry(id.clone());
-        spread.or_insert_with(|| Spread {
+    fn replication_of(&mut self, id: &JobId, version: Version) -> &mut CancellationReplication {
+        let spread = self.cancellations.replications.entry(id.clone());
+        spread.or_insert_with(|| CancellationReplication {
             version,
             knows: BTreeSet::new(),
             announce: false,
@@ -86,16 +92,16 @@
     }
 
     /// Answers what may be answered now, and refuses what has waited too long.
-    fn tell_waiting(&mut self, now: Now) {
+    fn respond_to_waiting(&mut self, now: Now) {
         for (waiting, since) in std::mem::take(&mut self.cancellations.waiting) {
             let Some(known) = self.job_cache.jobs.get(waiting.job()) else {
                 continue;
             };
             let (version, waited) = (known.version, now.time - since);
-            if self.may_tell_cancelled(waiting.job(), version, waited, now) {
-                self.tell_now(&waiting, now);
+            if self.may_acknowledge_cancellation(waiting.job(), version, waited, now) {
+                self.respond_now(&waiting, now);
             } else if waited > PATIENCE {
-                let asks = &mut self.cancellations.asks;
+                let asks = &mut self.cancellations.watermark_wanted;
                 *asks = version.max(*asks);
                 self.refuse(waiting.req(), "too few nodes know of the cancellation yet");
             } else {
@@ -106,20 +112,20 @@
 
     /// What is due: answers, announcements, and what is written if those fail.
     pub(crate) fn cancellations_tick(&mut self, now: Now) {
-        let written = std::mem::take(&mut self.job_cache.known);
+        let written = std::mem::take(&mut self.job_cache.peer_watermarks);
         for (node, record) in &written {
             self.cancellations
-                .heard(node, record.cancellation_watermark);
+                .peer_watermark_received(node, record.cancellation_watermark);
         }
         let others = (written.iter()).filter(|(node, _)| **node != self.settings.node);
         let asked = others.map(|(_, record)| record.asks).max();
         let c = &mut self.cancellations;
-        c.asked = c.asked.max(asked.unwrap_or_default());
-        self.write_known(now);
-        if self.cancellations.spread.is_empty() {
+        c.watermark_asked_for = c.watermark_asked_for.max(asked.unwrap_or_default());
+        self.write_watermark(now);
+        if self.cancellations.replications.is_empty() {
             return;
         }
-        self.tell_waiting(now);
+        self.respond_to_waiting(now);
         // What most nodes know by their watches needs no keeping.
         let majority = self.election.majority();
         let peers = &self.cancellations.peers;
@@ -127,25 +133,25 @@
         let waiting: BTreeSet<JobId> = (self.cancellations.waiting.iter())
             .map(|(w, _)| w.job().clone())
             .collect();
-        (self.cancellations.spread)
+        (self.cancellations.replications)
             .retain(|id, s| by_watch(s.version) < majority || waiting.contains(id));
         let c = &mut self.cancellations;
-        c.due |= c.spread.values().any(|s| s.announce);
+        c.due |= c.replications.values().any(|s| s.announce);
     }
 
     /// Writes how much this node knows if another asks for that, or if it has to ask itself.
-    fn write_known(&mut self, now: Now) {
+    fn write_watermark(&mut self, now: Now) {
         let c = &mut self.cancellations;
-        let answers =
-            c.asked > c.written.cancellation_watermark && c.cancellation_watermark >= c.asked;
-        let asks = c.asks > c.written.asks;
+        let answers = c.watermark_asked_for > c.written.cancellation_watermark
+            && c.cancellation_watermark >= c.watermark_asked_for;
+        let asks = c.watermark_wanted > c.written.asks;
         let may = !c.writing && now.time >= c.next_write && self.election.store_reachable(now.time);
         if !may || !(answers || asks) {
             return;
         }
         let record = KnownRecord {
             cancellation_watermark: c.cancellation_watermark,
-            asks: c.asks,
+            asks: c.watermark_wanted,
         };
         (c.written, c.writing, c.next_write) = (record, true, now.time + WRITE);
         let key = format!("{KNOWN}{}", self.settings.node);
@@ -157,7 +163,7 @@
     }
 
     /// The answer to that. If it failed it is written again when next asked for.
-    pub(crate) fn known_written(&mut self, written: bool) {
+    pub(crate) fn watermark_written(&mut self, written: bool) {
         self.cancellations.writing = false;
         if !written {
             self.cancellations.written = KnownRecord::default();
@@ -165,7 +171,7 @@
     }
 
     /// Sends what other nodes have to be told, one message to each at a time.
-    pub(crate) fn announce(&mut self, now: Now) {
+    pub(crate) fn send_cancellation_replications(&mut self, now: Now) {
         let c = &mut self.cancellations;
         if !std::mem::take(&mut c.due) {
             return;
@@ -176,7 +182,7 @@
                 continue;
             }
             let told = c.peers.get(peer).copied().unwrap_or_default();
-            let ids: Vec<JobId> = (c.spread.iter())
+            let ids: Vec<JobId> = (c.replications.iter())
                 .filter(|(_, s)| s.announce && s.version > told && !s.knows.contains(peer))
                 .map(|(id, _)| id.clone())
                 .take(MOST)
@@ -185,7 +191,7 @@
                 continue;
             }
             let cancelled = (ids.iter())
-                .filter_map(|id| self.job_cache.cancellation(id, c.spread[id].version))
+                .filter_map(|id| self.job_cache.cancellation(id, c.replications[id].version))
                 .collect();
             let announcement = ReplicateCancellations {
                 from: self.settings.node.to_string(),
@@ -199,14 +205,17 @@
     }
 
     /// A peer makes cancellations known.
-    pub(crate) fn announced(&mut self, req: ReqId, told: ReplicateCancellations) {
+    pub(crate) fn cancellations_replicated(&mut self, req: ReqId, told: ReplicateCancellations) {
         let from = NodeName::from(told.from.as_str());
-        self.learn_cancelled(&told.cancelled);
+        self.update_cancelled(&told.cancelled);
         if self.peers.contains_key(&from) {
-            self.cancellations.heard(&from, told.cancellation_watermark);
+            self.cancellations
+                .peer_watermark_received(&from, told.cancellation_watermark);
             for job in &told.cancelled {
                 if let Ok(id) = job.job.parse() {
-                    self.spread_of(&id, job.version).knows.insert(from.clone());
+                    self.replication_of(&id, job.version)
+                        .knows
+                        .insert(from.clone());
                 }
             }
         }
@@ -218,14 +227,14 @@
             .push(Output::AnswerReplicateCancellations(req, reply));
     }
 
-    fn learn_cancelled(&mut self, told: &[CancelledJob]) {
+    fn update_cancelled(&mut self, told: &[CancelledJob]) {
         for job in told {
-            self.job_cache.learn_cancelled(job);
+            self.job_cache.update_cancelled(job);
         }
     }
 
     /// A peer's answer to what was made known to it.
-    pub(crate) fn announce_reply(
+    pub(crate) fn replication_answered(
         &mut self,
         peer: NodeName,
         reply: Option<ReplicateCancellationsReply>,
@@ -241,13 +250,13 @@
         };
         c.again.remove(&peer);
         for id in &ids {
-            if let Some(spread) = c.spread.get_mut(id) {
+            if let Some(spread) = c.replications.get_mut(id) {
                 spread.knows.insert(peer.clone());
             }
         }
-        c.heard(&peer, reply.cancellation_watermark);
+        c.peer_watermark_received(&peer, reply.cancellation_watermark);
         c.due = true;
-        self.tell_waiting(now);
+        self.respond_to_waiting(now);
     }
 
     /// All jobs were read, or the watch has come to a revision: everything up to it is known.
@@ -260,11 +269,11 @@
     /// A heartbeat: what the node that sends it knows, and, if it asks for a word, what it lacks. Only
     /// with that may the word be given.
     /// Returns it with whether it holds all that this node knows.
-    pub(crate) fn catchup_for(&mut self, heartbeat: &Heartbeat) -> Option<(Catchup, bool)> {
+    pub(crate) fn catch_up_for(&mut self, heartbeat: &Heartbeat) -> Option<(Catchup, bool)> {
         let peer = NodeName::from(heartbeat.from.as_str());
         if self.peers.contains_key(&peer) {
             self.cancellations
-                .heard(&peer, heartbeat.cancellation_watermark);
+                .peer_watermark_received(&peer, heartbeat.cancellation_watermark);
         }
         // A node that has not read the jobs lacks too much to be told so.
         if !heartbeat.requests_lease_vote || heartbeat.cancellation_watermark == Version(0) {
@@ -289,10 +298,10 @@
         let peer = NodeName::from(reply.from.as_str());
         if self.peers.contains_key(&peer) {
             self.cancellations
-                .heard(&peer, reply.cancellation_watermark);
+                .peer_watermark_received(&peer, reply.cancellation_watermark);
         }
         if let Some(catchup) = reply.catchup.take() {
-            self.learn_cancelled(&catchup.cancelled);
+            self.update_cancelled(&catchup.cancelled);
             self.advance_cancellation_watermark(catchup.cancellation_watermark);
         }
     }
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -19,7 +19,7 @@
 const MOST: usize = 64;
 
 /// A job whose record is to be written.
-struct Condemned {
+struct CascadeCancellation {
     id: JobId,
     version: Version,
     record: JobRecord,
@@ -28,11 +28,11 @@
 impl Node {
     /// Writes records that are due, the oldest jobs first, within the leader's part of the writes.
     pub(crate) fn flush_cancellations(&mut self, now: Now) {
-        let mut due = self.condemned(now);
+        let mut due = self.due_cascade_cancellations(now);
         while let Some(leader) = self.leader.as_mut() {
             let wanted = due.len().min(leader.store_limits.operations);
             let rate = leader.store_limits.placement_writes();
-            let taken = (leader.placement_log).take_cancellations(wanted, rate, now.time);
+            let taken = (leader.placement_log).take_cancellation_writes(wanted, rate, now.time);
             if taken == 0 {
                 return;
             }
@@ -42,7 +42,7 @@
     }
 
     /// Writes the records of some jobs in one transaction.
-    fn write_cancelled(&mut self, jobs: Vec<Condemned>) {
+    fn write_cancelled(&mut self, jobs: Vec<CascadeCancellation>) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -61,7 +61,7 @@
         self.call_store_as_leader(call, LeaderCall::Cascade(records));
     }
 
-    fn condemned(&self, now: Now) -> Vec<Condemned> {
+    fn due_cascade_cancellations(&self, now: Now) -> Vec<CascadeCancellation> {
         let Some(leader) = &self.leader else {
             return Vec::new();
         };
@@ -69,13 +69,13 @@
             let known = self.job_cache.jobs.get(*id);
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
         };
-        let mut due: Vec<Condemned> = (self.job_cache.graph.condemned())
+        let mut due: Vec<CascadeCancellation> = (self.job_cache.graph.condemned())
             .filter(|id| !leader.jobs.cascading.contains(id))
             .take(MOST)
             .filter_map(|id| {
                 let known = self.job_cache.jobs.get(id)?;
                 let by = known.dependencies().iter().find(cancelled)?;
-                Some(Condemned {
+                Some(CascadeCancellation {
                     id: id.clone(),
                     version: known.version,
                     record: known.record.cancelled(now.wall, Some(by), &self.limits),
@@ -106,7 +106,7 @@
             StoreAnswer::Committed(version) => {
                 for (id, record) in jobs {
                     log::info!("{id} is cancelled with {:?}", record.cancelled_by);
-                    self.job_cache.learn_job(id, version, record);
+                    self.job_cache.update_job(id, version, record);
                 }
                 if let Some(leader) = self.leader.as_mut() {
                     leader.request_cycle(now.time);
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -25,7 +25,7 @@
     /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may
     /// be too large to be stored.
     pub(crate) fn fetch_catalog(&mut self, now: Now) {
-        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.complete {
+        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.is_complete {
             return;
         }
         let cloud = &mut self.cloud;
@@ -53,17 +53,17 @@
         if !leader.recovery.is_complete || !leader.term.is_lease_valid(now.time) {
             return cloud.pump(now.time, &mut self.out);
         }
-        let names = leader.due_returns(now);
+        let names = leader.machines_to_return(now);
         let urgent = (names.iter()).any(|id| {
             leader
                 .fleet
                 .machines
                 .get(id)
-                .is_some_and(|m| m.retire != Some(IDLE))
+                .is_some_and(|m| m.retire_reason != Some(IDLE))
         });
         if urgent || (!names.is_empty() && now.time >= cloud.next_return) {
             cloud.next_return = now.time + RETURNS;
-            leader.note_returning(&names, now);
+            leader.record_return_request(&names, now);
             let call = CloudCall::Return(MachineNames {
                 machines: names.clone(),
             });
@@ -112,10 +112,10 @@
             (PendingCloudCall::Return(names), CloudAnswer::Returned) => {
                 for id in names {
                     if let Some(leader) = self.leader.as_mut() {
-                        leader.note_return(&id);
+                        leader.record_return(&id);
                     }
                     if let Some(leader) = self.leader.as_mut() {
-                        leader.drop_machine(&id, now);
+                        leader.forget_machine(&id, now);
                     }
                 }
             }
@@ -127,7 +127,7 @@
             }
             (PendingCloudCall::List(_), CloudAnswer::Page(page)) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.learn_list(&page.machines, now);
+                    leader.apply_cloud_list(&page.machines, now);
                 }
                 if page.more {
                     let last = page.machines.last().map(|m| m.id.clone());
@@ -160,7 +160,7 @@
                     let room = leader.policy.capacity_of(&rent.machine_type);
                     let (t, z) = (rent.machine_type.clone(), rent.zone.clone());
                     let machine = Machine::new(id, t, z, rent.spot, room, now.wall);
-                    leader.expect_machine(machine);
+                    leader.add_machine(machine);
                 }
                 leader.request_cycle(now.time);
             }
--- a/crates/core/src/node/direct_calls.rs
+++ b/crates/core/src/node/direct_calls.rs
@@ -12,17 +12,17 @@
 
 impl Node {
     pub(crate) fn report(&mut self, req: ReqId, report: StatusReport, now: Now) {
-        self.last_report = Some(now.time);
+        self.last_report_at = Some(now.time);
         let store_reachable = self.election.store_reachable(now.time);
         let majority = self.election.majority();
         let Some(leader) = self.leader.as_mut() else {
-            let Some(report) = self.pass_on(req, report, now) else {
+            let Some(report) = self.forward_report(req, report, now) else {
                 return;
             };
             if self.election.stands_in_for_leader(now.time) && report.token <= self.election.epoch {
                 let reply = StatusReportReply {
                     token: self.election.epoch,
-                    commands: self.job_cache.stops_of_cancelled(&report),
+                    commands: self.job_cache.stops_for_cancelled_tasks(&report),
                 };
                 return self.answer(req, 200, json(&reply));
             }
@@ -38,8 +38,8 @@
             Some(commands) => {
                 let token = leader.term.epoch;
                 if commands.is_empty() {
-                    if let Some(peer) = self.spread_report(&report.machine, now.time) {
-                        return self.report_to(req, Some(peer));
+                    if let Some(peer) = self.peer_for_report(&report.machine, now.time) {
+                        return self.redirect_agent(req, Some(peer));
                     }
                 }
                 self.answer(req, 200, json(&StatusReportReply { token, commands }))
@@ -54,8 +54,8 @@
     fn report_elsewhere(&mut self, req: ReqId, now: Time) {
         let recorded = self.job_cache.leader().map(|(_, r)| r.node.clone());
         let recorded = recorded.filter(|_| self.election.store_reachable(now));
-        let leader = self.near_leader(now).or(recorded);
-        self.report_to(req, leader.filter(|node| *node != self.settings.node));
+        let leader = self.reachable_leader(now).or(recorded);
+        self.redirect_agent(req, leader.filter(|node| *node != self.settings.node));
     }
 
     /// Sends starts that have been recorded, what can't wait first.
@@ -89,8 +89,8 @@
         let Some(addr) = machine.addr.clone() else {
             return;
         };
-        let incarnation = machine.newest.0;
-        if !leader.wants_direct(machine, now.time) || !leader.may_call(now.time) {
+        let incarnation = machine.last_message.0;
+        if !leader.needs_direct_call(machine, now.time) || !leader.may_call_directly(now.time) {
             return;
         }
         let commands = leader.commands_within(id, usage, now.time, true);
@@ -99,8 +99,8 @@
         }
         leader.fleet.direct_calls_left -= 1.0;
         if let Some(machine) = leader.fleet.machines.get_mut(id) {
-            machine.direct_open = true;
-            machine.direct_after = now.time + Span(200);
+            machine.direct_call_open = true;
+            machine.next_direct_call_at = now.time + Span(200);
         }
         let body = DirectCommands {
             token: leader.term.epoch,
@@ -124,13 +124,13 @@
         let Some(machine) = leader.fleet.machines.get_mut(id) else {
             return;
         };
-        let (Some(addr), false) = (machine.addr.clone(), machine.direct_open) else {
+        let (Some(addr), false) = (machine.addr.clone(), machine.direct_call_open) else {
             return;
         };
-        machine.direct_open = true;
+        machine.direct_call_open = true;
         let body = DirectCommands {
             token,
-            incarnation: machine.newest.0,
+            incarnation: machine.last_message.0,
             commands: Vec::new(),
         };
         self.out.push(Output::Direct {
@@ -151,23 +151,23 @@
             return;
         };
         let unsure = matches!(outcome, DirectOutcome::Unknown);
-        leader.direct_ended(&id, &body.commands, unsure);
+        leader.direct_call_ended(&id, &body.commands, unsure);
         match outcome {
-            DirectOutcome::Executed(report) => leader.reacted(&report, now),
+            DirectOutcome::Executed(report) => leader.direct_call_answered(&report, now),
             DirectOutcome::Rejected(Some(report)) => {
                 if report.token > leader.term.epoch {
                     return log::warn!("{id} follows a higher token");
                 }
-                leader.reacted(&report, now);
+                leader.direct_call_answered(&report, now);
             }
             DirectOutcome::NotCalled => {
                 // Too many wait already: it is tried again, but not at once.
                 if let Some(machine) = leader.fleet.machines.get_mut(&id) {
-                    machine.direct_after = now.time + NOT_CALLED;
+                    machine.next_direct_call_at = now.time + NOT_CALLED;
                 }
             }
             _ => {
-                leader.did_not_answer(&id, now.time);
+                leader.direct_call_unanswered(&id, now.time);
             }
         }
     }
--- a/crates/core/src/node/explanations.rs
+++ b/crates/core/src/node/explanations.rs
@@ -1,7 +1,7 @@
 //! Explains to administrators why a job is where it is.
 
 use crate::api::admin::views::{phase, MOST_LISTED};
-use crate::jobs::job::{Job, Stage};
+use crate::jobs::job::{Job, JobStage};
 use crate::leader::Leader;
 use crate::node::Node;
 use crate::scheduling::snapshot::Snapshot;
@@ -21,10 +21,10 @@
     if job.is_suspected() {
         return "it fails wherever it is tried, perhaps for a mistake; it is tried now and then";
     }
-    if job.free_tasks() == 0 {
+    if job.startable_tasks() == 0 {
         return "all its tasks are placed or done";
     }
-    if job.not_before > now.time {
+    if job.retry_at > now.time {
         return "its tasks failed, and it waits a little before the next try";
     }
     let snapshot = Snapshot::take(leader, now);
@@ -59,12 +59,12 @@
                 None => (404, json!({ "error": "no such job" })),
             };
         };
-        let tasks: Vec<Value> = (job.places.iter())
+        let tasks: Vec<Value> = (job.placements.iter())
             .flat_map(|(index, places)| places.iter().map(move |p| (index, p)))
             .take(MOST_LISTED)
             .map(|(index, (machine, attempt))| {
                 let entry = (leader.fleet.machines.get(machine)).and_then(|m| {
-                    m.entries
+                    m.tasks
                         .iter()
                         .find(|e| e.attempt == *attempt && e.task.index == *index)
                 });
@@ -78,21 +78,21 @@
         let body = json!({
             "id": id,
             "team": job.spec.team,
-            "cancelled": job.stage != Stage::Active,
-            "waits_for": job.unmet.iter().take(MOST_LISTED).collect::<Vec<_>>(),
-            "waits_for_of": job.unmet.len(),
+            "cancelled": job.stage != JobStage::Active,
+            "waits_for": job.unmet_dependencies.iter().take(MOST_LISTED).collect::<Vec<_>>(),
+            "waits_for_of": job.unmet_dependencies.len(),
             "needed_by": (self.job_cache.graph.dependents_of(id))
                 .take(MOST_LISTED)
                 .collect::<Vec<_>>(),
             "needed_by_of": self.job_cache.graph.dependents_of(id).count(),
-            "priority": job.goal.priority,
-            "finish_by_ms": job.goal.finish_by.map(|wall| wall.0),
+            "priority": job.urgency.priority,
+            "finish_by_ms": job.urgency.deadline.map(|wall| wall.0),
             "done": job.done.len(),
             "of": job.spec.tasks,
-            "to_start": job.free_tasks(),
+            "to_start": job.startable_tasks(),
             "why": why_waiting(leader, job, now),
             "tasks": tasks,
-            "tasks_of": job.placed(),
+            "tasks_of": job.placement_count(),
         });
         (200, body)
     }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -17,7 +17,7 @@
         let counts = match &self.leader {
             // They are for display, and many: not with every heartbeat.
             Some(leader) if self.heartbeats_sent % 4 == 1 => {
-                let running = leader.running();
+                let running = leader.running_tasks_by_job();
                 // Of what is not named nothing is done and nothing runs.
                 let counts: Vec<Count> = (leader.jobs.iter())
                     .map(|(id, job)| (id, job.done.len(), running.get(id).copied().unwrap_or(0)))
@@ -34,9 +34,9 @@
             _ => None,
         };
         if let Some(counts) = &counts {
-            self.learn_counts(counts);
+            self.update_task_counts(counts);
         }
-        let load = self.load(now.time);
+        let load = self.reported_load(now.time);
         self.out.push(Output::Heartbeat(Heartbeat {
             from: self.settings.node.to_string(),
             epoch: self
@@ -48,8 +48,8 @@
             requests_lease_vote: self.leader.is_some() || self.election.could_stand_in(now.time),
             machines: self.leader.as_ref().map_or(0, Leader::fleet_size),
             workers: load,
-            forwards_reports: self.leader.is_some() || self.near_leader(now.time).is_some(),
-            worker_silence_ms: self.worker_silence(now.time).0,
+            forwards_reports: self.leader.is_some() || self.reachable_leader(now.time).is_some(),
+            worker_silence_ms: self.agent_silence(now.time).0,
             partitioned_zones: (self.leader.iter().flat_map(|l| &l.fleet.partitioned_zones))
                 .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
                 .collect(),
@@ -59,30 +59,30 @@
         self.update_old_leaders_fenced_at(now.time);
     }
 
-    fn learn_counts(&mut self, counts: &[Count]) {
-        self.counts = (counts.iter())
+    fn update_task_counts(&mut self, counts: &[Count]) {
+        self.task_counts = (counts.iter())
             .filter_map(|c| Some((c.job.parse().ok()?, (c.done, c.running))))
             .collect();
     }
 
     /// Tasks of a job that are done and that run, for display.
-    pub(crate) fn counts(&self, id: &JobId) -> (u32, u32) {
-        self.counts.get(id).copied().unwrap_or_default()
+    pub(crate) fn task_counts(&self, id: &JobId) -> (u32, u32) {
+        self.task_counts.get(id).copied().unwrap_or_default()
     }
 
     pub(crate) fn heartbeat(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
         let silence = Span(heartbeat.worker_silence_ms);
-        self.note_peer(
+        self.update_peer(
             &heartbeat.from,
             heartbeat.store_reachable,
             silence,
             now.time,
         );
-        self.note_load(&heartbeat);
+        self.update_peer_load(&heartbeat);
         if heartbeat.leads && heartbeat.epoch >= self.election.epoch {
             self.election.observe_leader(now.time);
         }
-        let catchup = self.catchup_for(&heartbeat);
+        let catchup = self.catch_up_for(&heartbeat);
         let whole = catchup.as_ref().is_some_and(|(_, whole)| *whole);
         let grants_lease_vote = whole
             && self
@@ -102,7 +102,7 @@
                 })
                 .collect();
             if let Some(counts) = &heartbeat.counts {
-                self.learn_counts(counts);
+                self.update_task_counts(counts);
             }
         }
         self.check_epoch(heartbeat.epoch);
@@ -111,7 +111,7 @@
             epoch: self.election.epoch,
             store_reachable: self.election.store_reachable(now.time),
             grants_lease_vote,
-            worker_silence_ms: self.worker_silence(now.time).0,
+            worker_silence_ms: self.agent_silence(now.time).0,
             cancellation_watermark: self.cancellations.cancellation_watermark,
             catchup: catchup.map(|(catchup, _)| catchup),
         };
@@ -121,7 +121,7 @@
     pub(crate) fn heartbeat_reply(&mut self, sent: Time, mut reply: HeartbeatReply, now: Now) {
         self.catch_up(&mut reply);
         let silence = Span(reply.worker_silence_ms);
-        self.note_peer(&reply.from, reply.store_reachable, silence, now.time);
+        self.update_peer(&reply.from, reply.store_reachable, silence, now.time);
         self.election.observe_epoch(reply.epoch, now.time);
         self.check_epoch(reply.epoch);
         let name = NodeName::from(reply.from.as_str());
@@ -157,13 +157,13 @@
     /// acknowledging.
     pub(crate) fn update_old_leaders_fenced_at(&mut self, now: Time) {
         let majority = self.election.majority();
-        let superseding = !self.job_cache.complete || self.job_cache.dependencies_in_use();
+        let superseding = !self.job_cache.is_complete || self.job_cache.dependencies_in_use();
         if let Some(leader) = self.leader.as_mut() {
             (leader.term).update_old_leaders_fenced_at(now, majority, superseding);
         }
     }
 
-    fn note_load(&mut self, heartbeat: &Heartbeat) {
+    fn update_peer_load(&mut self, heartbeat: &Heartbeat) {
         let name = NodeName::from(heartbeat.from.as_str());
         self.forwarding.sent.remove(&name);
         if let Some(peer) = self.peers.get_mut(&name) {
@@ -175,21 +175,21 @@
     }
 
     /// How long no worker has reported here.
-    pub(crate) fn worker_silence(&self, now: Time) -> Span {
-        self.last_report.map_or(Span(u64::MAX), |t| now - t)
+    pub(crate) fn agent_silence(&self, now: Time) -> Span {
+        self.last_report_at.map_or(Span(u64::MAX), |t| now - t)
     }
 
-    fn note_peer(&mut self, name: &str, store_reachable: bool, silence: Span, now: Time) {
+    fn update_peer(&mut self, name: &str, store_reachable: bool, silence: Span, now: Time) {
         if let Some(peer) = self.peers.get_mut(&NodeName::from(name)) {
-            peer.heard = now;
+            peer.last_heartbeat_at = now;
             peer.store_reachable = store_reachable;
-            peer.worker_silence = silence;
+            peer.agent_silence = silence;
         }
     }
 
     pub(crate) fn health(&mut self, req: ReqId, now: Now) {
-        let peer =
-            (self.peers.values()).any(|p| p.store_reachable && now.time < p.heard + Span(1_500));
+        let peer = (self.peers.values())
+            .any(|p| p.store_reachable && now.time < p.last_heartbeat_at + Span(1_500));
         if self.election.store_reachable(now.time) || peer {
             self.answer(req, 200, "{}".into());
         } else {
--- a/crates/core/src/node/leadership_transfer.rs
+++ b/crates/core/src/node/leadership_transfer.rs
@@ -43,33 +43,38 @@
 
     /// Whether some peer could lead: it was heard lately and the state service answers it.
     fn has_fit_peer(&self, now: Time) -> bool {
-        (self.peers.values()).any(|peer| now < peer.heard + NEAR && peer.store_reachable)
+        (self.peers.values())
+            .any(|peer| now < peer.last_heartbeat_at + NEAR && peer.store_reachable)
     }
 
     /// Whether no worker reaches this leader while they reach others.
     fn is_cut_off(&mut self, now: Time) -> bool {
         let reached = self.peers.values().any(|peer| {
-            now < peer.heard + NEAR && peer.worker_silence < REACHED && peer.store_reachable
+            now < peer.last_heartbeat_at + NEAR
+                && peer.agent_silence < REACHED
+                && peer.store_reachable
         });
         // The first workers to come up may just have found another node first.
         if !reached {
-            self.reached_others = None;
-        } else if self.reached_others.is_none() {
-            self.reached_others = Some(now);
+            self.peers_reached_since = None;
+        } else if self.peers_reached_since.is_none() {
+            self.peers_reached_since = Some(now);
         }
         let silence = |since: Time| now - since > CUT_OFF;
-        let others_long = self.reached_others.is_some_and(silence);
+        let others_long = self.peers_reached_since.is_some_and(silence);
         let Some(leader) = &self.leader else {
             return false;
         };
-        let heard_nobody = silence(leader.term.elected_at) && self.last_report.is_none_or(silence);
+        let heard_nobody =
+            silence(leader.term.elected_at) && self.last_report_at.is_none_or(silence);
         let has_machines = !leader.fleet.machines.is_empty();
         others_long && heard_nobody && has_machines && self.is_unreached(leader, now)
     }
 
     /// In a large fleet, hardly any worker may have been sent here: then calls must fail, too.
     fn is_unreached(&self, leader: &Leader, now: Time) -> bool {
-        !self.is_spread(leader.fleet.machines.len() as u32) || leader.reaches_nobody(now)
+        !self.is_report_forwarding_on(leader.fleet.machines.len() as u32)
+            || leader.reaches_no_agent(now)
     }
 }
 
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -12,7 +12,7 @@
         ..NOW
     };
     let peer = PeerStatus {
-        heard: now.time + FAR_BEHIND,
+        last_heartbeat_at: now.time + FAR_BEHIND,
         store_reachable: peer_served,
         ..PeerStatus::default()
     };
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -92,19 +92,19 @@
     /// Zones that the leader said are cut off, and since when.
     pub(crate) leader_partitioned_zones: BTreeMap<Zone, Time>,
     pub(crate) peers: BTreeMap<NodeName, PeerStatus>,
-    pub(crate) counts: BTreeMap<JobId, (u32, u32)>,
-    filling: bool,
-    next_fill: Time,
+    pub(crate) task_counts: BTreeMap<JobId, (u32, u32)>,
+    cache_syncing: bool,
+    next_cache_sync_at: Time,
     pub(crate) next_heartbeat_at: Time,
     pub(crate) heartbeats_sent: u64,
-    next_review: Time,
+    next_reconcile_at: Time,
     /// Keeps looks and cycles to a part of the time.
     pacing: Pacing,
     /// Whether this node keeps up.
     pub(crate) backlog: Backlog,
-    pub(crate) last_report: Option<Time>,
+    pub(crate) last_report_at: Option<Time>,
     /// Since when workers have reached other nodes all the time.
-    pub(crate) reached_others: Option<Time>,
+    pub(crate) peers_reached_since: Option<Time>,
     pub(crate) out: Vec<Output>,
 }
 
@@ -160,16 +160,16 @@
             leader_machines: 0,
             leader_partitioned_zones: BTreeMap::new(),
             peers,
-            counts: BTreeMap::new(),
-            filling: false,
-            next_fill: Time(0),
+            task_counts: BTreeMap::new(),
+            cache_syncing: false,
+            next_cache_sync_at: Time(0),
             next_heartbeat_at: Time(0),
             heartbeats_sent: 0,
-            next_review: Time(0),
+            next_reconcile_at: Time(0),
             pacing: Pacing::default(),
             backlog: Backlog::default(),
-            last_report: None,
-            reached_others: None,
+            last_report_at: None,
+            peers_reached_since: None,
             out: Vec::new(),
             settings,
         }
@@ -189,26 +189,28 @@
             Input::Heartbeat(req, heartbeat) => self.heartbeat(req, heartbeat, now),
             Input::HeartbeatReply(sent, reply) => self.heartbeat_reply(sent, reply, now),
             Input::ForwardedReports(req, reports) => self.reports(req, reports, now),
-            Input::ForwardedReportsReply(call, reply) => self.passed(call, reply, now),
-            Input::ReplicateCancellations(req, told) => self.announced(req, told),
+            Input::ForwardedReportsReply(call, reply) => {
+                self.forwarded_reports_answered(call, reply, now)
+            }
+            Input::ReplicateCancellations(req, told) => self.cancellations_replicated(req, told),
             Input::ReplicateCancellationsReply(peer, reply) => {
-                self.announce_reply(peer, reply, now)
+                self.replication_answered(peer, reply, now)
             }
             Input::ForwardReply(req, answer) => self.forward_answer(req, answer),
             Input::State(id, sent, answer) => self.state_answer(id, sent, answer, now),
-            Input::Watched(revision, events) => self.watched(revision, events, now),
+            Input::Watched(revision, events) => self.watch_events_received(revision, events, now),
             Input::WatchLost => {
                 // Until it has been read again, the cache may miss changes: the tick sees to it
                 // that this is tried until it works.
-                self.job_cache.complete = false;
-                self.fill();
+                self.job_cache.is_complete = false;
+                self.start_cache_sync();
             }
             Input::Cloud(id, answer) => self.cloud_answer(id, answer, now),
             Input::Direct(machine, body, outcome) => self.direct(machine, body, outcome, now),
         }
         // At once, so that nothing of a job is started after its user was told that it is cancelled.
-        self.learn_changed(now);
-        self.announce(now);
+        self.apply_job_changes(now);
+        self.send_cancellation_replications(now);
         self.calls.pump(now.time, &mut self.out);
         std::mem::take(&mut self.out)
     }
@@ -230,8 +232,9 @@
     }
 
     fn tick(&mut self, now: Now) {
-        if !self.job_cache.complete && !self.filling && now.time >= self.next_fill {
-            self.fill();
+        if !self.job_cache.is_complete && !self.cache_syncing && now.time >= self.next_cache_sync_at
+        {
+            self.start_cache_sync();
         }
         self.backlog.tick(now.time);
         let mine = self.leader.as_ref().map(|l| l.term.lease_id);
@@ -239,7 +242,7 @@
             .election
             .tick(now.time, self.job_cache.leader_slot(), mine);
         self.election_calls(due);
-        self.confirm(now);
+        self.send_due_confirmations(now);
         self.cancellations_tick(now);
         self.fetch_catalog(now);
         self.forwarding_tick(now);
@@ -270,16 +273,18 @@
         }
         match self.calls.finish(id) {
             Some(PendingCall::Election(step)) => self.election_answer(step, sent, answer, now),
-            Some(PendingCall::Fill(first)) => self.filled(first, answer, now),
+            Some(PendingCall::Fill(first)) => self.cache_sync_page_received(first, answer, now),
             Some(PendingCall::User(step)) => self.user_answer(step, answer, now),
             Some(PendingCall::Leader(leader, step)) => {
                 if self.leader.as_ref().is_some_and(|l| l.term.id() == leader) {
                     self.leader_call_answered(step, answer, now);
                 }
             }
-            Some(PendingCall::Settings(req, new)) => self.settings_replaced(req, *new, answer),
+            Some(PendingCall::Settings(req, new)) => {
+                self.admin_settings_replaced(req, *new, answer)
+            }
             Some(PendingCall::Known) => {
-                self.known_written(matches!(answer, StoreAnswer::Committed(_)))
+                self.watermark_written(matches!(answer, StoreAnswer::Committed(_)))
             }
             None => log::debug!("an answer that nobody waits for"),
         }
@@ -297,7 +302,7 @@
         self.election_calls(progress.calls);
         match progress.verdict {
             ElectionEvent::Nothing => {}
-            ElectionEvent::Leader(key, record) => self.job_cache.learn_leader_read(key, record),
+            ElectionEvent::Leader(key, record) => self.job_cache.update_leader_read(key, record),
             ElectionEvent::ElectionWin(won) => self.become_leader(won, now),
             ElectionEvent::Lost => self.step_down("its lease has ended"),
         }
@@ -337,17 +342,17 @@
     }
 
     /// Reads everything that is watched, from the start.
-    fn fill(&mut self) {
-        self.filling = true;
+    fn start_cache_sync(&mut self) {
+        self.cache_syncing = true;
         let call = StoreCall::List(SHARED.into(), None);
         self.calls
             .call(Urgency::User, call, PendingCall::Fill(None));
     }
 
-    fn filled(&mut self, fill: Option<Fill>, answer: StoreAnswer, now: Now) {
+    fn cache_sync_page_received(&mut self, fill: Option<Fill>, answer: StoreAnswer, now: Now) {
         let StoreAnswer::Page(page) = answer else {
-            self.filling = false;
-            self.next_fill = now.time + Span(250);
+            self.cache_syncing = false;
+            self.next_cache_sync_at = now.time + Span(250);
             return;
         };
         let mut fill = fill.unwrap_or(Fill {
@@ -355,46 +360,47 @@
             leader_keys: Vec::new(),
         });
         let last = page.items.last().map(|i| i.key.clone());
-        self.learn_page(&page, &mut fill, now);
+        self.apply_sync_page(&page, &mut fill, now);
         if page.more && last.is_some() {
             let call = StoreCall::List(SHARED.into(), last);
             let purpose = PendingCall::Fill(Some(fill));
             self.calls.call(Urgency::User, call, purpose);
             return;
         }
-        self.filling = false;
-        self.job_cache.complete = true;
+        self.cache_syncing = false;
+        self.job_cache.is_complete = true;
         self.advance_cancellation_watermark(fill.first);
         self.out.push(Output::Watch(fill.first));
     }
 
-    fn learn_page(&mut self, page: &Page<Value>, fill: &mut Fill, now: Now) {
+    fn apply_sync_page(&mut self, page: &Page<Value>, fill: &mut Fill, now: Now) {
         for item in &page.items {
             fill.leader_keys.extend(LeaderKey::of_name(&item.key));
-            self.job_cache.learn(&item.key, item.version, &item.value);
+            self.job_cache
+                .apply_item(&item.key, item.version, &item.value);
         }
         let missing = |key: &LeaderKey| !page.more && !fill.leader_keys.contains(key);
         for key in LeaderKey::ALL.into_iter().filter(missing) {
-            self.job_cache.learn_leader(key, fill.first, None);
+            self.job_cache.update_leader(key, fill.first, None);
         }
-        self.take_learned(now);
+        self.apply_cached_settings(now);
     }
 
-    fn watched(&mut self, revision: Version, events: Vec<Event<Value>>, now: Now) {
+    fn watch_events_received(&mut self, revision: Version, events: Vec<Event<Value>>, now: Now) {
         for event in &events {
-            self.job_cache.learn_event(event);
+            self.job_cache.apply_event(event);
         }
-        self.take_learned(now);
+        self.apply_cached_settings(now);
         self.advance_cancellation_watermark(revision);
         self.out.push(Output::Watch(revision));
     }
 
-    fn take_learned(&mut self, now: Now) {
+    fn apply_cached_settings(&mut self, now: Now) {
         if let Some(catalog) = self.job_cache.catalog.take() {
             self.catalog.get_or_insert(catalog);
         }
         if let Some((version, settings)) = self.job_cache.admin.take() {
-            self.take_up(version, settings);
+            self.apply_admin_settings(version, settings);
         }
         if let Some((_, record)) = self.job_cache.leader() {
             self.election.observe_epoch(record.epoch, now.time);
@@ -415,18 +421,18 @@
         };
         let behind = self.backlog.is_behind(now.time);
         let review_is_due =
-            now.time >= self.next_review && self.pacing.may_review(now.time, behind);
+            now.time >= self.next_reconcile_at && self.pacing.may_review(now.time, behind);
         if leader.recovery.is_complete && review_is_due {
             self.pacing.begin(LongStep::Review, now.time);
             // Looking through a large fleet takes longer, so it is done less often.
-            self.next_review =
+            self.next_reconcile_at =
                 now.time + Span(PLACEMENTS.0 + leader.fleet.machines.len() as u64 / 12);
             leader.fleet.update_beyond_connections(self.fleet_limits);
             leader.detect_partitioned_zones(now.time);
-            leader.end_cancelled(now);
-            leader.drain(now.time);
-            leader.empty_retired(now.time);
-            leader.expire(now);
+            leader.stop_ended_jobs(now);
+            leader.drain_reclaimed_machines(now.time);
+            leader.stop_tasks_on_retired(now.time);
+            leader.expire_leases(now);
             let cycle_is_due =
                 now.time >= leader.schedule.next_cycle && self.pacing.may_cycle(now.time, behind);
             if leader.term.is_lease_valid(now.time) && cycle_is_due {
@@ -434,12 +440,12 @@
                 leader.schedule.next_cycle = now.time + leader.policy.cycle_period;
                 leader.cycle(now);
             }
-            self.flush(now);
+            self.flush_leader_commits(now);
             self.bump_epoch_if_needed(now);
             self.push_waiting(now);
             self.cloud_tick(now);
         } else {
-            self.flush(now);
+            self.flush_leader_commits(now);
             self.cloud_pump(now);
         }
     }
@@ -449,17 +455,17 @@
             return;
         };
         let waiting: Vec<MachineId> = (leader.fleet.machines.values())
-            .filter(|m| leader.wants_direct(m, now.time))
+            .filter(|m| leader.needs_direct_call(m, now.time))
             .map(|m| m.id.clone())
             .collect();
-        let overdue = leader.overdue(now.time);
+        let overdue = leader.machines_to_probe(now.time);
         self.push_starts(&waiting, now);
         for id in overdue {
             self.probe(&id);
         }
     }
 
-    fn learn_changed(&mut self, now: Now) {
+    fn apply_job_changes(&mut self, now: Now) {
         let changed = std::mem::take(&mut self.job_cache.changed);
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -468,9 +474,9 @@
             let Some(known) = self.job_cache.jobs.get_mut(id) else {
                 continue;
             };
-            leader.learn_job(id, known.version, &known.record);
+            leader.update_job(id, known.version, &known.record);
             if known.record.state == JobState::Cancelled {
-                leader.stop_cancelled(id, now.time);
+                leader.stop_job(id, now.time);
             }
             leader.request_cycle(now.time);
         }
--- a/crates/core/src/node/placement_log.rs
+++ b/crates/core/src/node/placement_log.rs
@@ -22,7 +22,7 @@
 impl Node {
     /// Commits what has changed in the placement log.
     pub(crate) fn flush_placement_log(&mut self, now: Now) {
-        self.repeat_pages(now.time);
+        self.repeat_segment_commits(now.time);
         let rate = self.limits.placement_writes();
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -32,14 +32,14 @@
             leader.placement_log.next_tidy = now.time + TIDY;
         }
         if tidy {
-            self.tidy_placement_log(rate, now);
+            self.compact_placement_log(rate, now);
         }
         let mut progress = tidy;
         while let Some(leader) = self.leader.as_mut() {
             let nothing = !leader.placement_log.may_have_unrecorded && !progress;
             if nothing
                 || leader.placement_log.open.len() >= OPEN
-                || !leader.placement_log.take(1.0, rate, now.time)
+                || !leader.placement_log.take_writes(1.0, rate, now.time)
             {
                 break;
             }
@@ -65,25 +65,27 @@
                 .take(most)
                 .copied()
                 .collect();
-            let affordable = leader.placement_log.take(dead.len() as f64, rate, now.time);
+            let affordable = leader
+                .placement_log
+                .take_writes(dead.len() as f64, rate, now.time);
             let deletes = if affordable { dead } else { Vec::new() };
             leader.placement_log.dead.retain(|p| !deletes.contains(p));
-            self.open_page(page, draft, deletes);
+            self.open_segment_commit(page, draft, deletes);
         }
     }
 
-    fn tidy_placement_log(&mut self, rate: f64, now: Now) {
+    fn compact_placement_log(&mut self, rate: f64, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
         let old = leader
             .placement_log
-            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits);
+            .compact(&leader.fleet, &leader.jobs, &leader.store_limits);
         let cost = 1.0 + old.len() as f64;
-        if !old.is_empty() && leader.placement_log.take(cost, rate, now.time) {
+        if !old.is_empty() && leader.placement_log.take_writes(cost, rate, now.time) {
             let page = leader.term.next_segment();
             let draft = PlacementLog::rewrite(&mut leader.fleet, &mut leader.jobs, page, &old);
-            self.open_page(page, draft, old);
+            self.open_segment_commit(page, draft, old);
         } else if leader.placement_log.dead.len() >= leader.store_limits.operations / 2
             && leader.placement_log.open.is_empty()
         {
@@ -94,15 +96,23 @@
                 .take(leader.store_limits.operations)
                 .copied()
                 .collect();
-            if leader.placement_log.take(dead.len() as f64, rate, now.time) {
+            if leader
+                .placement_log
+                .take_writes(dead.len() as f64, rate, now.time)
+            {
                 leader.placement_log.dead.retain(|p| !dead.contains(p));
                 let page = leader.term.next_segment();
-                self.open_page(page, PendingSegment::new(), dead);
+                self.open_segment_commit(page, PendingSegment::new(), dead);
             }
         }
     }
 
-    fn open_page(&mut self, page: SegmentId, draft: PendingSegment, deletes: Vec<SegmentId>) {
+    fn open_segment_commit(
+        &mut self,
+        page: SegmentId,
+        draft: PendingSegment,
+        deletes: Vec<SegmentId>,
+    ) {
         if let Some(leader) = self.leader.as_mut() {
             let open = UncommittedSegment {
                 record: draft.record,
@@ -111,11 +121,11 @@
                 again: None,
             };
             leader.placement_log.open.insert(page, open);
-            self.send_page(page);
+            self.send_segment_commit(page);
         }
     }
 
-    fn send_page(&mut self, page: SegmentId) {
+    fn send_segment_commit(&mut self, page: SegmentId) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -141,7 +151,7 @@
         self.call_store_as_leader(call, LeaderCall::Page(page));
     }
 
-    fn repeat_pages(&mut self, now: Time) {
+    fn repeat_segment_commits(&mut self, now: Time) {
         let Some(leader) = &self.leader else {
             return;
         };
@@ -150,12 +160,17 @@
             .map(|(page, _)| *page)
             .collect();
         for page in again {
-            self.send_page(page);
+            self.send_segment_commit(page);
         }
     }
 
     /// The answer to a page's commit.
-    pub(crate) fn page_answered(&mut self, page: SegmentId, answer: StoreAnswer, now: Now) {
+    pub(crate) fn segment_commit_answered(
+        &mut self,
+        page: SegmentId,
+        answer: StoreAnswer,
+        now: Now,
+    ) {
         let written = match &answer {
             StoreAnswer::Committed(_) => true,
             // The page exists, so an earlier try was carried out.
@@ -170,9 +185,11 @@
         };
         if matches!(answer, StoreAnswer::Rejected) {
             // It would be rejected again as it is: what is on it goes on smaller ones.
-            return leader
-                .placement_log
-                .take_apart(&mut leader.fleet, &mut leader.jobs, page);
+            return leader.placement_log.reopen_rejected_segment(
+                &mut leader.fleet,
+                &mut leader.jobs,
+                page,
+            );
         }
         if !written {
             if let Some(open) = leader.placement_log.open.get_mut(&page) {
@@ -186,7 +203,7 @@
         let started =
             leader
                 .placement_log
-                .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
+                .segment_committed(&mut leader.fleet, &mut leader.jobs, page, open);
         self.push_starts(&started, now);
         self.step_down_if_superseded(&answer);
     }
--- a/crates/core/src/node/read_confirmation.rs
+++ b/crates/core/src/node/read_confirmation.rs
@@ -1,6 +1,6 @@
 //! Confirmations of reads.
 
-use crate::api::read_confirmation::{Confirmation, Standing};
+use crate::api::read_confirmation::{Confirmation, ReadResult};
 use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::Node;
@@ -23,7 +23,7 @@
 
 impl Node {
     /// Confirms a request soon, with others.
-    pub(crate) fn confirm_later(&mut self, waiting: Waiting, now: Now) {
+    pub(crate) fn queue_confirmation(&mut self, waiting: Waiting, now: Now) {
         let most = self.most_unconfirmed();
         let unconfirmed = &mut self.user_requests.unconfirmed;
         if unconfirmed.queue.len() >= most {
@@ -41,7 +41,7 @@
     }
 
     /// Sends confirmations that are due.
-    pub(crate) fn confirm(&mut self, now: Now) {
+    pub(crate) fn send_due_confirmations(&mut self, now: Now) {
         let unconfirmed = &self.user_requests.unconfirmed;
         let due = (unconfirmed.collecting_since)
             .is_some_and(|t| now.time >= unconfirmed.next.max(t + COLLECT));
@@ -51,7 +51,7 @@
         let pause = 1.0 / (self.calls.rate() * CONFIRM_PART).max(0.1);
         self.user_requests.unconfirmed.next = now.time + Span::secs(pause);
         for _ in 0..BATCHES {
-            self.confirm_some(now);
+            self.send_confirmation_batch(now);
         }
         let unconfirmed = &mut self.user_requests.unconfirmed;
         let left = !unconfirmed.queue.is_empty();
@@ -59,7 +59,7 @@
     }
 
     /// Confirms what fits into a commit, the longest waiting first.
-    fn confirm_some(&mut self, now: Now) {
+    fn send_confirmation_batch(&mut self, now: Now) {
         let most = self.limits.conditions();
         let mut batch = Confirmation::default();
         let waiting_now = self.user_requests.unconfirmed.queue.len();
@@ -68,7 +68,7 @@
                 break;
             };
             if self.is_final(waiting.job()) {
-                self.tell(waiting, now);
+                self.respond(waiting, now);
                 continue;
             }
             if now.time > waiting.since + PATIENCE {
@@ -144,10 +144,10 @@
             .take(confirmation.confirmed)
             .filter(|(id, _)| !failed.contains(id.as_str()))
             .collect();
-        self.tell_confirmed(confirmation.members, &fresh, now);
+        self.respond_to_confirmed(confirmation.members, &fresh, now);
     }
 
-    fn tell_confirmed(
+    fn respond_to_confirmed(
         &mut self,
         members: Vec<Waiting>,
         fresh: &BTreeMap<JobId, Version>,
@@ -156,10 +156,10 @@
         let mut stale: BTreeMap<JobId, Vec<Waiting>> = BTreeMap::new();
         for waiting in members {
             match self.standing(waiting.job(), fresh) {
-                Standing::Fresh | Standing::Final => self.tell(waiting, now),
-                Standing::Missing => self.no_such_job(waiting, now),
-                Standing::CancelledBy(by) => self.cancel_with(waiting, &by, now),
-                Standing::Stale(id) => stale.entry(id).or_default().push(waiting),
+                ReadResult::Fresh | ReadResult::Final => self.respond(waiting, now),
+                ReadResult::Missing => self.no_such_job(waiting, now),
+                ReadResult::CancelledBy(by) => self.cancel_with(waiting, &by, now),
+                ReadResult::Stale(id) => stale.entry(id).or_default().push(waiting),
             }
         }
         for (id, members) in stale {
@@ -170,23 +170,23 @@
 
     /// What is known of a job by now, given which versions were confirmed. The cache may have learned
     /// more meanwhile; what is told is the newest that is known.
-    fn standing(&self, id: &JobId, fresh: &BTreeMap<JobId, Version>) -> Standing {
+    fn standing(&self, id: &JobId, fresh: &BTreeMap<JobId, Version>) -> ReadResult {
         if self.is_final(id) {
-            return Standing::Final;
+            return ReadResult::Final;
         }
         let ancestry = self.job_cache.ancestry_of(id);
         if let Some(by) = ancestry.cancelled {
-            return Standing::CancelledBy(by);
+            return ReadResult::CancelledBy(by);
         }
         match fresh.get(id) {
-            None => return Standing::Stale(id.clone()),
-            Some(Version(0)) => return Standing::Missing,
+            None => return ReadResult::Stale(id.clone()),
+            Some(Version(0)) => return ReadResult::Missing,
             Some(_) => {}
         }
         let mut unfinished = ancestry.unfinished.into_iter();
         match unfinished.find(|(id, version)| fresh.get(id) != Some(version)) {
-            Some((id, _)) => Standing::Stale(id),
-            None => Standing::Fresh,
+            Some((id, _)) => ReadResult::Stale(id),
+            None => ReadResult::Fresh,
         }
     }
 
@@ -201,7 +201,7 @@
         let read = match answer {
             StoreAnswer::Found(item) => match serde_json::from_value::<JobRecord>(item.value) {
                 Ok(record) => {
-                    self.job_cache.learn_job(id, item.version, record);
+                    self.job_cache.update_job(id, item.version, record);
                     true
                 }
                 Err(_) => false,
@@ -220,7 +220,7 @@
         };
         for waiting in members {
             if read {
-                self.tell_read(waiting, now);
+                self.respond_to_read(waiting, now);
             } else {
                 self.forward_or_refuse(waiting, now);
             }
--- a/crates/core/src/node/read_confirmation/tests.rs
+++ b/crates/core/src/node/read_confirmation/tests.rs
@@ -15,7 +15,7 @@
     for n in 0..questions {
         let id = format!("wk-{n:06}").parse().expect("an id");
         let waiting = Waiting::new(ReqId(n), UserRequest::Status(id), NOW.time);
-        node.confirm_later(waiting, NOW);
+        node.queue_confirmation(waiting, NOW);
     }
     let refusal = |output: &Output| matches!(output, Output::Answer { status: 503, .. });
     node.out.iter().filter(|output| refusal(output)).count()
