--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -78,11 +78,11 @@
             LeaderCall::ReadBack(prefix, after) => {
                 self.recovery_page_answered(prefix, after, answer, now)
             }
-            LeaderCall::Page(page) => self.page_answered(page, answer, now),
-            LeaderCall::Complete(ids) => self.completed(ids, answer, now),
-            LeaderCall::JobAgain(id) => self.job_again(id, answer),
-            LeaderCall::Raise(epoch) => self.raised(epoch, answer, now),
-            LeaderCall::RaiseAgain(epoch) => self.raise_seen(epoch, answer, now),
+            LeaderCall::Page(page) => self.segment_commit_answered(page, answer, now),
+            LeaderCall::Complete(ids) => self.completions_answered(ids, answer, now),
+            LeaderCall::JobAgain(id) => self.job_reread(id, answer),
+            LeaderCall::Raise(epoch) => self.epoch_bump_answered(epoch, answer, now),
+            LeaderCall::RaiseAgain(epoch) => self.leader_key_read_after_bump(epoch, answer, now),
             LeaderCall::Catalog => {}
             LeaderCall::Gate => self.gate_answered(answer, now),
             LeaderCall::Cascade(jobs) => self.cascaded(jobs, answer, now),
@@ -144,9 +144,9 @@
                 JOBS => name.parse().ok().and_then(|id: JobId| {
                     let record: JobRecord = serde_json::from_value(item.value).ok()?;
                     // Another node may have told of something newer.
-                    self.job_cache.learn_job(id.clone(), item.version, record);
+                    self.job_cache.update_job(id.clone(), item.version, record);
                     let known = self.job_cache.jobs.get(&id)?;
-                    leader.learn_job(&id, known.version, &known.record);
+                    leader.update_job(&id, known.version, &known.record);
                     Some(())
                 }),
                 _ => SegmentId::of_name(name).and_then(|page| {
@@ -156,7 +156,7 @@
                 }),
             };
             if known.is_none() {
-                self.job_cache.note_unreadable(&item.key, &"read back");
+                self.job_cache.record_unreadable(&item.key, &"read back");
             }
         }
     }
@@ -182,7 +182,7 @@
     }
 
     /// Commits what has changed in the placement log.
-    pub(crate) fn flush(&mut self, now: Now) {
+    pub(crate) fn flush_leader_commits(&mut self, now: Now) {
         let Some(leader) = &self.leader else {
             return;
         };
@@ -220,7 +220,7 @@
             return;
         };
         let leadership_condition = leader.term.key_condition();
-        let due = |j: &&mut Job| !j.committing && j.is_active() && j.is_complete();
+        let due = |j: &&mut Job| !j.completion_open && j.is_active() && j.is_complete();
         let mut done: Vec<&mut Job> = leader.jobs.values_mut().filter(due).collect();
         let mut calls = Vec::new();
         // Many small jobs end at a time: one commit for several.
@@ -228,7 +228,7 @@
             let mut conditions = vec![leadership_condition.clone()];
             let mut changes = Vec::new();
             for job in jobs.iter_mut() {
-                job.committing = true;
+                job.completion_open = true;
                 let key = job_key(&job.spec.id);
                 conditions.push(condition(key.clone(), job.version));
                 changes.push(put(key, &done_record(job, &leader.store_limits, now)));
@@ -245,7 +245,7 @@
         }
     }
 
-    fn completed(&mut self, ids: Vec<JobId>, answer: StoreAnswer, now: Now) {
+    fn completions_answered(&mut self, ids: Vec<JobId>, answer: StoreAnswer, now: Now) {
         if self.step_down_if_superseded(&answer) {
             return;
         }
@@ -259,18 +259,18 @@
                     .fleet
                     .machines
                     .values_mut()
-                    .flat_map(|m| &mut m.entries)
+                    .flat_map(|m| &mut m.tasks)
                 {
                     let done = entry.phase == Phase::Exited(Cause::Done);
-                    entry.settled |= done && ended.contains(&entry.task.job);
+                    entry.outcome_recorded |= done && ended.contains(&entry.task.job);
                 }
                 for id in ids {
                     if let Some(job) = leader.jobs.get_mut(&id) {
                         log::info!("{id} is done");
-                        job.committing = false;
+                        job.completion_open = false;
                         let record = done_record(job, &leader.store_limits, now);
                         leader.finish(&id);
-                        self.job_cache.learn_job(id, version, record);
+                        self.job_cache.update_job(id, version, record);
                     }
                 }
                 leader.request_cycle(now.time);
@@ -295,18 +295,18 @@
         }
     }
 
-    fn job_again(&mut self, id: JobId, answer: StoreAnswer) {
+    fn job_reread(&mut self, id: JobId, answer: StoreAnswer) {
         match answer {
             StoreAnswer::Found(item) => {
                 if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
-                    self.job_cache.learn_job(id.clone(), item.version, record);
+                    self.job_cache.update_job(id.clone(), item.version, record);
                     let known = self.job_cache.jobs.get(&id);
                     if let (Some(leader), Some(known)) = (self.leader.as_mut(), known) {
-                        leader.learn_job(&id, known.version, &known.record);
+                        leader.update_job(&id, known.version, &known.record);
                     }
                 }
                 if let Some(job) = self.leader.as_mut().and_then(|l| l.jobs.get_mut(&id)) {
-                    job.committing = false;
+                    job.completion_open = false;
                 }
             }
             // The commit is tried again with the version that is known: if the first try was carried out
@@ -356,17 +356,17 @@
         self.call_store_as_leader(call, LeaderCall::Raise(epoch));
     }
 
-    fn raised(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
+    fn epoch_bump_answered(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
         match answer {
-            StoreAnswer::Committed(version) => self.new_epoch(epoch, version, now),
-            StoreAnswer::Refused => self.raise_over(),
+            StoreAnswer::Committed(version) => self.epoch_bumped(epoch, version, now),
+            StoreAnswer::Refused => self.epoch_bump_failed(),
             StoreAnswer::Conflict(_) => self.step_down("its key has changed"),
             StoreAnswer::NoSuchLease => self.step_down("its lease has ended"),
-            _ => self.read_raised(epoch),
+            _ => self.read_leader_key_after_bump(epoch),
         }
     }
 
-    fn read_raised(&mut self, epoch: Epoch) {
+    fn read_leader_key_after_bump(&mut self, epoch: Epoch) {
         let key = self
             .leader
             .as_ref()
@@ -376,18 +376,18 @@
         self.call_store_as_leader(call, LeaderCall::RaiseAgain(epoch));
     }
 
-    fn raise_over(&mut self) {
+    fn epoch_bump_failed(&mut self) {
         if let Some(leader) = self.leader.as_mut() {
             leader.term.epoch_bump.in_progress = false;
         }
     }
 
-    fn raise_seen(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
+    fn leader_key_read_after_bump(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
         match answer {
             StoreAnswer::Found(item) => {
                 let record = LeaderRecord::deserialize_from(&item.value);
                 if record.is_some_and(|r| r.epoch == epoch && r.node == self.settings.node) {
-                    self.new_epoch(epoch, item.version, now);
+                    self.epoch_bumped(epoch, item.version, now);
                 } else {
                     // It may yet be carried out, and would make every later commit fail: nothing
                     // else is certain but a new lead.
@@ -395,11 +395,11 @@
                 }
             }
             StoreAnswer::Missing => self.step_down("its key is gone"),
-            _ => self.read_raised(epoch),
+            _ => self.read_leader_key_after_bump(epoch),
         }
     }
 
-    fn new_epoch(&mut self, epoch: Epoch, version: Version, now: Now) {
+    fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Now) {
         self.election.observe_epoch(epoch, now.time);
         if let Some(leader) = self.leader.as_mut() {
             log::info!("raised the epoch to {epoch}");
@@ -419,7 +419,7 @@
     fn commit_again(&mut self, ids: &[JobId]) {
         for id in ids {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.committing = false;
+                job.completion_open = false;
             }
         }
     }
@@ -429,14 +429,14 @@
     /// The condition that every write of a leader depends on.
     /// Takes in a page after a take-over.
     fn recover_segment(&mut self, page: SegmentId, record: SegmentRecord, now: Now) {
-        self.placement_log.learn(page);
+        self.placement_log.register_segment(page);
         for (id, ranges) in record.done {
             if let Some(job) = self.jobs.get_mut(&id) {
-                if page >= job.page {
+                if page >= job.segment {
                     let tries = record.suspected.iter().find(|(of, _)| *of == id);
-                    job.failures.recall(tries.map_or(0, |t| t.1));
+                    job.failures.restore(tries.map_or(0, |t| t.1));
                 }
-                job.learn_progress(page, &ranges);
+                job.restore_progress(page, &ranges);
             }
         }
         for line in record.machines {
@@ -444,33 +444,33 @@
             let machine = (self.fleet.machines.entry(line.id.clone())).or_insert_with(|| {
                 let (t, z) = (line.machine_type, line.zone);
                 let mut new = Machine::new(line.id.clone(), t, z, line.spot, room, line.since);
-                new.listed = true;
+                new.in_cloud_list = true;
                 new
             });
-            machine.page = machine.page.max(page);
+            machine.segment = machine.segment.max(page);
             for (id, attempt, indexes) in line.tasks {
                 let mut job = self.jobs.get_mut(&id);
                 for index in indexes {
                     let task = id.task(index);
-                    if machine.entry_mut(&task, attempt).is_some() {
+                    if machine.task_mut(&task, attempt).is_some() {
                         continue;
                     }
                     // Of a job that is not known here, since it is done or its record can't be read, the
                     // task may be there all the same. It is stopped as soon as it is heard of.
                     let spec = job.as_ref().map(|job| job.spec.clone());
                     let mut entry = PlacedTask::planned(task, attempt, spec, now.time);
-                    entry.page = page;
+                    entry.segment = page;
                     entry.phase = Phase::Sent;
                     // Sent in an unknown session: only a report that acknowledges this epoch shows
                     // that it is gone.
-                    entry.sent = (
+                    entry.start_sent = (
                         Epoch(self.term.epoch.0.saturating_sub(1)),
                         Incarnation(u64::MAX),
                     );
                     if let Some(job) = job.as_mut() {
                         job.place(index, &line.id, attempt);
                     }
-                    machine.entries.push(entry);
+                    machine.tasks.push(entry);
                 }
             }
         }
@@ -480,7 +480,7 @@
 /// The record of a job whose tasks are all done.
 fn done_record(job: &Job, limits: &StoreLimits, now: Now) -> JobRecord {
     let record = JobRecord::done(job.spec.tasks, job.submitted, now.wall);
-    if job.places.is_empty() {
+    if job.placements.is_empty() {
         record
     } else {
         record.with_submission(&job.spec, limits)
--- a/crates/core/src/node/recovery/tests.rs
+++ b/crates/core/src/node/recovery/tests.rs
@@ -20,9 +20,9 @@
         ..SegmentRecord::default()
     };
     leader.recover_segment(SegmentId(1), page(&[4]), NOW);
-    assert_eq!(leader.jobs[&id].free_tasks(), 1);
+    assert_eq!(leader.jobs[&id].startable_tasks(), 1);
     leader.recover_segment(SegmentId(2), page(&[]), NOW);
-    assert_eq!(leader.jobs[&id].free_tasks(), 4);
+    assert_eq!(leader.jobs[&id].startable_tasks(), 4);
     leader.recover_segment(SegmentId(1), page(&[4]), NOW);
     assert!(
         !leader.jobs[&id].is_suspected(),
@@ -54,7 +54,7 @@
     leader.term.epoch = Epoch(5);
     leader.recover_segment(SegmentId(1), record, NOW);
     let found = &leader.fleet.machines[&machine];
-    let held = found.entries.iter().filter(|e| e.holds_room()).count();
+    let held = found.tasks.iter().filter(|e| e.occupies_capacity()).count();
     assert_eq!(held, 2);
     assert_eq!(
         found.free(),
@@ -64,7 +64,7 @@
     assert!(
         leader
             .placement_log
-            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits)
+            .compact(&leader.fleet, &leader.jobs, &leader.store_limits)
             .is_empty()
             && !leader.placement_log.is_dead(SegmentId(1))
     );
@@ -77,7 +77,7 @@
         grace_s: 0.0,
     };
     assert_eq!(leader.commands(&machine, NOW.time, false), vec![stop]);
-    let left: Vec<u32> = (leader.fleet.machines[&machine].entries.iter())
+    let left: Vec<u32> = (leader.fleet.machines[&machine].tasks.iter())
         .map(|e| e.task.index)
         .collect();
     assert_eq!(left, [1]);
@@ -98,7 +98,7 @@
     assert_eq!(done.state, JobState::Done);
     let mut after = leader();
     after.recovery.is_complete = false;
-    after.learn_job(&id, Version(2), &done);
+    after.update_job(&id, Version(2), &done);
     let line = crate::store::records::SegmentMachine {
         id: machine.clone(),
         machine_type: "m4".into(),
@@ -116,9 +116,9 @@
     let team = after.policy.teams.find(&gang.spec.team).expect("a team");
     assert_eq!(TeamUsage::default().of(&after)[team], gang.need.times(2));
     // Nothing of it is started again, and it is forgotten once its tasks are gone.
-    assert_eq!(after.waiting(NOW).len(), 0);
-    after.empty_machine(&machine, NOW);
-    after.end_cancelled(NOW);
+    assert_eq!(after.waiting_jobs(NOW).len(), 0);
+    after.clear_machine(&machine, NOW);
+    after.stop_ended_jobs(NOW);
     assert!(after.jobs.is_empty());
 }
 
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -1,6 +1,6 @@
 //! Status reports that reach a node which does not lead.
 
-use crate::agents::report_forwarding::{Held, SILENT};
+use crate::agents::report_forwarding::{HeldReport, SILENT};
 use crate::io::{json, CallId, Output, ReqId};
 use crate::leadership::peers::PeerStatus;
 use crate::node::Node;
@@ -27,21 +27,21 @@
 
 impl Node {
     /// A worker's report at a node that does not lead. Returns whether it was dealt with.
-    pub(crate) fn pass_on(
+    pub(crate) fn forward_report(
         &mut self,
         req: ReqId,
         report: StatusReport,
         now: Now,
     ) -> Option<StatusReport> {
-        let Some(leader) = self.near_leader(now.time) else {
+        let Some(leader) = self.reachable_leader(now.time) else {
             return Some(report);
         };
-        if !self.is_spread(self.leader_machines) {
+        if !self.is_report_forwarding_on(self.leader_machines) {
             // A small fleet: the leader hears it itself, and so sooner.
             return Some(report);
         }
-        if let Some(peer) = self.lighter(&report.machine, now.time) {
-            self.report_to(req, Some(peer));
+        if let Some(peer) = self.less_loaded_peer(&report.machine, now.time) {
+            self.redirect_agent(req, Some(peer));
             return None;
         }
         let oldest = self.forwarding.waiting.first();
@@ -58,7 +58,7 @@
             .workers
             .insert(report.machine.clone(), now.time);
         self.forwarding.since.get_or_insert(now.time);
-        self.forwarding.waiting.push(Held {
+        self.forwarding.waiting.push(HeldReport {
             req,
             report,
             whole: false,
@@ -71,14 +71,14 @@
         Span::secs(self.settings.params.workers.report_s)
     }
 
-    pub(crate) fn is_spread(&self, machines: u32) -> bool {
+    pub(crate) fn is_report_forwarding_on(&self, machines: u32) -> bool {
         f64::from(machines) > self.admin_settings.settings.spread_reports_from
     }
 
     /// The leader, if it was heard lately. A node that the state service refuses may not have seen its
     /// key change, but hears who leads a later epoch.
-    pub(crate) fn near_leader(&self, now: Time) -> Option<NodeName> {
-        let leads = |p: &PeerStatus| p.leads && now < p.heard + Span(1_500);
+    pub(crate) fn reachable_leader(&self, now: Time) -> Option<NodeName> {
+        let leads = |p: &PeerStatus| p.leads && now < p.last_heartbeat_at + Span(1_500);
         let recorded = self.job_cache.leader().map(|(_, r)| &r.node);
         let named = recorded.filter(|node| self.peers.get(*node).is_some_and(leads));
         let heard = (self.peers.iter())
@@ -95,22 +95,22 @@
         let me = &self.settings.node;
         let names = || self.peers.keys().chain([me]);
         let next = (names().filter(|n| *n > name).min()).or_else(|| names().min());
-        (next.and_then(|n| self.peers.get(n))).is_some_and(|p| now > p.heard + SILENT)
+        (next.and_then(|n| self.peers.get(n))).is_some_and(|p| now > p.last_heartbeat_at + SILENT)
     }
 
     /// How many workers report here, for the peers, which send workers where there are fewer. More are named
     /// if this node can't keep up with those it has.
-    pub(crate) fn load(&mut self, now: Time) -> u32 {
+    pub(crate) fn reported_load(&mut self, now: Time) -> u32 {
         let report = self.report_interval();
         let workers = self.forwarding.workers(now, report);
         self.backlog.load_of(workers)
     }
 
     /// A node that a worker should rather report to, since it has far fewer of them.
-    pub(crate) fn lighter(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
+    pub(crate) fn less_loaded_peer(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
         let known = self.forwarding.workers.contains_key(machine);
         let report = self.report_interval();
-        let mine = self.load(now) + u32::from(!known);
+        let mine = self.reported_load(now) + u32::from(!known);
         let weight = |leads: bool, name: &NodeName| {
             let leader = if leads { LEADER_WEIGHT } else { 1 };
             let last = if self.next_is_silent(name, now) {
@@ -122,7 +122,7 @@
         };
         let mine = mine * weight(self.leader.is_some(), &self.settings.node);
         let (load, peer) = (self.peers.iter())
-            .filter(|(_, p)| now < p.heard + Span(1_500) && p.forwards_reports)
+            .filter(|(_, p)| now < p.last_heartbeat_at + Span(1_500) && p.forwards_reports)
             .filter(|(name, p)| self.forwarding.may_send(name, p, report, now))
             .map(|(name, p)| {
                 let sent = self.forwarding.sent.get(name).copied().unwrap_or(0);
@@ -142,10 +142,10 @@
     }
 
     /// At the leader: a node that should take this worker's reports.
-    pub(crate) fn spread_report(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
+    pub(crate) fn peer_for_report(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
         let machines = (self.leader.as_ref()).map_or(0, |l| l.fleet.machines.len() as u32);
-        let peer = if self.is_spread(machines) {
-            self.lighter(machine, now)
+        let peer = if self.is_report_forwarding_on(machines) {
+            self.less_loaded_peer(machine, now)
         } else {
             None
         };
@@ -156,7 +156,7 @@
     }
 
     /// Sends a worker to another node.
-    pub(crate) fn report_to(&mut self, req: ReqId, report_to: Option<NodeName>) {
+    pub(crate) fn redirect_agent(&mut self, req: ReqId, report_to: Option<NodeName>) {
         self.answer(req, 421, json(&ReportRedirect { report_to }));
     }
 
@@ -171,8 +171,8 @@
         let rest = self.forwarding.waiting.split_off(reports.len());
         let held = std::mem::replace(&mut self.forwarding.waiting, rest);
         self.forwarding.since = (!self.forwarding.waiting.is_empty()).then_some(now.time);
-        let Some(leader) = self.near_leader(now.time) else {
-            return self.not_passed(held);
+        let Some(leader) = self.reachable_leader(now.time) else {
+            return self.forwarding_failed(held);
         };
         self.forwarding.next += 1;
         let call = CallId(self.forwarding.next);
@@ -184,7 +184,7 @@
         ));
     }
 
-    fn not_passed(&mut self, held: Vec<Held>) {
+    fn forwarding_failed(&mut self, held: Vec<HeldReport>) {
         for held in held {
             self.forwarding.workers.remove(&held.report.machine);
             self.refuse(held.req, "the leader does not answer");
@@ -192,7 +192,12 @@
     }
 
     /// The leader's answer to reports that were passed on.
-    pub(crate) fn passed(&mut self, call: CallId, reply: Option<ForwardedReportsReply>, now: Now) {
+    pub(crate) fn forwarded_reports_answered(
+        &mut self,
+        call: CallId,
+        reply: Option<ForwardedReportsReply>,
+        now: Now,
+    ) {
         let Some(held) = self.forwarding.open.remove(&call) else {
             return;
         };
@@ -201,12 +206,14 @@
                 token: Some(token),
                 answers,
             }) if answers.len() == held.len() => (token, answers),
-            _ => return self.not_passed(held),
+            _ => return self.forwarding_failed(held),
         };
         self.election.observe_epoch(token, now.time);
         for (mut held, answer) in held.into_iter().zip(answers) {
             match answer {
-                ForwardedAnswer::Answered(commands) => self.pass_back(held, token, commands),
+                ForwardedAnswer::Answered(commands) => {
+                    self.answer_forwarded_report(held, token, commands)
+                }
                 ForwardedAnswer::Whole if !held.whole => {
                     held.whole = true;
                     self.forwarding.taken.remove(&held.report.machine);
@@ -218,7 +225,12 @@
         }
     }
 
-    fn pass_back(&mut self, held: Held, token: Epoch, commands: Option<String>) {
+    fn answer_forwarded_report(
+        &mut self,
+        held: HeldReport,
+        token: Epoch,
+        commands: Option<String>,
+    ) {
         let body = match commands {
             Some(body) => body,
             None => json(&StatusReportReply {
@@ -256,7 +268,7 @@
             return self.out.push(Output::AnswerForwardedReports(req, none));
         }
         let answers = (passed.reports.into_iter())
-            .map(|report| leader.take_passed(report, &self.job_cache, now))
+            .map(|report| leader.apply_forwarded_report(report, &self.job_cache, now))
             .collect();
         let reply = ForwardedReportsReply {
             token: Some(leader.term.epoch),
--- a/crates/core/src/node/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -12,7 +12,7 @@
     let name = NodeName::from("n1");
     let peer = |workers: u32, silence: u64| PeerStatus {
         workers,
-        worker_silence: Span(silence),
+        agent_silence: Span(silence),
         ..PeerStatus::default()
     };
     let busy = peer(100, 200);
@@ -50,7 +50,7 @@
     let mut node = crate::testing::node();
     node.leader_machines = 6_000;
     let leader = PeerStatus {
-        heard: NOW.time + LONGEST_WAIT,
+        last_heartbeat_at: NOW.time + LONGEST_WAIT,
         leads: true,
         ..PeerStatus::default()
     };
@@ -66,14 +66,14 @@
     for machines in [4_000, 6_000] {
         let mut node = follower();
         for n in 0..machines {
-            node.pass_on(ReqId(n as u64), report(n, 4), NOW);
+            node.forward_report(ReqId(n as u64), report(n, 4), NOW);
         }
         assert_eq!(node.forwarding.waiting.len(), machines);
         let late = Now {
             time: NOW.time + LONGEST_WAIT + Span(1),
             ..NOW
         };
-        node.pass_on(ReqId(machines as u64), report(machines, 4), late);
+        node.forward_report(ReqId(machines as u64), report(machines, 4), late);
         let refused = node.out.drain(..).count();
         assert_eq!(refused, 1, "what would be answered too late is refused");
         let (mut passed, mut now) = (0, NOW);
@@ -100,7 +100,7 @@
     for n in 0..600 {
         let mut long = report(n, 10);
         long.addr = "x".repeat(50_000);
-        node.pass_on(ReqId(n as u64), long, NOW);
+        node.forward_report(ReqId(n as u64), long, NOW);
     }
     let mut batches = 0;
     while !node.forwarding.waiting.is_empty() {
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -32,7 +32,7 @@
             return self.refuse(waiting.req, "too many requests are open");
         }
         if self.is_final(waiting.job()) {
-            return self.tell(waiting, now);
+            return self.respond(waiting, now);
         }
         if !self.election.store_reachable(now.time) {
             return self.forward_or_refuse(waiting, now);
@@ -46,17 +46,17 @@
 
     pub(crate) fn serve(&mut self, waiting: Waiting, now: Now) {
         if self.is_final(waiting.job()) {
-            return self.tell(waiting, now);
+            return self.respond(waiting, now);
         }
         let known = self.job_cache.jobs.get(waiting.job()).cloned();
         match (&waiting.request, known) {
             (UserRequest::Cancel(_), Some(known)) => self.cancel(waiting, known, None, now),
-            (_, Some(_)) => self.confirm_later(waiting, now),
+            (_, Some(_)) => self.queue_confirmation(waiting, now),
             // That there is no such job is confirmed like anything else.
-            (UserRequest::Status(_), None) if self.job_cache.complete => {
-                self.confirm_later(waiting, now)
+            (UserRequest::Status(_), None) if self.job_cache.is_complete => {
+                self.queue_confirmation(waiting, now)
             }
-            (UserRequest::Submit(spec), None) => match self.never_runs(spec) {
+            (UserRequest::Submit(spec), None) => match self.check_runnable(spec) {
                 Some(Ok(())) => self.create(waiting, now),
                 Some(Err(_)) => self.read(waiting),
                 None => self.refuse(waiting.req, "the machine types are not known yet"),
@@ -92,7 +92,7 @@
         };
         if !self.user_requests.cancelling.insert(id) {
             // Another request has it written at this moment.
-            return self.confirm_later(waiting, now);
+            return self.queue_confirmation(waiting, now);
         }
         self.cancel(waiting, known, Some(by), now);
     }
@@ -106,7 +106,7 @@
     pub(crate) fn user_answer(&mut self, step: UserCall, answer: StoreAnswer, now: Now) {
         self.user_requests.open = self.user_requests.open.saturating_sub(1);
         match step {
-            UserCall::Read(waiting) => self.was_read(waiting, answer, now),
+            UserCall::Read(waiting) => self.job_was_read(waiting, answer, now),
             UserCall::Create(waiting, job) => self.was_created(waiting, *job, answer, now),
             UserCall::ReadDependency(waiting, id) => {
                 self.dependency_was_read(waiting, id, answer, now)
@@ -117,29 +117,29 @@
         }
     }
 
-    fn was_read(&mut self, waiting: Waiting, answer: StoreAnswer, now: Now) {
+    fn job_was_read(&mut self, waiting: Waiting, answer: StoreAnswer, now: Now) {
         match answer {
             StoreAnswer::Found(item) => {
                 let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
                     return self.refuse(waiting.req, "unreadable record");
                 };
                 let id = waiting.job().clone();
-                self.job_cache.learn_job(id, item.version, record);
+                self.job_cache.update_job(id, item.version, record);
                 // What the cache has learned since is newer still.
                 let newest = self.job_cache.jobs.get(waiting.job()).cloned();
                 match (&waiting.request, newest) {
                     (UserRequest::Cancel(_), Some(known)) if !known.record.is_final() => {
                         self.cancel(waiting, known, None, now)
                     }
-                    _ => self.tell_read(waiting, now),
+                    _ => self.respond_to_read(waiting, now),
                 }
             }
             // It was read before what the cache has learned since.
             StoreAnswer::Missing if self.job_cache.jobs.contains_key(waiting.job()) => {
-                self.again(waiting, now)
+                self.retry(waiting, now)
             }
             StoreAnswer::Missing => match &waiting.request {
-                UserRequest::Submit(spec) => match self.never_runs(spec) {
+                UserRequest::Submit(spec) => match self.check_runnable(spec) {
                     Some(Ok(())) => self.create(waiting, now),
                     Some(Err(why)) => self.answer(waiting.req, 422, error_body(&why.to_string())),
                     None => self.refuse(waiting.req, "the machine types are not known yet"),
@@ -150,7 +150,7 @@
         }
     }
 
-    pub(crate) fn again(&mut self, mut waiting: Waiting, now: Now) {
+    pub(crate) fn retry(&mut self, mut waiting: Waiting, now: Now) {
         waiting.tries += 1;
         if waiting.tries > MAX_TRIES || now.time > waiting.since + PATIENCE {
             return self.refuse(waiting.req, "the state service did not answer in time");
@@ -169,10 +169,10 @@
         match answer {
             StoreAnswer::Committed(version) => {
                 let id = waiting.job().clone();
-                self.job_cache.learn_job(id, version, record);
-                self.tell(waiting, now);
+                self.job_cache.update_job(id, version, record);
+                self.respond(waiting, now);
             }
-            StoreAnswer::Conflict(_) | StoreAnswer::Unknown => self.again(waiting, now),
+            StoreAnswer::Conflict(_) | StoreAnswer::Unknown => self.retry(waiting, now),
             _ => self.forward_or_refuse(waiting, now),
         }
     }
@@ -181,39 +181,39 @@
     /// have been given by now.
     pub(crate) fn no_such_job(&mut self, waiting: Waiting, now: Now) {
         if self.job_cache.jobs.contains_key(waiting.job()) {
-            return self.again(waiting, now);
+            return self.retry(waiting, now);
         }
         self.answer(waiting.req, 404, error_body("no such job"));
     }
 
     /// Answers by a job's record that was just read. What it depends on has yet to be confirmed.
-    pub(crate) fn tell_read(&mut self, mut waiting: Waiting, now: Now) {
+    pub(crate) fn respond_to_read(&mut self, mut waiting: Waiting, now: Now) {
         let unfinished = |known: &KnownJob| !known.record.is_final();
         let known = self.job_cache.jobs.get(waiting.job());
         if !known.is_some_and(|k| unfinished(k) && !k.dependencies().is_empty()) {
-            return self.tell(waiting, now);
+            return self.respond(waiting, now);
         }
         waiting.tries += 1;
         if waiting.tries > MAX_TRIES {
             return self.refuse(waiting.req, "the state service did not answer in time");
         }
-        self.confirm_later(waiting, now);
+        self.queue_confirmation(waiting, now);
     }
 
     /// Answers by what is known of a job, which is fresh, or final. That a job is cancelled is told only
     /// once enough nodes know it.
-    pub(crate) fn tell(&mut self, waiting: Waiting, now: Now) {
+    pub(crate) fn respond(&mut self, waiting: Waiting, now: Now) {
         let cancelled = (self.job_cache.jobs.get(waiting.job()))
             .filter(|known| known.record.state == JobState::Cancelled)
             .map(|known| known.version);
-        if cancelled.is_some_and(|version| self.waits_for_others(&waiting, version, now)) {
+        if cancelled.is_some_and(|version| self.waits_for_replication(&waiting, version, now)) {
             return;
         }
-        self.tell_now(&waiting, now);
+        self.respond_now(&waiting, now);
     }
 
     /// The one place where a job's state is told: by the newest that is known at this moment.
-    pub(crate) fn tell_now(&mut self, waiting: &Waiting, now: Now) {
+    pub(crate) fn respond_now(&mut self, waiting: &Waiting, now: Now) {
         let id = waiting.job().clone();
         let Some(record) = self
             .job_cache
@@ -225,7 +225,7 @@
         };
         self.user_requests.latency.record(now.time - waiting.since);
         let tasks = record.tasks;
-        let (done, running) = self.counts(&id);
+        let (done, running) = self.task_counts(&id);
         let state = match record.state {
             JobState::Queued if running > 0 => JobState::Running,
             state => state,
@@ -253,7 +253,7 @@
     /// told at once when to come back.
     pub(crate) fn forward_or_refuse(&mut self, waiting: Waiting, now: Now) {
         let peer = (self.peers.iter())
-            .find(|(_, p)| p.store_reachable && now.time < p.heard + Span(1_500))
+            .find(|(_, p)| p.store_reachable && now.time < p.last_heartbeat_at + Span(1_500))
             .map(|(name, _)| name.clone());
         let early = now.time < waiting.since + Span(1_000);
         match peer {
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -50,7 +50,7 @@
             let call = StoreCall::Commit(leader.term.change_key(&record));
             return self.gate_call(VersionGateStep::ChangingKey, call);
         }
-        if self.job_cache.catalog_moved && !self.job_cache.catalog_for_all {
+        if self.job_cache.catalog_in_gated_key && !self.job_cache.catalog_in_common_key {
             return;
         }
         if let Some(catalog) = self.catalog.clone() {
@@ -132,15 +132,15 @@
         let record = leader.term.record(&self.settings.node);
         let tombstone = record.tombstone(None);
         let cache = &mut self.job_cache;
-        cache.learn_leader(LeaderKey::Common, version, Some((version, tombstone)));
-        cache.learn_leader(LeaderKey::Gated, version, Some((version, record)));
+        cache.update_leader(LeaderKey::Common, version, Some((version, tombstone)));
+        cache.update_leader(LeaderKey::Gated, version, Some((version, record)));
     }
 
     /// What was not carried out, or may not have been, is tried again.
     fn catalog_moved(&mut self, answer: StoreAnswer) {
         if let StoreAnswer::Committed(_) = answer {
-            self.job_cache.catalog_moved = true;
-            self.job_cache.catalog_for_all = false;
+            self.job_cache.catalog_in_gated_key = true;
+            self.job_cache.catalog_in_common_key = false;
         }
         self.set_gate(VersionGateStep::Idle);
         self.step_down_if_superseded(&answer);
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -10,7 +10,7 @@
 /// A leader that has just won, on a node that has read everything.
 fn leading_node() -> Node {
     let mut node = node();
-    node.job_cache.complete = true;
+    node.job_cache.is_complete = true;
     node.leader = Some(leader());
     node
 }
@@ -31,7 +31,7 @@
     after.job_cache.dependencies_seen = true;
     assert!(fence_of(&mut after).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
     let mut unread = leading_node();
-    unread.job_cache.complete = false;
+    unread.job_cache.is_complete = false;
     assert!(fence_of(&mut unread).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
 }
 
@@ -44,7 +44,7 @@
     };
     let mut cache = JobCache::default();
     let old = Some((Version(3), record(0)));
-    cache.learn_leader(LeaderKey::Common, Version(3), old);
+    cache.update_leader(LeaderKey::Common, Version(3), old);
     assert!(matches!(
         cache.leader_slot(),
         LeaderSlot::Taken(LeaderKey::Common)
@@ -55,13 +55,13 @@
         LeaderSlot::Outdated((Version(3), _))
     ));
     let tombstone = record(0).tombstone(Some(LeaseId(1)));
-    cache.learn_leader(LeaderKey::Common, Version(5), Some((Version(5), tombstone)));
+    cache.update_leader(LeaderKey::Common, Version(5), Some((Version(5), tombstone)));
     assert!(matches!(
         cache.leader_slot(),
         LeaderSlot::Vacant(Some((Version(5), _)))
     ));
     let new = Some((Version(6), record(RECORD_FORMAT)));
-    cache.learn_leader(LeaderKey::Gated, Version(6), new);
+    cache.update_leader(LeaderKey::Gated, Version(6), new);
     assert!(matches!(
         cache.leader_slot(),
         LeaderSlot::Taken(LeaderKey::Gated)
--- a/crates/core/src/placement_log/log.rs
+++ b/crates/core/src/placement_log/log.rs
@@ -82,7 +82,7 @@
 
 impl PlacementLog {
     /// A page that was read back.
-    pub fn learn(&mut self, page: SegmentId) {
+    pub fn register_segment(&mut self, page: SegmentId) {
         self.pages.insert(page);
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Takes so many changes for pages from the budget, if it has them and it is their turn.
-    pub(crate) fn take(&mut self, changes: f64, rate: f64, now: Time) -> bool {
+    pub(crate) fn take_writes(&mut self, changes: f64, rate: f64, now: Time) -> bool {
         self.fill(rate, now);
         let theirs = self.cancellations_wait && self.turn == Turn::Cancellations;
         let taken = !theirs && self.budget.0 >= changes.min(rate);
@@ -117,7 +117,12 @@
 
     /// Takes changes for records of cancelled dependents, as many as the budget has; returns how many.
     /// They wait for no more than one, or pages would take it each time.
-    pub(crate) fn take_cancellations(&mut self, wanted: usize, rate: f64, now: Time) -> usize {
+    pub(crate) fn take_cancellation_writes(
+        &mut self,
+        wanted: usize,
+        rate: f64,
+        now: Time,
+    ) -> usize {
         self.fill(rate, now);
         self.cancellations_wait = wanted > 0;
         let theirs = self.turn == Turn::Cancellations || self.open.is_empty();
@@ -135,12 +140,12 @@
 }
 
 fn holds(entry: &PlacedTask) -> bool {
-    entry.holds_room()
+    entry.occupies_capacity()
 }
 
 /// Whether an entry waits to be recorded.
 fn is_new(entry: &PlacedTask) -> bool {
-    holds(entry) && !entry.is_recorded() && entry.writing == SegmentId::NONE
+    holds(entry) && !entry.is_recorded() && entry.pending_segment == SegmentId::NONE
 }
 
 /// Adds the entries of a machine that wait to be recorded, as far as there is room.
@@ -151,8 +156,8 @@
     urgent: bool,
     most: usize,
 ) {
-    for at in 0..machine.entries.len() {
-        let entry = &machine.entries[at];
+    for at in 0..machine.tasks.len() {
+        let entry = &machine.tasks[at];
         let firm = entry
             .spec
             .as_ref()
@@ -163,7 +168,7 @@
         if !draft.add_within(machine, entry, most) {
             return;
         }
-        machine.entries[at].writing = page;
+        machine.tasks[at].pending_segment = page;
     }
 }
 
@@ -181,24 +186,25 @@
         for urgent in [true, false] {
             for machine in fleet.machines.values_mut() {
                 draft_entries(&mut draft, machine, page, urgent, most);
-                let unnamed = machine.page == SegmentId::NONE && machine.writing == SegmentId::NONE;
+                let unnamed = machine.segment == SegmentId::NONE
+                    && machine.pending_segment == SegmentId::NONE;
                 if unnamed && !urgent {
                     draft.add_line_within(machine, most);
                 }
                 if draft.ends_with(machine) {
-                    machine.writing = page;
+                    machine.pending_segment = page;
                 }
             }
         }
         if progress {
-            for job in jobs.values_mut().filter(|j| j.progress_dirty) {
+            for job in jobs.values_mut().filter(|j| j.has_unrecorded_progress) {
                 if job.is_active() && !job.is_complete() {
                     if !draft.add_new_progress(job, most) {
                         continue;
                     }
-                    job.progress_dirty = !job.is_all_recorded();
+                    job.has_unrecorded_progress = !job.is_all_recorded();
                 } else {
-                    job.progress_dirty = false;
+                    job.has_unrecorded_progress = false;
                 }
             }
         }
@@ -214,12 +220,13 @@
             }
         };
         for machine in fleet.machines.values() {
-            let held = machine.entries.iter().filter(|e| holds(e));
+            let held = machine.tasks.iter().filter(|e| holds(e));
             for entry in held.clone() {
-                add(entry.page, entry_bytes(entry));
+                add(entry.segment, entry_bytes(entry));
             }
             // Its line stands on every page that names one of its tasks.
-            let mut lines: Vec<SegmentId> = held.map(|e| e.page).chain([machine.page]).collect();
+            let mut lines: Vec<SegmentId> =
+                held.map(|e| e.segment).chain([machine.segment]).collect();
             lines.sort_unstable();
             lines.dedup();
             for page in lines {
@@ -227,13 +234,13 @@
             }
         }
         for job in jobs.values().filter(|j| j.is_active()) {
-            add(job.page, progress_bytes(job));
+            add(job.segment, progress_bytes(job));
         }
         weight
     }
 
     /// Finds pages that nothing holds on any more, and picks those to be written together.
-    pub(crate) fn tidy_up(
+    pub(crate) fn compact(
         &mut self,
         fleet: &Fleet,
         jobs: &JobTable,
@@ -280,22 +287,22 @@
         let mut draft = PendingSegment::new();
         for machine in fleet.machines.values_mut() {
             let mut taken = Vec::new();
-            for entry in machine.entries.iter_mut().filter(|e| holds(e)) {
-                if old.contains(&entry.page) {
-                    entry.writing = page;
+            for entry in machine.tasks.iter_mut().filter(|e| holds(e)) {
+                if old.contains(&entry.segment) {
+                    entry.pending_segment = page;
                     taken.push(entry.clone());
                 }
             }
             for entry in &taken {
                 draft.add(machine, entry);
             }
-            if old.contains(&machine.page) {
+            if old.contains(&machine.segment) {
                 draft.line(machine);
-                machine.writing = page;
+                machine.pending_segment = page;
             }
         }
         for job in jobs.values_mut() {
-            if job.is_active() && old.contains(&job.page) {
+            if job.is_active() && old.contains(&job.segment) {
                 draft.add_progress(job);
             }
         }
@@ -303,29 +310,38 @@
     }
 
     /// A page was not written and never will be: what is on it waits to be recorded again.
-    pub(crate) fn take_apart(&mut self, fleet: &mut Fleet, jobs: &mut JobTable, page: SegmentId) {
+    pub(crate) fn reopen_rejected_segment(
+        &mut self,
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
+        page: SegmentId,
+    ) {
         let Some(open) = self.open.remove(&page) else {
             return;
         };
         self.may_have_unrecorded = true;
         for machine in fleet.machines.values_mut() {
-            if machine.writing == page {
-                machine.writing = SegmentId::NONE;
+            if machine.pending_segment == page {
+                machine.pending_segment = SegmentId::NONE;
             }
-            for entry in machine.entries.iter_mut().filter(|e| e.writing == page) {
-                entry.writing = SegmentId::NONE;
+            for entry in machine
+                .tasks
+                .iter_mut()
+                .filter(|e| e.pending_segment == page)
+            {
+                entry.pending_segment = SegmentId::NONE;
             }
         }
         for (id, _) in open.done {
             if let Some(job) = jobs.get_mut(&id) {
-                job.progress_dirty = true;
+                job.has_unrecorded_progress = true;
             }
         }
         let pages = &self.pages;
         self.dead.retain(|p| pages.contains(p));
     }
 
-    pub(crate) fn page_written(
+    pub(crate) fn segment_committed(
         &mut self,
         fleet: &mut Fleet,
         jobs: &mut JobTable,
@@ -342,29 +358,33 @@
         }
         self.pages.insert(page);
         for machine in fleet.machines.values_mut() {
-            if machine.writing == page {
-                (machine.page, machine.writing) = (page, SegmentId::NONE);
+            if machine.pending_segment == page {
+                (machine.segment, machine.pending_segment) = (page, SegmentId::NONE);
             }
             let mut new = false;
-            for entry in machine.entries.iter_mut().filter(|e| e.writing == page) {
+            for entry in machine
+                .tasks
+                .iter_mut()
+                .filter(|e| e.pending_segment == page)
+            {
                 new |= !entry.is_recorded();
-                (entry.page, entry.writing) = (page, SegmentId::NONE);
+                (entry.segment, entry.pending_segment) = (page, SegmentId::NONE);
             }
             if new {
                 started.push(machine.id.clone());
             }
-            for entry in machine.entries.iter_mut().filter(|e| !e.settled) {
+            for entry in machine.tasks.iter_mut().filter(|e| !e.outcome_recorded) {
                 // Only now may the worker forget it.
                 let done = |d: &&(JobId, TaskSet)| d.0 == entry.task.job;
                 if entry.phase == Phase::Exited(Cause::Done) {
-                    entry.settled = (open.done.iter().find(done))
+                    entry.outcome_recorded = (open.done.iter().find(done))
                         .is_some_and(|(_, set)| set.contains(entry.task.index));
                 }
             }
         }
         for (id, _) in open.done {
             if let Some(job) = jobs.get_mut(&id) {
-                job.page = job.page.max(page);
+                job.segment = job.segment.max(page);
             }
         }
         started
--- a/crates/core/src/placement_log/log/draft.rs
+++ b/crates/core/src/placement_log/log/draft.rs
@@ -52,8 +52,8 @@
                 id: machine.id.clone(),
                 machine_type: machine.machine_type.clone(),
                 zone: machine.zone.clone(),
-                spot: machine.spot,
-                since: machine.since,
+                spot: machine.is_spot,
+                since: machine.known_since,
                 tasks: Vec::new(),
             });
         }
@@ -114,11 +114,11 @@
     pub(super) fn add_new_progress(&mut self, job: &mut Job, most: usize) -> bool {
         let left = most.saturating_sub(self.bytes + JOB_BYTES + job.spec.id.as_str().len());
         let room = left / RANGE_BYTES;
-        let least = job.done.within(0, &job.recorded).ranges().count();
+        let least = job.done.within(0, &job.recorded_done).ranges().count();
         if room < least.max(1) {
             return false;
         }
-        job.recorded = job.done.within(room, &job.recorded);
+        job.recorded_done = job.done.within(room, &job.recorded_done);
         self.add_progress(job);
         true
     }
@@ -126,7 +126,7 @@
     /// Adds what is recorded of a job.
     pub(super) fn add_progress(&mut self, job: &Job) {
         let id = &job.spec.id;
-        let ranges: Vec<(u32, u32)> = job.recorded.ranges().collect();
+        let ranges: Vec<(u32, u32)> = job.recorded_done.ranges().collect();
         self.bytes += progress_bytes(job);
         if job.is_suspected() {
             self.record
@@ -134,7 +134,7 @@
                 .push((id.clone(), job.failures.tries()));
         }
         self.record.done.push((id.clone(), ranges));
-        self.done.push((id.clone(), job.recorded.clone()));
+        self.done.push((id.clone(), job.recorded_done.clone()));
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -150,7 +150,8 @@
 /// Bytes of what is recorded of a job.
 pub(crate) fn progress_bytes(job: &Job) -> usize {
     let names = if job.is_suspected() { 2 } else { 1 };
-    names * (JOB_BYTES + job.spec.id.as_str().len()) + RANGE_BYTES * job.recorded.ranges().count()
+    names * (JOB_BYTES + job.spec.id.as_str().len())
+        + RANGE_BYTES * job.recorded_done.ranges().count()
 }
 
 /// Bytes of a machine's line without its tasks.
--- a/crates/core/src/placement_log/log/tests.rs
+++ b/crates/core/src/placement_log/log/tests.rs
@@ -20,7 +20,7 @@
             let attempt = Attempt((1_000_000 << 24) + u64::from(n));
             let entry = PlacedTask::planned(task, attempt, Some(spec.clone()), NOW.time);
             if let Some(machine) = leader.fleet.machines.get_mut(at) {
-                machine.entries.push(entry);
+                machine.tasks.push(entry);
             }
         }
     }
@@ -62,7 +62,7 @@
         };
         leader
             .placement_log
-            .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
+            .segment_committed(&mut leader.fleet, &mut leader.jobs, page, open);
     }
 }
 
@@ -79,10 +79,10 @@
         for job in leader.jobs.values_mut() {
             // Every other task: as many ranges as there can be.
             (0..done.min(tasks)).step_by(2).for_each(|index| job.finish(index));
-            job.progress_dirty = true;
+            job.has_unrecorded_progress = true;
         }
         record_all(&mut leader);
-        let mut entries = leader.fleet.machines.values().flat_map(|m| &m.entries);
+        let mut entries = leader.fleet.machines.values().flat_map(|m| &m.tasks);
         prop_assert!(entries.all(PlacedTask::is_recorded));
     }
 }
@@ -110,7 +110,7 @@
     leader.store_limits.value_bytes = before / 3;
     leader
         .placement_log
-        .take_apart(&mut leader.fleet, &mut leader.jobs, page);
+        .reopen_rejected_segment(&mut leader.fleet, &mut leader.jobs, page);
     assert!(leader.placement_log.open.is_empty());
     assert!(record_all(&mut leader) >= 3);
 }
@@ -121,17 +121,17 @@
 fn progress_too_large_for_a_page_stays_where_it_is() {
     let mut leader = leader_with_work(1, 1, 400);
     for machine in leader.fleet.machines.values_mut() {
-        machine.entries.clear();
+        machine.tasks.clear();
     }
     for job in leader.jobs.values_mut() {
         (0..400).step_by(2).for_each(|index| job.finish(index));
-        job.progress_dirty = true;
+        job.has_unrecorded_progress = true;
     }
     assert_eq!(record_all(&mut leader), 1);
     leader.store_limits.value_bytes = 1_024;
     for job in leader.jobs.values_mut() {
         job.finish(1);
-        job.progress_dirty = true;
+        job.has_unrecorded_progress = true;
     }
     assert_eq!(record_all(&mut leader), 0);
     // As soon as it is small enough, it is recorded again.
@@ -152,8 +152,8 @@
     // A task is left here and there, each on a page that its machine's line is not on.
     let old: Vec<SegmentId> = (0..20).map(|_| leader.term.next_segment()).collect();
     for (n, machine) in leader.fleet.machines.values_mut().enumerate() {
-        for entry in &mut machine.entries {
-            entry.page = old[n % old.len()];
+        for entry in &mut machine.tasks {
+            entry.segment = old[n % old.len()];
         }
     }
     leader.placement_log.pages.extend(&old);
@@ -161,7 +161,7 @@
     for _ in 0..20 {
         let light = leader
             .placement_log
-            .tidy_up(&leader.fleet, &leader.jobs, &leader.store_limits);
+            .compact(&leader.fleet, &leader.jobs, &leader.store_limits);
         if light.is_empty() {
             break;
         }
@@ -178,7 +178,7 @@
         };
         leader
             .placement_log
-            .page_written(&mut leader.fleet, &mut leader.jobs, page, open);
+            .segment_committed(&mut leader.fleet, &mut leader.jobs, page, open);
     }
     assert!(rewritten >= 8, "{rewritten} pages were written together");
 }
@@ -192,10 +192,10 @@
     let (mut pages, mut cancellations) = (0.0, 0.0);
     for tick in 0..1_000 {
         let now = Time(1_000_000 + tick * 20);
-        if log.take(1.0, rate, now) {
+        if log.take_writes(1.0, rate, now) {
             pages += 1.0;
         }
-        cancellations += log.take_cancellations(6, rate, now) as f64;
+        cancellations += log.take_cancellation_writes(6, rate, now) as f64;
     }
     let all = pages + cancellations;
     assert!(all >= 0.9 * 20.0 * rate, "{all} writes");
--- a/crates/core/src/scheduling/actions/allocate.rs
+++ b/crates/core/src/scheduling/actions/allocate.rs
@@ -33,7 +33,7 @@
         let (spec, need) = (&job.spec, &job.need);
         // Tasks bound to where others of their job are can't be judged by another job's.
         // Nor can those of one that keeps off machines where it failed.
-        let bound = is_bound(spec) || job.failures.is_picky(now);
+        let bound = is_bound(spec) || job.failures.avoids_any_machine(now);
         Self {
             need: (need.cpus, need.gpus, need.memory),
             types: (spec.types.as_ref())
@@ -64,7 +64,7 @@
 ) -> BTreeMap<usize, VecDeque<&'a Job>> {
     let mut queues: BTreeMap<usize, VecDeque<&Job>> = BTreeMap::new();
     for &job in waiting {
-        let placed = snapshot.taken(&job.spec.id) >= job.free_tasks() as usize;
+        let placed = snapshot.taken(&job.spec.id) >= job.startable_tasks() as usize;
         if placed || job.is_preemptible() == firm {
             continue;
         }
@@ -126,7 +126,7 @@
         let mut done = refused.contains(&shape);
         if !done {
             let got = place_some(leader, snapshot, job, picky);
-            let more = job.free_tasks() as usize > snapshot.taken(&job.spec.id);
+            let more = job.startable_tasks() as usize > snapshot.taken(&job.spec.id);
             let full = got.is_empty() || (got.len() < CHUNK && more);
             if full && limits_allow(leader, snapshot, job) {
                 refused.insert(shape);
@@ -159,7 +159,7 @@
 fn place_each(leader: &Leader, snapshot: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
     let skip = snapshot.taken(&job.spec.id);
     let mut statement = Statement::default();
-    for index in job.next_free(skip, CHUNK) {
+    for index in job.next_startable(skip, CHUNK) {
         if !limits_allow(leader, snapshot, job) {
             break;
         }
@@ -174,7 +174,7 @@
 /// Tasks that are alike: the machines are ranked once and filled one after the other.
 fn place_alike(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
     let skip = snapshot.taken(&job.spec.id);
-    let mut indexes = job.next_free(skip, CHUNK).into_iter().peekable();
+    let mut indexes = job.next_startable(skip, CHUNK).into_iter().peekable();
     let mut statement = Statement::default();
     for (at, count) in fit::ranked(leader, snapshot, job, None) {
         for _ in 0..count {
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -53,14 +53,14 @@
 fn movable(leader: &Leader, snapshot: &Snapshot, entry: &PlacedTask) -> bool {
     let job = leader.jobs.get(&entry.task.job);
     let alone = |j: &crate::jobs::job::Job| {
-        j.places
+        j.placements
             .get(&entry.task.index)
             .is_some_and(|p| p.len() == 1)
     };
     job.is_some_and(|j| j.spec.kind == Kind::Service && j.is_active() && alone(j))
         && entry.phase == Phase::On(TaskState::Running)
         && entry.stop.is_none()
-        && (entry.running).is_some_and(|t| snapshot.now.time - t >= SETTLE)
+        && (entry.running_since).is_some_and(|t| snapshot.now.time - t >= SETTLE)
 }
 
 fn empty_out(
@@ -71,7 +71,11 @@
 ) -> Option<MachineId> {
     let id = snapshot.candidates[at].id.clone();
     let machine = leader.fleet.machines.get(&id)?;
-    let here: Vec<&PlacedTask> = machine.entries.iter().filter(|e| e.holds_room()).collect();
+    let here: Vec<&PlacedTask> = machine
+        .tasks
+        .iter()
+        .filter(|e| e.occupies_capacity())
+        .collect();
     if here.is_empty() || !here.iter().all(|e| movable(leader, snapshot, e)) {
         return None;
     }
--- a/crates/core/src/scheduling/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -81,7 +81,7 @@
     scenario: &mut Scenario,
 ) {
     // Only what some other work yields to can preempt.
-    let lowest = leader.jobs.values().map(|j| j.goal.priority).min();
+    let lowest = leader.jobs.values().map(|j| j.urgency.priority).min();
     let higher: Vec<&Job> = (waiting.iter().copied())
         .filter(|j| Some(j.spec.priority) > lowest)
         .collect();
@@ -130,7 +130,7 @@
 /// no work is stopped. (Stages of pipelines stopped some three hundred tasks that can't save on one day
 /// of herbstzeit next, and deadlines were missed for it; the pipelines were in time without.)
 fn may_preempt(_: &Leader, _: &Snapshot, job: &Job, victim: &Job, _: &Amounts) -> bool {
-    job.spec.team == victim.spec.team && job.spec.priority > victim.goal.priority
+    job.spec.team == victim.spec.team && job.spec.priority > victim.urgency.priority
 }
 
 /// What starting again costs a task, besides the work that is lost.
@@ -165,7 +165,7 @@
         }
         let taken = snapshot.taken(&job.spec.id);
         let mut ranked: Option<VecDeque<usize>> = None;
-        for index in job.next_free(taken, TASKS) {
+        for index in job.next_startable(taken, TASKS) {
             let fits = snapshot.within_limits(leader, job, &amounts(&job.need))
                 && fit::best(leader, snapshot, job, true).is_none();
             if !fits {
@@ -212,7 +212,7 @@
     spare: Span,
     may: Rule,
 ) -> VecDeque<usize> {
-    let picky = leader.is_picky(job);
+    let picky = leader.needs_cached_image(job);
     let anywhere = fit::best(leader, snapshot, job, false).is_none();
     let image = snapshot.image(&job.spec.image);
     let cold = |i: usize| !image.is_some_and(|no| snapshot.candidates[i].images.contains(&no));
@@ -242,7 +242,7 @@
 ) -> Option<Vec<Victim>> {
     let spot = &snapshot.candidates[at];
     let machine = leader.fleet.machines.get(&spot.id)?;
-    if !machine.room.holds(&job.need) {
+    if !machine.capacity.holds(&job.need) {
         return None;
     }
     let mut candidates = candidates(leader, snapshot, machine, spare);
@@ -283,16 +283,16 @@
 
 fn candidates(leader: &Leader, snapshot: &Snapshot, machine: &Machine, spare: Span) -> Vec<Victim> {
     let now = snapshot.now.time;
-    let old = |e: &&PlacedTask| now - e.placed >= spare;
+    let old = |e: &&PlacedTask| now - e.placed_at >= spare;
     let there = |e: &&PlacedTask| matches!(e.phase, Phase::On(_)) && e.stop.is_none();
-    (machine.entries.iter())
+    (machine.tasks.iter())
         .filter(there)
         .filter(old)
         .filter(|e| !snapshot.is_evicted(&e.task, e.attempt))
         .filter_map(|e| {
             let victim = leader.jobs.get(&e.task.job)?;
             let whole = victim.spec.kind != Kind::Gang || victim.spec.tasks == 1;
-            let ran = e.running.map_or(0, |t| (now - t).0);
+            let ran = e.running_since.map_or(0, |t| (now - t).0);
             // What can save loses little but the time to save; both must start again.
             let saved = victim.spec.checkpoint_s > 0.0;
             let ran = if saved {
@@ -307,7 +307,7 @@
                 need: e.need,
                 loss: loss * e.need.cpus.max(1) as u64,
                 saves: saved,
-                priority: victim.goal.priority,
+                priority: victim.urgency.priority,
                 nearly_over: !saved && victim.spec.estimate_s * 500.0 < ran as f64,
             })
         })
--- a/crates/core/src/scheduling/actions/fit.rs
+++ b/crates/core/src/scheduling/actions/fit.rs
@@ -38,7 +38,7 @@
 pub fn suits(leader: &Leader, snapshot: &Snapshot, job: &Job, spot: &CandidateMachine) -> bool {
     allowed(&job.spec, &spot.machine_type, &spot.zone, spot.spot)
         && !is_kept(job, spot)
-        && !job.failures.avoids(&spot.id, snapshot.now.time)
+        && !job.failures.avoids_machine(&spot.id, snapshot.now.time)
         && !wastes_gpus(leader, job, spot)
         && zone_allows(snapshot, &job.spec, spot.zone_no)
 }
@@ -69,7 +69,7 @@
 /// The best machine for one more task of the job. With `picky`, a job whose start can't wait for
 /// a fetch is offered only machines that have its image.
 pub fn best(leader: &Leader, snapshot: &Snapshot, job: &Job, picky: bool) -> Option<usize> {
-    let picky = picky && leader.is_picky(job);
+    let picky = picky && leader.needs_cached_image(job);
     let image = snapshot.image(&job.spec.image);
     let cap = snapshot.replica_cap();
     (0..snapshot.candidates.len())
--- a/crates/core/src/scheduling/actions/gather.rs
+++ b/crates/core/src/scheduling/actions/gather.rs
@@ -33,17 +33,19 @@
     }
     snapshot.gathering.clear();
     let mut gangs: Vec<&Job> = (waiting.iter().copied())
-        .filter(|j| j.spec.kind == Kind::Gang && j.spec.tasks > 1 && !j.begun && !j.is_suspected())
+        .filter(|j| {
+            j.spec.kind == Kind::Gang && j.spec.tasks > 1 && !j.has_started && !j.is_suspected()
+        })
         .filter(|j| snapshot.taken(&j.spec.id) == 0)
         .collect();
-    gangs.sort_by_key(|j| j.waits_since());
+    gangs.sort_by_key(|j| j.waiting_since());
     for job in gangs.into_iter().take(DEPTH) {
         let zones: Vec<Option<usize>> = if job.spec.one_zone {
             (0..snapshot.zone_names.len()).map(Some).collect()
         } else {
             vec![None]
         };
-        let waited = Span(snapshot.now.wall.0.saturating_sub(job.waits_since().0)).as_secs();
+        let waited = Span(snapshot.now.wall.0.saturating_sub(job.waiting_since().0)).as_secs();
         if snapshot.gathering.len() >= GANGS && waited < LONG_S {
             // The others have waited less.
             return;
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -181,10 +181,10 @@
         let Some(machine) = leader.fleet.machines.get(&spot.id) else {
             continue;
         };
-        if !here || !machine.room.holds(&job.need) || !fit::suits(leader, snapshot, job, spot) {
+        if !here || !machine.capacity.holds(&job.need) || !fit::suits(leader, snapshot, job, spot) {
             continue;
         }
-        for entry in &machine.entries {
+        for entry in &machine.tasks {
             let Some(theirs) = leader.jobs.get(&entry.task.job) else {
                 continue;
             };
@@ -225,7 +225,7 @@
         && entry.stop.is_none()
         && theirs.is_active()
         && theirs.is_preemptible()
-        && snapshot.now.time - entry.placed >= leader.policy.reclaim_min_runtime
+        && snapshot.now.time - entry.placed_at >= leader.policy.reclaim_min_runtime
         && !snapshot.is_evicted(&entry.task, entry.attempt)
 }
 
@@ -238,13 +238,13 @@
     attempt: Attempt,
 ) -> Option<Unit> {
     let mut tasks = Vec::new();
-    for (index, places) in &theirs.places {
+    for (index, places) in &theirs.placements {
         let [(id, a)] = places.as_slice() else {
             return None;
         };
         let at = *candidates.get(id)?;
         let task = theirs.spec.id.task(*index);
-        let entries = &leader.fleet.machines.get(id)?.entries;
+        let entries = &leader.fleet.machines.get(id)?.tasks;
         let entry = entries.iter().find(|e| e.attempt == *a && e.task == task)?;
         if *a != attempt || !may_stop(leader, snapshot, theirs, entry) {
             return None;
@@ -279,8 +279,8 @@
         let loss = (tasks.iter())
             .map(|v| {
                 let ran = (leader.fleet.machines.get(&snapshot.candidates[v.at].id))
-                    .and_then(|m| m.entries.iter().find(|e| e.task == v.task))
-                    .and_then(|e| e.running)
+                    .and_then(|m| m.tasks.iter().find(|e| e.task == v.task))
+                    .and_then(|e| e.running_since)
                     .map_or(Span(0), |since| snapshot.now.time - since);
                 let spec = leader.jobs.get(&v.task.job).map(|j| j.spec.clone());
                 // What can save loses the time to save.
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -44,7 +44,7 @@
 
 /// CPUs that a team's tasks use, looked up on every machine, but for some tasks.
 fn used(leader: &Leader, team: &str, without: &BTreeSet<TaskId>) -> i64 {
-    let entries = leader.fleet.machines.values().flat_map(|m| &m.entries);
+    let entries = leader.fleet.machines.values().flat_map(|m| &m.tasks);
     entries
         .filter(|e| e.spec.as_ref().is_some_and(|s| s.team == team.into()))
         .filter(|e| !without.contains(&e.task))
@@ -57,8 +57,8 @@
     (leader.fleet.machines.values())
         .filter(|m| m.zone == zone.into())
         .map(|m| {
-            let mut free = m.room;
-            for e in m.entries.iter().filter(|e| !without.contains(&e.task)) {
+            let mut free = m.capacity;
+            for e in m.tasks.iter().filter(|e| !without.contains(&e.task)) {
                 free -= e.need;
             }
             free.count(&job.need)
@@ -173,7 +173,7 @@
             .machines
             .get_mut(id)
             .expect("a machine")
-            .entries
+            .tasks
             .clear();
     }
     leader.jobs.insert(lent.spec.id.clone(), lent.clone());
--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -1,7 +1,7 @@
 //! What a leader decides: cycles, cancelled and finished jobs, machines that are taken or lost.
 
 use crate::fleet::machine::{Machine, Phase, PlacedTask, Stop};
-use crate::jobs::job::{Job, Stage};
+use crate::jobs::job::{Job, JobStage};
 use crate::leader::Leader;
 use crate::scheduling::actions;
 use crate::scheduling::snapshot::Snapshot;
@@ -37,18 +37,18 @@
 
 impl Leader {
     /// Takes in a job's record.
-    pub fn learn_job(&mut self, id: &JobId, version: Version, record: &JobRecord) {
+    pub fn update_job(&mut self, id: &JobId, version: Version, record: &JobRecord) {
         match record.state {
             JobState::Done => {
-                self.recall_ended(id, version, record, Stage::Finished);
+                self.recall_ended(id, version, record, JobStage::Finished);
                 self.finish(id);
             }
             JobState::Cancelled => {
                 let wall = record.cancelled.unwrap_or(record.submitted);
-                self.recall_ended(id, version, record, Stage::Cancelled(wall));
+                self.recall_ended(id, version, record, JobStage::Cancelled(wall));
                 if let Some(job) = self.jobs.get_mut(id) {
                     job.version = version;
-                    job.stage = Stage::Cancelled(wall);
+                    job.stage = JobStage::Cancelled(wall);
                 }
             }
             JobState::Queued | JobState::Running => {
@@ -63,7 +63,7 @@
     }
 
     /// Reading back, the log may yet name tasks of a job that is done or cancelled: it is kept for them.
-    fn recall_ended(&mut self, id: &JobId, version: Version, record: &JobRecord, stage: Stage) {
+    fn recall_ended(&mut self, id: &JobId, version: Version, record: &JobRecord, stage: JobStage) {
         let Some(spec) = record.spec.as_ref().filter(|_| !self.recovery.is_complete) else {
             return;
         };
@@ -77,16 +77,16 @@
     /// A job is done. It is kept while some of its tasks may still be somewhere.
     pub fn finish(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
-            job.stage = Stage::Finished;
+            job.stage = JobStage::Finished;
             // While the log is read back, it may yet name some.
-            if job.places.is_empty() && self.recovery.is_complete {
+            if job.placements.is_empty() && self.recovery.is_complete {
                 self.jobs.remove(id);
             }
         }
     }
 
     /// Stops what is left of cancelled and finished jobs, and forgets those that nothing is left of.
-    pub fn end_cancelled(&mut self, now: Now) {
+    pub fn stop_ended_jobs(&mut self, now: Now) {
         let cancelled: Vec<JobId> = (self.jobs.iter())
             .filter(|(_, j)| !j.is_active())
             .map(|(id, _)| id.clone())
@@ -95,20 +95,20 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.places.is_empty() && !job.committing {
+            if job.placements.is_empty() && !job.completion_open {
                 self.jobs.remove(&id);
                 continue;
             }
             let past = match job.stage {
-                Stage::Cancelled(wall) => Span(now.wall.0.saturating_sub(wall.0)),
+                JobStage::Cancelled(wall) => Span(now.wall.0.saturating_sub(wall.0)),
                 _ => Span(0),
             };
             let led = now.time - self.term.elected_at;
-            for machine in self.stop_cancelled(&id, now.time) {
+            for machine in self.stop_job(&id, now.time) {
                 let limits = (
                     self.agent_timings.cancel_deadline,
                     self.agent_timings.report_interval,
-                    self.silence(),
+                    self.silence_timeout(),
                 );
                 let (lease, old_leaders_fenced_at, partitioned_zones) = (
                     self.agent_timings.lease,
@@ -122,9 +122,9 @@
                         (self.agent_timings.cancel_deadline.0).saturating_sub(past.0 + AT_LAST.0),
                     );
                     let ends = partitioned_zones.contains_key(&m.zone)
-                        && m.lease_surely_over(now.time + left, lease, old_leaders_fenced_at);
+                        && m.is_lease_expired(now.time + left, lease, old_leaders_fenced_at);
                     if !ends && must_return(m, past, led, limits, now.time) {
-                        m.retire.get_or_insert("holds a cancelled job");
+                        m.retire_reason.get_or_insert("holds a cancelled job");
                     }
                 }
             }
@@ -132,23 +132,24 @@
     }
 
     /// Stops all that there may be of a cancelled or finished job; returns where that is.
-    pub fn stop_cancelled(&mut self, id: &JobId, now: Time) -> Vec<MachineId> {
+    pub fn stop_job(&mut self, id: &JobId, now: Time) -> Vec<MachineId> {
         let Some(job) = self.jobs.get(id).filter(|j| !j.is_active()) else {
             return Vec::new();
         };
-        let places: Vec<(MachineId, Attempt)> = job.places.values().flatten().cloned().collect();
+        let places: Vec<(MachineId, Attempt)> =
+            job.placements.values().flatten().cloned().collect();
         for (machine, attempt) in &places {
-            self.stop_on(machine, id, *attempt, 0.0, "cancelled", now);
+            self.stop_attempt_on(machine, id, *attempt, 0.0, "cancelled", now);
         }
         places.into_iter().map(|(machine, _)| machine).collect()
     }
 
     /// Decides one cycle.
     pub fn cycle(&mut self, now: Now) {
-        self.drop_stalled(now.time);
+        self.withdraw_stalled_placements(now.time);
         let mut snapshot = Snapshot::take(self, now);
         let mut scenario = actions::Scenario::default();
-        let waiting = self.waiting(now);
+        let waiting = self.waiting_jobs(now);
         let (rest, first): (Vec<&Job>, Vec<&Job>) =
             (waiting.iter()).partition(|j| j.is_preemptible() && j.spec.kind != Kind::Gang);
         let mut placements = actions::allocate_non_preemptible(self, &mut snapshot, &waiting, true);
@@ -171,18 +172,18 @@
             let emptied = actions::consolidate(self, &mut snapshot, &mut scenario);
             self.schedule.next_consolidation = now.time + self.policy.cycle_period;
             if let Some(machine) = emptied.and_then(|id| self.fleet.machines.get_mut(&id)) {
-                machine.cordon = now.time + Span(3 * self.policy.cycle_period.0);
+                machine.cordoned_until = now.time + Span(3 * self.policy.cycle_period.0);
             }
         }
         placements.extend(scenario.placements);
         let gathering = std::mem::take(&mut snapshot.gathering);
         self.schedule.gang_reservations = gathering;
-        self.apply(placements, now.time);
+        self.apply_placements(placements, now.time);
         for eviction in scenario.evictions {
             let grace = (self.jobs.get(&eviction.task.job)).map_or(0.0, |j| j.spec.save_s);
             log::debug!("{} is {}", eviction.task, eviction.why);
             let entry = (self.fleet.machines.get_mut(&eviction.machine))
-                .and_then(|m| m.entry_mut(&eviction.task, eviction.attempt));
+                .and_then(|m| m.task_mut(&eviction.task, eviction.attempt));
             if let Some(entry) = entry {
                 entry.stop = Some(Stop {
                     grace_s: grace,
@@ -200,18 +201,18 @@
         for id in needed {
             // It waits for others to come free or to boot: it must not go back as idle meanwhile.
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.idle = None;
+                machine.idle_since = None;
             }
         }
     }
 
     /// Jobs with tasks to start, in order.
-    pub fn waiting(&self, now: Now) -> Vec<&Job> {
+    pub fn waiting_jobs(&self, now: Now) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = (self.jobs.values())
-            .filter(|j| j.is_active() && j.not_before <= now.time && j.free_tasks() > 0)
-            .filter(|j| j.spec.kind != Kind::Gang || j.places.is_empty())
+            .filter(|j| j.is_active() && j.retry_at <= now.time && j.startable_tasks() > 0)
+            .filter(|j| j.spec.kind != Kind::Gang || j.placements.is_empty())
             .collect();
-        jobs.sort_by_cached_key(|j| j.order(self.is_overdue(j, now.wall)));
+        jobs.sort_by_cached_key(|j| j.queue_order(self.is_overdue(j, now.wall)));
         jobs
     }
 
@@ -227,27 +228,27 @@
     }
 
     /// Whether a job's start can't wait for its image to be fetched, by what users say.
-    pub fn is_picky(&self, job: &Job) -> bool {
+    pub fn needs_cached_image(&self, job: &Job) -> bool {
         let fetch = Span::secs(self.policy.catalog.slowest_fetch_s(job.spec.image_gb));
         !job.is_preemptible()
             && (self.policy.start_objectives.get(&job.spec.class)).is_some_and(|w| *w < fetch)
     }
 
     /// Placements that wait for room which does not come free are taken back.
-    pub(crate) fn drop_stalled(&mut self, now: Time) {
+    pub(crate) fn withdraw_stalled_placements(&mut self, now: Time) {
         let stalled: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
-            .flat_map(|m| m.entries.iter().map(move |e| (m, e)))
-            .filter(|(_, e)| e.phase == Phase::Planned && now > e.placed + STALLED)
+            .flat_map(|m| m.tasks.iter().map(move |e| (m, e)))
+            .filter(|(_, e)| e.phase == Phase::Planned && now > e.placed_at + STALLED)
             .map(|(m, e)| (m.id.clone(), e.task.job.clone(), e.attempt))
             .collect();
         for (machine, job, attempt) in stalled {
-            self.stop_on(&machine, &job, attempt, 0.0, "stalled", now);
+            self.stop_attempt_on(&machine, &job, attempt, 0.0, "stalled", now);
         }
     }
 
     /// Room for urgent work that may come before a machine could be had: by need, as many tasks
     /// as came lately in the time that a machine takes to boot, and two standard deviations more.
-    pub fn reserve(&self, now: Now) -> Vec<Reserve> {
+    pub fn reserve_for_arrivals(&self, now: Now) -> Vec<Reserve> {
         let boot = self.policy.catalog.slowest_boot_s();
         let mut came: Vec<(Resources, u32, BTreeSet<Image>)> = Vec::new();
         for job in self
@@ -257,7 +258,7 @@
         {
             let urgent = (self.policy.start_objectives.get(&job.spec.class))
                 .is_some_and(|w| w.as_secs() < boot);
-            let age = Span(now.wall.0.saturating_sub(job.waits_since().0));
+            let age = Span(now.wall.0.saturating_sub(job.waiting_since().0));
             if !urgent || job.spec.kind != Kind::Service {
                 continue;
             }
@@ -282,7 +283,7 @@
             .collect()
     }
 
-    pub(crate) fn apply(&mut self, placements: Vec<Placement>, now: Time) {
+    pub(crate) fn apply_placements(&mut self, placements: Vec<Placement>, now: Time) {
         let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
         self.placement_log.may_have_unrecorded |= !placements.is_empty();
         for placement in placements {
@@ -306,16 +307,16 @@
                     machine.id
                 );
                 let entry = PlacedTask::planned(placement.task, attempt, Some(spec), now);
-                machine.entries.push(entry);
-                machine.idle = None;
+                machine.tasks.push(entry);
+                machine.idle_since = None;
             }
         }
     }
 
     /// Tasks of each job that run, for display.
-    pub fn running(&self) -> BTreeMap<JobId, u32> {
+    pub fn running_tasks_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut counts = BTreeMap::new();
-        for entry in self.fleet.machines.values().flat_map(|m| &m.entries) {
+        for entry in self.fleet.machines.values().flat_map(|m| &m.tasks) {
             if entry.is_running() {
                 *counts.entry(entry.task.job.clone()).or_insert(0) += 1;
             }
@@ -325,25 +326,25 @@
 
     /// Spot machines that will be taken: what can save is stopped in time to save, what can't
     /// and won't finish is stopped at once, to start again elsewhere.
-    pub fn drain(&mut self, now: Time) {
+    pub fn drain_reclaimed_machines(&mut self, now: Time) {
         let mut stops = Vec::new();
         for machine in self.fleet.machines.values() {
-            let Some(notice) = machine.notice else {
+            let Some(notice) = machine.reclaim_at else {
                 continue;
             };
             let left = notice - now;
-            for entry in machine.entries.iter().filter(|e| e.stop.is_none()) {
+            for entry in machine.tasks.iter().filter(|e| e.stop.is_none()) {
                 let Some(job) = self.jobs.get(&entry.task.job) else {
                     continue;
                 };
                 let saves = job.spec.checkpoint_s > 0.0;
                 // Notices may come half as long as nominal.
                 let in_time = Span::secs(job.spec.save_s + 3.0);
-                let ran = entry.running.map_or(Span(0), |t| now - t);
+                let ran = entry.running_since.map_or(Span(0), |t| now - t);
                 let needed = Span::secs((job.spec.estimate_s - ran.as_secs()).max(0.0));
-                let finishes = entry.running.is_some() && needed < left;
+                let finishes = entry.running_since.is_some() && needed < left;
                 let stop = if saves { left <= in_time } else { !finishes };
-                if stop && entry.holds_room() {
+                if stop && entry.occupies_capacity() {
                     let grace = if saves { job.spec.save_s } else { 0.0 };
                     stops.push((
                         machine.id.clone(),
@@ -355,49 +356,49 @@
             }
         }
         for (machine, job, attempt, grace) in stops {
-            self.stop_on(&machine, &job, attempt, grace, "machine is taken back", now);
+            self.stop_attempt_on(&machine, &job, attempt, grace, "machine is taken back", now);
         }
     }
 
     /// Machines whose leases have surely run out hold nothing any more.
-    pub fn expire(&mut self, now: Now) {
+    pub fn expire_leases(&mut self, now: Now) {
         let (lease, old_leaders_fenced_at) =
             (self.agent_timings.lease, self.term.old_leaders_fenced_at);
         let over: Vec<MachineId> = (self.fleet.machines.values())
             .filter(|m| {
-                !m.entries.is_empty() && m.lease_surely_over(now.time, lease, old_leaders_fenced_at)
+                !m.tasks.is_empty() && m.is_lease_expired(now.time, lease, old_leaders_fenced_at)
             })
             .map(|m| m.id.clone())
             .collect();
         for id in over {
             log::info!("the lease of {id} has surely run out");
-            self.empty_machine(&id, now);
+            self.clear_machine(&id, now);
         }
     }
 
     /// Everything on a machine is surely gone.
-    pub fn empty_machine(&mut self, id: &MachineId, now: Now) {
+    pub fn clear_machine(&mut self, id: &MachineId, now: Now) {
         let gone = self
             .fleet
             .machines
             .get_mut(id)
-            .map(Machine::clear)
+            .map(Machine::take_tasks)
             .unwrap_or_default();
         for (task, attempt) in gone {
-            self.vanished(id, &task, attempt, now);
+            self.task_lost(id, &task, attempt, now);
         }
     }
 
     /// Forgets a machine that is surely gone.
-    pub fn drop_machine(&mut self, id: &MachineId, now: Now) {
-        self.empty_machine(id, now);
+    pub fn forget_machine(&mut self, id: &MachineId, now: Now) {
+        self.clear_machine(id, now);
         self.fleet.returned.insert(id.clone(), now.time);
         self.request_cycle(now.time);
         self.fleet.machines.remove(id);
     }
 
     /// A machine that has become known in some other way than by a report.
-    pub fn expect_machine(&mut self, machine: Machine) {
+    pub fn add_machine(&mut self, machine: Machine) {
         self.placement_log.may_have_unrecorded = true;
         if !self.fleet.returned.contains_key(&machine.id) {
             self.fleet
@@ -409,12 +410,13 @@
 
     /// Whether a machine is expected to come up.
     pub fn is_booting(&self) -> bool {
-        (self.fleet.machines.values()).any(|m| m.last_heard.is_none() && m.returning.is_none())
+        (self.fleet.machines.values())
+            .any(|m| m.last_heard_at.is_none() && m.return_requested_at.is_none())
     }
 
     /// Age of a machine by the time of day.
     pub fn age(machine: &Machine, wall: Wall) -> Span {
-        Span(wall.0.saturating_sub(machine.since.0))
+        Span(wall.0.saturating_sub(machine.known_since.0))
     }
 }
 
@@ -424,9 +426,9 @@
 /// first: a machine may hold much else.
 fn must_return(m: &Machine, past: Span, led: Span, limits: (Span, Span, Span), now: Time) -> bool {
     let (cancel, report, silence) = limits;
-    let silent = m.last_heard.is_none_or(|t| now - t > silence);
+    let silent = m.last_heard_at.is_none_or(|t| now - t > silence);
     // Heard is not commanded: one that leaves calls unanswered may never get the stop.
-    let silent = silent || m.unanswered > 1;
+    let silent = silent || m.unanswered_calls > 1;
     let in_good_time = past > Span(cancel.0 / 2) && led > silence && silent;
     // What was to be gone before this leader came was seen to by the one before; the log may still
     // name it. A worker of a node that has ended takes a while to find another.
--- a/crates/core/src/scheduling/cycle/tests.rs
+++ b/crates/core/src/scheduling/cycle/tests.rs
@@ -4,7 +4,7 @@
 fn machine(heard: Option<Time>) -> Machine {
     let (t, z) = ("m4".into(), "a".into());
     let mut m = Machine::new("vm-1".into(), t, z, false, Resources::default(), Wall(0));
-    m.last_heard = heard;
+    m.last_heard_at = heard;
     m
 }
 
@@ -54,6 +54,6 @@
         leader.jobs.insert(job.spec.id.clone(), job);
     }
     leader.cycle(testing::NOW);
-    let placed = |id: &str| leader.jobs[&id.parse().expect("an id")].placed();
+    let placed = |id: &str| leader.jobs[&id.parse().expect("an id")].placement_count();
     assert_eq!((placed("wk-1"), placed("wk-2")), (0, 4));
 }
--- a/crates/core/src/scheduling/snapshot.rs
+++ b/crates/core/src/scheduling/snapshot.rs
@@ -89,17 +89,17 @@
 /// Whether new work may be placed on a machine.
 pub fn usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
     let fresh =
-        (machine.last_heard).is_some_and(|t| now - t < Span(leader.agent_timings.lease.0 / 2));
-    machine.is_known(leader.term.epoch)
+        (machine.last_heard_at).is_some_and(|t| now - t < Span(leader.agent_timings.lease.0 / 2));
+    machine.is_reconciled(leader.term.epoch)
         && fresh
         && !leader.fleet.partitioned_zones.contains_key(&machine.zone)
         // Heard is not commanded: while its worker leaves calls unanswered it gets nothing new.
-        && machine.unanswered == 0
-        && machine.notice.is_none()
-        && machine.retire.is_none()
-        && machine.returning.is_none()
-        && machine.quarantine <= now
-        && machine.cordon <= now
+        && machine.unanswered_calls == 0
+        && machine.reclaim_at.is_none()
+        && machine.retire_reason.is_none()
+        && machine.return_requested_at.is_none()
+        && machine.quarantined_until <= now
+        && machine.cordoned_until <= now
 }
 
 /// Whether a job's tasks are bound to where others of it are.
@@ -109,7 +109,9 @@
 
 /// In how many seconds a task that ends by itself will probably have ended.
 fn seconds_left(entry: &PlacedTask, spec: &JobSpec, now: Time) -> f64 {
-    let ran_s = entry.running.map_or(0.0, |since| (now - since).as_secs());
+    let ran_s = entry
+        .running_since
+        .map_or(0.0, |since| (now - since).as_secs());
     // What has run longer than its owner thought will run for a while yet.
     let longer_s = ran_s * RUNS_ON;
     (spec.estimate_s - ran_s).max(longer_s).max(LEAST_LEFT_S)
@@ -138,16 +140,16 @@
         let mut total = [0.0; KINDS];
         let mut all = [0.0; KINDS];
         for machine in leader.fleet.machines.values() {
-            if machine.retire.is_none() && machine.returning.is_none() {
+            if machine.retire_reason.is_none() && machine.return_requested_at.is_none() {
                 add(&mut total, &snapshot.shared_room(machine));
-                add(&mut all, &amounts(&machine.room));
+                add(&mut all, &amounts(&machine.capacity));
             }
             if usable(machine, leader, now.time) {
                 let spot = snapshot.spot(leader, machine);
                 snapshot.candidates.push(spot);
             }
         }
-        for job in leader.jobs.values().filter(|j| !j.places.is_empty()) {
+        for job in leader.jobs.values().filter(|j| !j.placements.is_empty()) {
             snapshot.count(leader, job);
         }
         let mut requested = snapshot.counted.clone();
@@ -155,7 +157,7 @@
         let mut firm = snapshot.firm.clone();
         for job in leader.jobs.values().filter(|j| j.is_active()) {
             snapshot.image_no(&job.spec.image);
-            let whole = amounts(&job.need.times(job.free_tasks()));
+            let whole = amounts(&job.need.times(job.startable_tasks()));
             let need = snapshot.for_shares(&whole);
             if let Some(leaf) = leader.policy.teams.find(&job.spec.team) {
                 add(&mut of_all[leaf], &whole);
@@ -176,11 +178,15 @@
 
     /// Counts what a job may have anywhere.
     fn count(&mut self, leader: &Leader, job: &Job) {
-        self.charge(leader, job, &amounts(&job.need.times(job.placed())));
+        self.charge(
+            leader,
+            job,
+            &amounts(&job.need.times(job.placement_count())),
+        );
         if !is_bound(&job.spec) {
             return;
         }
-        for (id, _) in job.places.values().flatten() {
+        for (id, _) in job.placements.values().flatten() {
             if let Some(machine) = leader.fleet.machines.get(id) {
                 let zone = self.zone_no(&machine.zone);
                 self.note_zone(&job.spec.id, zone, 1);
@@ -214,10 +220,14 @@
             machine_type: machine.machine_type.clone(),
             zone: machine.zone.clone(),
             zone_no: self.zone_no(&machine.zone),
-            spot: machine.spot,
-            room: machine.room,
+            spot: machine.is_spot,
+            room: machine.capacity,
             free: machine.free(),
-            images: machine.images.iter().map(|i| self.image_no(i)).collect(),
+            images: machine
+                .cached_images
+                .iter()
+                .map(|i| self.image_no(i))
+                .collect(),
             fetching: Vec::new(),
             services: Vec::new(),
             replicas: 0,
@@ -227,11 +237,11 @@
             ended_in_s: 0.0,
             kept_for: None,
         };
-        for entry in machine.entries.iter().filter(|e| e.holds_room()) {
+        for entry in machine.tasks.iter().filter(|e| e.occupies_capacity()) {
             let Some(spec) = &entry.spec else {
                 continue;
             };
-            if entry.running.is_none() {
+            if entry.running_since.is_none() {
                 let image = self.image_no(&spec.image);
                 spot.fetching.push(image);
             }
@@ -286,13 +296,13 @@
 
     /// What a machine adds to the room that is shared.
     fn shared_room(&self, machine: &Machine) -> Amounts {
-        let room = amounts(&machine.room);
+        let room = amounts(&machine.capacity);
         if !self.apart || room[1] <= 0.0 {
             return room;
         }
         // What runs there without GPUs all the same has its room.
         let mut shared = [0.0, room[1], 0.0];
-        for entry in machine.entries.iter().filter(|e| e.holds_room()) {
+        for entry in machine.tasks.iter().filter(|e| e.occupies_capacity()) {
             if entry.need.gpus == 0 {
                 add(&mut shared, &amounts(&entry.need));
             }
@@ -409,7 +419,7 @@
                 .map(|(_, s)| (s.free + s.is_preemptible).count(need))
                 .sum()
         };
-        leader.reserve(self.now).iter().all(|reserve| {
+        leader.reserve_for_arrivals(self.now).iter().all(|reserve| {
             // Room without the image would mean a fetch, so each image has its part.
             let part = reserve.tasks.div_ceil(reserve.images.len().max(1) as u32);
             (reserve.images.iter()).all(|image| room(&reserve.need, self.image(image)) >= part)
@@ -430,7 +440,7 @@
         for spot in &mut self.candidates {
             spot.held = Resources::default();
         }
-        for reserve in leader.reserve(self.now) {
+        for reserve in leader.reserve_for_arrivals(self.now) {
             let images: Vec<u32> = (reserve.images.iter())
                 .filter_map(|i| self.image(i))
                 .collect();
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -88,8 +88,8 @@
 pub fn up(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
     let room = leader.policy.capacity_of(&"m4".into());
     let mut machine = Machine::new(id.into(), "m4".into(), zone.into(), false, room, NOW.wall);
-    machine.last_heard = Some(NOW.time);
-    machine.acked = leader.term.epoch;
+    machine.last_heard_at = Some(NOW.time);
+    machine.acknowledged_epoch = leader.term.epoch;
     machine.addr = Some("10.0.0.1:1".into());
     let id = machine.id.clone();
     leader.fleet.machines.insert(id.clone(), machine);
@@ -121,13 +121,13 @@
     let job = leader.jobs.get_mut(&job.spec.id).expect("a job");
     let attempt = Attempt(1);
     job.place(index, machine, attempt);
-    job.begun = true;
+    job.has_started = true;
     let task = job.spec.id.task(index);
     let mut entry = PlacedTask::planned(task, attempt, Some(job.spec.clone()), Time(1));
     entry.phase = Phase::On(TaskState::Running);
-    entry.running = Some(Time(1));
+    entry.running_since = Some(Time(1));
     if let Some(machine) = leader.fleet.machines.get_mut(machine) {
-        machine.entries.push(entry);
+        machine.tasks.push(entry);
     }
 }
 
