--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,6 +1,6 @@
 //! `rudderreel admin`: the administration API from the command line.
 
-use crate::clients::{self, AdminReply};
+use crate::clients::admin::{self as client, AdminResponse};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use std::net::SocketAddrV4;
@@ -16,11 +16,11 @@
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    what: What,
+    query: Query,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Query {
     /// How the deployment is doing.
     Overview,
     /// Who uses what, against quota, limit and share.
@@ -45,12 +45,12 @@
     /// Operators' settings, with their version.
     Settings {
         #[command(subcommand)]
-        change: Option<Change>,
+        change: Option<SettingsChange>,
     },
 }
 
 #[derive(Subcommand)]
-enum Change {
+enum SettingsChange {
     /// Replace them by a JSON file in the form in which they are shown, version included.
     Set {
         /// The file.
@@ -58,38 +58,83 @@
     },
 }
 
-/// Runs one request and prints the answer.
-pub fn run(args: &AdminArgs) -> Result<(), String> {
-    let base = format!("http://{}", args.node);
-    let get = |path: &str| clients::admin_get(&format!("{base}{path}"));
-    let reply = match &args.what {
-        What::Overview => get("/admin/overview"),
-        What::Teams => get("/admin/teams"),
-        What::Machines { after: None } => get("/admin/machines"),
-        What::Machines { after: Some(name) } => get(&format!("/admin/machines?after={name}")),
-        What::Stops => get("/admin/stops"),
-        What::Refusals => get("/admin/refusals"),
-        What::Process => get("/admin/process"),
-        What::Job { id } => get(&format!("/admin/jobs/{id}")),
-        What::Settings { change: None } => get("/admin/settings"),
-        What::Settings {
-            change: Some(Change::Set { file }),
+/// Why a request to the administration API failed.
+#[derive(Debug, thiserror::Error)]
+pub enum AdminError {
+    /// The file with the new settings could not be read.
+    #[error("{}: {source}", path.display())]
+    ReadFile {
+        /// The file.
+        path: PathBuf,
+        /// What went wrong.
+        source: std::io::Error,
+    },
+    /// The node refused the request.
+    #[error("{node} answers {status}: {text}")]
+    Refused {
+        /// The node.
+        node: SocketAddrV4,
+        /// HTTP status.
+        status: u16,
+        /// What it says.
+        text: String,
+    },
+    /// The node gave no response.
+    #[error("{node} does not answer")]
+    NoResponse {
+        /// The node.
+        node: SocketAddrV4,
+    },
+}
+
+/// Runs one request and prints the response.
+pub fn run(args: &AdminArgs) -> Result<(), AdminError> {
+    let node = args.node;
+    let response = send(node, &args.query)?.ok_or(AdminError::NoResponse { node })?;
+    if response.status != 200 {
+        return Err(AdminError::Refused {
+            node,
+            status: response.status,
+            text: error_text(response.body),
+        });
+    }
+    if args.json {
+        println!("{}", response.body);
+    } else {
+        print!("{}", readable(&response.body));
+    }
+    Ok(())
+}
+
+fn send(node: SocketAddrV4, query: &Query) -> Result<Option<AdminResponse>, AdminError> {
+    let read = |path: &str| Ok(client::read(&format!("http://{node}{path}")));
+    match query {
+        Query::Overview => read("/admin/overview"),
+        Query::Teams => read("/admin/teams"),
+        Query::Machines { after: None } => read("/admin/machines"),
+        Query::Machines { after: Some(name) } => read(&format!("/admin/machines?after={name}")),
+        Query::Stops => read("/admin/stops"),
+        Query::Refusals => read("/admin/refusals"),
+        Query::Process => read("/admin/process"),
+        Query::Job { id } => read(&format!("/admin/jobs/{id}")),
+        Query::Settings { change: None } => read("/admin/settings"),
+        Query::Settings {
+            change: Some(SettingsChange::Set { file }),
         } => {
-            let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            clients::admin_put(&format!("{base}/admin/settings"), &text)
-        }
-    };
-    match reply {
-        AdminReply::Answer(200, body) if args.json => println!("{body}"),
-        AdminReply::Answer(200, body) => print!("{}", readable(&body)),
-        AdminReply::Answer(status, body) => {
-            let value: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
-            let text = value["error"].as_str().map_or(body, str::to_string);
-            return Err(format!("{} answers {status}: {text}", args.node));
+            let settings = std::fs::read(file).map_err(|source| AdminError::ReadFile {
+                path: file.clone(),
+                source,
+            })?;
+            let url = format!("http://{node}/admin/settings");
+            Ok(client::replace(&url, &settings))
         }
-        AdminReply::None => return Err(format!("{} does not answer", args.node)),
     }
-    Ok(())
+}
+
+/// What an error response says.
+fn error_text(body: String) -> String {
+    let value: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
+    value["error"].as_str().map_or(body, str::to_string)
 }
 
 /// Lists of objects become tables, everything else a line a field.
--- /dev/null
+++ b/crates/controller/src/clients/cloud.rs
@@ -0,0 +1,46 @@
+//! Calls to the cloud.
+
+use super::{get, parse_json, post_json, Reply};
+use rudderreel_core::{CloudAnswer, CloudCall, Value};
+use rudderreel_wire::cloud::MACHINES_PER_PAGE;
+use std::net::SocketAddrV4;
+use ureq::Agent;
+
+/// Calls the cloud.
+pub fn call_cloud(client: &Agent, addr: SocketAddrV4, call: &CloudCall) -> CloudAnswer {
+    let reply = match call {
+        CloudCall::Catalog => get(client, &format!("http://{addr}/catalog")),
+        CloudCall::Rent(rent) => post_json(client, &format!("http://{addr}/rentals"), rent),
+        CloudCall::Return(names) => {
+            post_json(client, &format!("http://{addr}/rentals/return"), names)
+        }
+        CloudCall::List(after) => {
+            let after = after
+                .as_ref()
+                .map(|m| format!("after={m}&"))
+                .unwrap_or_default();
+            get(
+                client,
+                &format!("http://{addr}/rentals?{after}most={MACHINES_PER_PAGE}"),
+            )
+        }
+    };
+    let Reply::Response(status, body) = reply else {
+        return CloudAnswer::Unknown;
+    };
+    match (status, call) {
+        (200, CloudCall::Catalog) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Catalog),
+        (200, CloudCall::Rent(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Rented),
+        (200..=204, CloudCall::Return(_)) => CloudAnswer::Returned,
+        (200, CloudCall::List(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Page),
+        (503, CloudCall::Rent(_)) if is_without_capacity(&body) => CloudAnswer::NoCapacity,
+        (400, _) => CloudAnswer::Rejected,
+        _ => CloudAnswer::Refused,
+    }
+}
+
+/// Whether a refusal says that there is no machine to be had, and not that too many calls were made.
+pub(super) fn is_without_capacity(body: &[u8]) -> bool {
+    let value: Option<Value> = serde_json::from_slice(body).ok();
+    value.is_some_and(|v| v["error"] == "no capacity")
+}
--- a/crates/controller/src/clients/agent.rs
+++ b/crates/controller/src/clients/http_client.rs
@@ -13,7 +13,7 @@
 use ureq::{Agent, Error};
 
 /// Bytes of the buffers of a connection, each. A response's head has to fit; a body is read in parts.
-const BUFFER: usize = 8 * 1024;
+const BUFFER_BYTES: usize = 8 * 1024;
 /// Connections to one host that are kept for later calls.
 const IDLE_PER_HOST: usize = 8;
 
@@ -21,20 +21,20 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CallLimits {
     /// For connecting.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// For the whole call.
-    pub whole: Duration,
+    pub call_timeout: Duration,
     /// Connections that are kept for later calls. The library compares each with all others at every call.
-    pub idle: usize,
+    pub idle_connections: usize,
 }
 
 impl CallLimits {
-    /// Limits in milliseconds for calls to one service.
-    pub fn of_service(connect_ms: u64, whole_ms: u64) -> Self {
+    /// Limits of calls to one service.
+    pub fn new(connect_timeout: Duration, call_timeout: Duration) -> Self {
         Self {
-            connect: Duration::from_millis(connect_ms),
-            whole: Duration::from_millis(whole_ms),
-            idle: IDLE_PER_HOST,
+            connect_timeout,
+            call_timeout,
+            idle_connections: IDLE_PER_HOST,
         }
     }
 }
@@ -59,17 +59,17 @@
 }
 
 /// An HTTP client with such limits.
-pub fn agent(limits: CallLimits) -> Agent {
+pub fn http_client(limits: CallLimits) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
         .proxy(None)
-        .timeout_connect(Some(limits.connect))
-        .timeout_global(Some(limits.whole))
-        .max_idle_connections(limits.idle)
+        .timeout_connect(Some(limits.connect_timeout))
+        .timeout_global(Some(limits.call_timeout))
+        .max_idle_connections(limits.idle_connections)
         .max_idle_connections_per_host(IDLE_PER_HOST)
-        .input_buffer_size(BUFFER)
-        .output_buffer_size(BUFFER)
+        .input_buffer_size(BUFFER_BYTES)
+        .output_buffer_size(BUFFER_BYTES)
         .build();
     Agent::with_parts(config, DefaultConnector::default(), IpResolver)
 }
--- a/crates/controller/src/clients/agent/tests.rs
+++ b/crates/controller/src/clients/http_client/tests.rs
@@ -3,7 +3,10 @@
 use std::net::TcpListener;
 
 fn quick() -> Agent {
-    agent(CallLimits::of_service(2_000, 5_000))
+    http_client(CallLimits::new(
+        Duration::from_secs(2),
+        Duration::from_secs(5),
+    ))
 }
 
 /// Answers one request on one connection with a body of so many bytes.
@@ -25,13 +28,13 @@
 /// A body may be much longer than the buffer.
 #[test]
 fn a_body_longer_than_the_buffer_is_read_whole() {
-    let (addr, served) = serve_once(50 * BUFFER);
+    let (addr, served) = serve_once(50 * BUFFER_BYTES);
     let mut response = quick()
         .get(format!("http://{addr}/"))
         .call()
         .expect("a response");
     let body = response.body_mut().read_to_vec().expect("a body");
-    assert_eq!(body.len(), 50 * BUFFER);
+    assert_eq!(body.len(), 50 * BUFFER_BYTES);
     served.join().expect("it served");
 }
 
--- /dev/null
+++ b/crates/controller/src/clients/peers.rs
@@ -0,0 +1,58 @@
+//! Messages to the other nodes, in bitcode.
+
+use super::{post, Reply};
+use bitcode::{DecodeOwned, Encode};
+use rudderreel_wire::peer::{
+    Forward, ForwardedReports, ForwardedReportsReply, Heartbeat, HeartbeatReply,
+    ReplicateCancellations, ReplicateCancellationsReply,
+};
+use std::net::SocketAddrV4;
+use ureq::Agent;
+
+/// Sends a heartbeat to a peer.
+pub fn send_heartbeat(
+    client: &Agent,
+    addr: SocketAddrV4,
+    heartbeat: &Heartbeat,
+) -> Option<HeartbeatReply> {
+    exchange(client, &format!("http://{addr}/peer/heartbeat"), heartbeat)
+}
+
+/// Forwards status reports to the leader.
+pub fn forward_reports(
+    client: &Agent,
+    addr: SocketAddrV4,
+    reports: &ForwardedReports,
+) -> Option<ForwardedReportsReply> {
+    exchange(client, &format!("http://{addr}/peer/reports"), reports)
+}
+
+/// Replicates cancellations to a peer.
+pub fn replicate_cancellations(
+    client: &Agent,
+    addr: SocketAddrV4,
+    cancellations: &ReplicateCancellations,
+) -> Option<ReplicateCancellationsReply> {
+    exchange(
+        client,
+        &format!("http://{addr}/peer/announce"),
+        cancellations,
+    )
+}
+
+/// Sends a message and reads the reply, if there is a usable one.
+fn exchange<M: Encode, R: DecodeOwned>(client: &Agent, url: &str, message: &M) -> Option<R> {
+    match post(client, url, &bitcode::encode(message)) {
+        Reply::Response(200, bytes) => bitcode::decode(&bytes).ok(),
+        _ => None,
+    }
+}
+
+/// Forwards a user's or an administrator's request to a peer; returns its status and body.
+pub fn forward(client: &Agent, addr: SocketAddrV4, request: &Forward) -> Option<(u16, String)> {
+    let url = format!("http://{addr}/peer/forward");
+    match post(client, &url, &bitcode::encode(request)) {
+        Reply::Response(status, bytes) => Some((status, String::from_utf8(bytes).ok()?)),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/controller/src/clients/store.rs
@@ -0,0 +1,115 @@
+//! Calls to the consensus-backed key-value store (the protocol's state service).
+
+use super::{delete, get, parse_json, post, post_json, Reply};
+use rudderreel_core::{StoreAnswer, StoreCall, Value};
+use rudderreel_wire::ids::Version;
+use rudderreel_wire::state::{Committed, Events, Item, Lease, LeaseRequest, Page};
+use std::net::SocketAddrV4;
+use ureq::Agent;
+
+/// Keys asked for in one page, and fewer each time that the response is too long to be read.
+const KEYS_PER_PAGE: [u32; 3] = [200, 20, 1];
+/// Milliseconds that a watch waits for a change.
+const WATCH_BLOCK_MS: u64 = 10_000;
+
+/// Reads a page of keys. One that is longer than what is read would be asked for again for ever, so a
+/// shorter one is.
+fn list_keys(client: &Agent, url: &str) -> Reply {
+    let mut reply = Reply::TooLong;
+    for keys in KEYS_PER_PAGE {
+        reply = get(client, &format!("{url}&most={keys}"));
+        if !matches!(reply, Reply::TooLong) {
+            break;
+        }
+    }
+    reply
+}
+
+/// Calls the store.
+pub fn call_store(client: &Agent, addr: SocketAddrV4, call: &StoreCall) -> StoreAnswer {
+    let reply = match call {
+        StoreCall::Get(key) => get(client, &format!("http://{addr}/keys/{key}")),
+        StoreCall::List(prefix, after) => {
+            let after = after
+                .as_ref()
+                .map(|k| format!("&after={k}"))
+                .unwrap_or_default();
+            list_keys(
+                client,
+                &format!("http://{addr}/keys?prefix={prefix}{after}"),
+            )
+        }
+        StoreCall::Commit(transaction) => {
+            post_json(client, &format!("http://{addr}/commit"), transaction)
+        }
+        StoreCall::NewLease(ttl_ms) => {
+            let body = LeaseRequest { ttl_ms: *ttl_ms };
+            post_json(client, &format!("http://{addr}/holds"), &body)
+        }
+        StoreCall::Renew(id) => post(client, &format!("http://{addr}/holds/{id}/renew"), b"{}"),
+        StoreCall::EndLease(id) => delete(client, &format!("http://{addr}/holds/{id}")),
+    };
+    match reply {
+        Reply::Response(status, body) => store_answer(call, status, &body),
+        // Nothing was sent, so nothing can have been executed.
+        Reply::NotSent => StoreAnswer::Refused,
+        Reply::Unknown | Reply::TooLong => StoreAnswer::Unknown,
+    }
+}
+
+/// What the store says of a `set` whose lease has ended; any other 400 rejects the
+/// transaction itself.
+const NO_SUCH_LEASE: &str = "no such lease";
+
+pub(super) fn store_answer(call: &StoreCall, status: u16, body: &[u8]) -> StoreAnswer {
+    match (status, call) {
+        (200, StoreCall::Get(_)) => parse_json(body, StoreAnswer::Unknown, |i: Item<Value>| {
+            StoreAnswer::Found(i)
+        }),
+        (200, StoreCall::List(..)) => parse_json(body, StoreAnswer::Unknown, |p: Page<Value>| {
+            StoreAnswer::Page(p)
+        }),
+        (200, StoreCall::Commit(_)) => parse_json(body, StoreAnswer::Unknown, |c: Committed| {
+            StoreAnswer::Committed(c.revision)
+        }),
+        (200, StoreCall::NewLease(_)) => parse_json(body, StoreAnswer::Unknown, |l: Lease| {
+            StoreAnswer::Lease(l.lease)
+        }),
+        (200..=204, StoreCall::Renew(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
+        (404, _) => StoreAnswer::Missing,
+        (409, _) => parse_json(body, StoreAnswer::Unknown, |c: Committed| {
+            StoreAnswer::Conflict(c.failed)
+        }),
+        (400, StoreCall::Commit(_)) => {
+            let text = String::from_utf8_lossy(body);
+            log::warn!("the store rejects a transaction: {text}");
+            if text.contains(NO_SUCH_LEASE) {
+                StoreAnswer::NoSuchLease
+            } else {
+                StoreAnswer::Rejected
+            }
+        }
+        _ => StoreAnswer::Refused,
+    }
+}
+
+/// What a watch came back with.
+pub enum WatchReply {
+    /// Changes, perhaps none.
+    Events(Events<Value>),
+    /// The place is lost.
+    Lost,
+    /// No answer.
+    Failed,
+}
+
+/// Waits for changes after a revision.
+pub fn watch_store(client: &Agent, addr: SocketAddrV4, prefix: &str, after: Version) -> WatchReply {
+    let url =
+        format!("http://{addr}/changes?prefix={prefix}&after={after}&blockMs={WATCH_BLOCK_MS}");
+    match get(client, &url) {
+        Reply::Response(200, body) => parse_json(&body, WatchReply::Failed, WatchReply::Events),
+        Reply::Response(410, _) | Reply::TooLong => WatchReply::Lost,
+        _ => WatchReply::Failed,
+    }
+}
--- a/crates/controller/src/clients/tests.rs
+++ b/crates/controller/src/clients/tests.rs
@@ -1,7 +1,13 @@
+use super::cloud::is_without_capacity;
+use super::http_client::{http_client, CallLimits};
+use super::store::{call_store, store_answer};
 use super::*;
-use crate::http::{Answer, Limits, Server};
+use crate::http::{Response, Server, ServerLimits, ServerNumber};
+use rudderreel_core::{StoreAnswer, StoreCall};
+use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Transaction;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// An answer that can't be read says nothing: the call may have been carried out.
 #[test]
@@ -18,50 +24,54 @@
     ];
     for call in &calls {
         for body in [&b""[..], b"{", b"[]", b"{\"entries\":7}", &[0xff, 0xfe]] {
-            let answer = state_answer(call, 200, body);
+            let answer = store_answer(call, 200, body);
             assert!(matches!(answer, StoreAnswer::Unknown), "{call:?} {body:?}");
         }
         // Not executed, whatever the body says.
         for status in [429, 503] {
             assert!(matches!(
-                state_answer(call, status, b"x"),
+                store_answer(call, status, b"x"),
                 StoreAnswer::Refused
             ));
         }
     }
     // A lease that has ended is told from a transaction that is too large.
-    let ended = state_answer(&calls[2], 400, b"{\"error\":\"no such lease\"}");
+    let ended = store_answer(&calls[2], 400, b"{\"error\":\"no such lease\"}");
     assert!(matches!(ended, StoreAnswer::NoSuchLease));
-    let large = state_answer(&calls[2], 400, b"{\"error\":\"value too large\"}");
+    let large = store_answer(&calls[2], 400, b"{\"error\":\"value too large\"}");
     assert!(matches!(large, StoreAnswer::Rejected));
-    let conflict = state_answer(&calls[2], 409, b"<html>");
+    let conflict = store_answer(&calls[2], 409, b"<html>");
     assert!(matches!(conflict, StoreAnswer::Unknown));
-    assert!(!is_full(b"no capacity") && is_full(b"{\"error\":\"no capacity\"}"));
+    assert!(
+        !is_without_capacity(b"no capacity") && is_without_capacity(b"{\"error\":\"no capacity\"}")
+    );
 }
 
 /// A page that was longer than what is read was asked for again as it was, for ever.
 #[test]
 fn a_page_that_is_too_long_is_read_in_shorter_ones() {
-    let limits = Limits {
+    let limits = ServerLimits {
         connections: 16,
-        workers: 0,
-        body: 100,
-        buffered: 10_000,
+        agent_connections: 0,
+        body_bytes: 100,
+        buffered_bytes: 10_000,
     };
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (server, _) = Server::listen(any, 0, limits, Arc::default()).expect("it listens");
+    let (server, _) =
+        Server::listen(any, ServerNumber(0), limits, Arc::default()).expect("it listens");
     let addr = server.addr().expect("an address");
     std::thread::spawn(move || {
         server.serve(|_, request| {
             let long = !request.url.ends_with("most=20");
-            let filler = " ".repeat(if long { MAX_ANSWER as usize } else { 0 });
+            let filler = " ".repeat(if long { MAX_RESPONSE_BYTES as usize } else { 0 });
             let text = format!("{{\"entries\":[],\"hasNext\":true,\"logline\":7{filler}}}");
-            Some(Answer::json(200, text.into_bytes()))
+            Some(Response::json(200, text.into_bytes()))
         });
     });
-    let agent = agent(CallLimits::of_service(2_000, 20_000));
+    let limits = CallLimits::new(Duration::from_secs(2), Duration::from_secs(20));
+    let client = http_client(limits);
     let call = StoreCall::List("pub/".into(), None);
-    match call_state(&agent, addr, &call) {
+    match call_store(&client, addr, &call) {
         StoreAnswer::Page(page) => assert!(page.more && page.revision == Version(7)),
         other => panic!("{other:?}"),
     }
--- a/crates/controller/src/http/tests.rs
+++ b/crates/controller/src/http/server/tests.rs
@@ -1,30 +1,35 @@
 use super::*;
+use crate::http::connection::ConnectionState;
+use crate::http::parser::MAX_HEAD_BYTES;
+use crate::http::STATUS_REPORT_PATH;
+use std::io::Read;
 use std::net::TcpStream as Client;
 
-const LIMITS: Limits = Limits {
+const LIMITS: ServerLimits = ServerLimits {
     connections: 60,
-    workers: 40,
-    body: 1_000,
-    buffered: 3_000,
+    agent_connections: 40,
+    body_bytes: 1_000,
+    buffered_bytes: 3_000,
 };
 
 /// A server on loopback that answers everything but reports at once; those from another thread.
 fn start() -> SocketAddrV4 {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (server, answers) = Server::listen(any, 1, LIMITS, Arc::default()).expect("it listens");
+    let (server, answers) =
+        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("it listens");
     let addr = server.addr().expect("an address");
     std::thread::spawn(move || {
         server.serve(|id, request| {
-            if request.url == REPORT {
+            if request.url == STATUS_REPORT_PATH {
                 let (answers, body) = (answers.clone(), request.body.map(<[u8]>::to_vec));
                 std::thread::spawn(move || {
-                    answers.send(id, Answer::json(200, body.unwrap_or_default()))
+                    answers.send(id, Response::json(200, body.unwrap_or_default()))
                 });
                 return None;
             }
             match request.body {
-                Some(body) => Some(Answer::json(200, body.to_vec())),
-                None => Some(Answer::error(400, "too long")),
+                Some(body) => Some(Response::json(200, body.to_vec())),
+                None => Some(Response::error(400, "too long")),
             }
         });
     });
@@ -90,12 +95,12 @@
     let addr = start();
     let mut health = open(addr);
     assert!(is(200)(&up(&mut health)));
-    let mut workers: Vec<Client> = (0..LIMITS.workers).map(|_| open(addr)).collect();
+    let mut workers: Vec<Client> = (0..LIMITS.agent_connections).map(|_| open(addr)).collect();
     assert!(workers.iter_mut().all(|w| is(200)(&report(w))));
     let mut more = open(addr);
     assert!(is(421)(&report(&mut more)), "a worker too many is sent on");
     assert_eq!(answer(&mut more), None, "and its connection ends");
-    let users = LIMITS.connections - LIMITS.workers - 1;
+    let users = LIMITS.connections - LIMITS.agent_connections - 1;
     let mut users: Vec<Client> = (0..users).map(|_| open(addr)).collect();
     assert!(users.iter_mut().all(|u| is(200)(&up(u))));
     let mut refused = open(addr);
@@ -141,20 +146,30 @@
     let long = "POST /x HTTP/1.1\r\nContent-Length: 1001\r\n\r\n";
     let chunked = "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n";
     let size = "POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n";
-    let head = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MAX_HEAD));
+    let head = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MAX_HEAD_BYTES));
     for text in [long, chunked, size, "\u{1}\u{2}\r\n\r\n", &head] {
         assert!(is(400)(&ask(&mut open(addr), text)), "{text:.40}");
     }
 }
 
+/// The state of the only connection.
+fn state(server: &Server) -> Option<ConnectionState> {
+    server.connections.get(0).map(|connection| connection.state)
+}
+
+fn set_state(server: &mut Server, state: ConnectionState) {
+    server.connections.get_mut(0).expect("a connection").state = state;
+}
+
 /// An answer that comes when its connection serves another request already, or another client.
 #[test]
 fn late_answers_are_dropped() {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (mut server, _) = Server::listen(any, 1, LIMITS, Arc::default()).expect("it listens");
+    let (mut server, _) =
+        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("it listens");
     let mut ids = Vec::new();
     let _client = open(server.addr().expect("an address"));
-    while server.connections.is_empty() {
+    while server.connections.len() == 0 {
         server.accept();
     }
     for _ in 0..2 {
@@ -163,13 +178,13 @@
             ids.push(id);
             None
         });
-        server.connections[0].stage = Stage::Reading;
+        set_state(&mut server, ConnectionState::ReadingRequest);
     }
-    server.connections[0].stage = Stage::Deciding;
-    server.answer(ids[0], Answer::json(200, vec![]), &mut |_, _| None);
-    assert_eq!(server.connections[0].stage, Stage::Deciding);
-    server.answer(ids[1], Answer::json(200, vec![]), &mut |_, _| None);
-    assert_eq!(server.connections[0].stage, Stage::Reading);
+    set_state(&mut server, ConnectionState::AwaitingResponse);
+    server.respond(ids[0], Response::json(200, vec![]), &mut |_, _| None);
+    assert_eq!(state(&server), Some(ConnectionState::AwaitingResponse));
+    server.respond(ids[1], Response::json(200, vec![]), &mut |_, _| None);
+    assert_eq!(state(&server), Some(ConnectionState::ReadingRequest));
 }
 
 /// Clients that send parts of requests can't take more memory than there is for them, and others are served.
--- a/crates/controller/src/inputs.rs
+++ b/crates/controller/src/input_queues.rs
@@ -1,28 +1,28 @@
-//! What waits for the core, in three bounded queues.
+//! Inputs that wait for the core, in three bounded queues.
 //!
-//! What keeps a rule must not wait behind what doesn't. Heartbeats, announcements, answers to the node's
-//! own calls and health checks are few, and go first. Users' requests and workers' reports may come by the
-//! thousand at once, and take turns. Whatever finds its queue full is refused at once; answers to own
-//! calls wait for room.
+//! What keeps a rule must not wait behind what doesn't. Heartbeats, replicated cancellations, answers to the
+//! node's own calls and health checks are few, and go first. Users' requests and agents' status reports may
+//! come by the thousand at once, and take turns. Whatever finds its queue full is refused at once; answers to
+//! own calls wait for room.
 
 use crossbeam_channel::{bounded, select, Receiver, Sender};
 use rudderreel_core::{Input, ReqId, UserRequest};
 use std::time::{Duration, Instant};
 
 /// Inputs of peers and answers that may wait: there are few peers, and own calls are bounded.
-const CONTROL: usize = 1_024;
+const CONTROL_QUEUE: usize = 1_024;
 /// Users' requests that may wait. The core takes some hundreds at a time and refuses more.
-const USERS: usize = 1_024;
+const USER_QUEUE: usize = 1_024;
 /// Of so many inputs, taken in a rush, two are control inputs, one is a user's and one a report.
-const TURNS: u32 = 4;
+const TURNS_PER_ROUND: u32 = 4;
 
-/// A worker waits 4 s for the answer to its report, a user 2 s for that to a question, and a peer as long as
-/// this for that to a batch of reports. Whoever has gone asks again: an answer to the first request is work
+/// An agent waits 4 s for the answer to its status report, a user 2 s for that to a status request, and a peer
+/// as long as this for that to a batch of status reports. Whoever has gone asks again: an answer to the first request is work
 /// for nobody, and the more of it there is the fewer are answered in time.
-const WORKER_WAITS: Duration = Duration::from_millis(3_500);
-const USER_WAITS: Duration = Duration::from_millis(2_000);
-/// How long a node waits for the leader's answer to a batch of reports, in milliseconds.
-pub const BATCH_WAITS_MS: u64 = 1_800;
+const REPORT_TIMEOUT: Duration = Duration::from_millis(3_500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long a node waits for the leader's answer to a batch of status reports.
+pub const BATCH_TIMEOUT: Duration = Duration::from_millis(1_800);
 
 /// An input, and since when it waits.
 pub struct Queued {
@@ -67,11 +67,11 @@
 /// Where inputs are handed over.
 #[derive(Clone)]
 pub struct InputQueues {
-    /// What keeps the node in touch: heartbeats, announcements, answers to own calls, health checks.
+    /// What keeps the node in touch: heartbeats, replicated cancellations, answers to own calls, health checks.
     pub control: InputSender,
     /// Requests of users and administrators.
     pub users: InputSender,
-    /// Reports of workers, and batches of them.
+    /// Status reports of agents, and batches of them that peers forward.
     pub reports: InputSender,
 }
 
@@ -87,7 +87,7 @@
     /// See [`InputQueues::users`].
     Users,
     /// See [`InputQueues::reports`].
-    ForwardedReports,
+    Reports,
 }
 
 impl Queue {
@@ -95,7 +95,7 @@
     fn of(input: &Input) -> Self {
         match input {
             Input::User(..) | Input::ForwardedRequest(..) | Input::Admin(..) => Self::Users,
-            Input::StatusReport(..) | Input::ForwardedReports(..) => Self::ForwardedReports,
+            Input::StatusReport(..) | Input::ForwardedReports(..) => Self::Reports,
             _ => Self::Control,
         }
     }
@@ -107,13 +107,13 @@
         let queue = match Queue::of(&input) {
             Queue::Control => &self.control,
             Queue::Users => &self.users,
-            Queue::ForwardedReports => &self.reports,
+            Queue::Reports => &self.reports,
         };
         queue.offer(input)
     }
 }
 
-/// An input that is the core's next.
+/// The input that the core takes next.
 pub struct Arrived {
     /// The input.
     pub input: Input,
@@ -131,15 +131,13 @@
 
     /// The request whose sender no longer waits for its answer, if that is so.
     pub fn given_up(&self) -> Option<ReqId> {
-        let (request, sender_waits) = match &self.input {
-            Input::StatusReport(request, _) => (*request, WORKER_WAITS),
-            Input::ForwardedReports(request, _) => {
-                (*request, Duration::from_millis(BATCH_WAITS_MS))
-            }
-            Input::User(request, UserRequest::Status(_)) => (*request, USER_WAITS),
+        let (request, timeout) = match &self.input {
+            Input::StatusReport(request, _) => (*request, REPORT_TIMEOUT),
+            Input::ForwardedReports(request, _) => (*request, BATCH_TIMEOUT),
+            Input::User(request, UserRequest::Status(_)) => (*request, STATUS_TIMEOUT),
             _ => return None,
         };
-        (self.waited > sender_waits).then_some(request)
+        (self.waited > timeout).then_some(request)
     }
 }
 
@@ -153,8 +151,8 @@
 
 /// The queues, with room for so many reports.
 pub fn queues(reports: usize) -> (InputQueues, Inputs) {
-    let (control, control_inputs) = queue(CONTROL);
-    let (users, user_inputs) = queue(USERS);
+    let (control, control_inputs) = queue(CONTROL_QUEUE);
+    let (users, user_inputs) = queue(USER_QUEUE);
     let (reports, report_inputs) = queue(reports);
     let senders = InputQueues {
         control,
@@ -188,7 +186,7 @@
 
     /// The input whose turn it is, if any waits.
     fn waiting(&mut self) -> Option<Queued> {
-        self.turn = (self.turn + 1) % TURNS;
+        self.turn = (self.turn + 1) % TURNS_PER_ROUND;
         let (control, users, reports) = (&self.control, &self.users, &self.reports);
         let order = match self.turn {
             0 => [users, control, reports],
--- a/crates/controller/src/inputs/tests.rs
+++ b/crates/controller/src/input_queues/tests.rs
@@ -20,7 +20,7 @@
 fn control_inputs_pass_a_storm_of_users_and_reports() {
     let (queues, mut inputs) = queues(2_000);
     let users = (0..).take_while(|n| queues.offer(user(*n)).is_ok()).count();
-    assert_eq!(users, USERS, "users have a queue of their own");
+    assert_eq!(users, USER_QUEUE, "users have a queue of their own");
     let reports = (0..)
         .take_while(|n| queues.offer(batch(*n)).is_ok())
         .count();
@@ -35,7 +35,7 @@
     assert_eq!(count(Queue::Control), 100);
     // Neither users nor reports wait for the other.
     assert!(
-        count(Queue::Users) >= 40 && count(Queue::ForwardedReports) >= 40,
+        count(Queue::Users) >= 40 && count(Queue::Reports) >= 40,
         "{taken:?}"
     );
 }
@@ -63,10 +63,13 @@
 #[test]
 fn what_nobody_waits_for_any_more_is_not_worked_on() {
     assert_eq!(
-        arrived(batch(7), BATCH_WAITS_MS + 1).given_up(),
+        arrived(batch(7), BATCH_TIMEOUT.as_millis() as u64 + 1).given_up(),
         Some(ReqId(7))
     );
-    assert_eq!(arrived(batch(7), BATCH_WAITS_MS).given_up(), None);
+    assert_eq!(
+        arrived(batch(7), BATCH_TIMEOUT.as_millis() as u64).given_up(),
+        None
+    );
     assert_eq!(arrived(user(8), 2_001).given_up(), Some(ReqId(8)));
     assert_eq!(arrived(user(8), 1_999).given_up(), None);
     // What keeps a rule is dealt with however late it is.
--- a/crates/controller/src/logs.rs
+++ b/crates/controller/src/logging.rs
@@ -4,9 +4,10 @@
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-struct Lines;
+/// Writes each record as one line.
+struct LineLogger;
 
-impl Log for Lines {
+impl Log for LineLogger {
     fn enabled(&self, metadata: &Metadata) -> bool {
         metadata.target().starts_with("rudderreel")
     }
@@ -39,7 +40,7 @@
         .ok()
         .and_then(|l| l.parse().ok())
         .unwrap_or(LevelFilter::Info);
-    if log::set_logger(&Lines).is_ok() {
+    if log::set_logger(&LineLogger).is_ok() {
         log::set_max_level(level);
     }
 }
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,25 +1,33 @@
 //! The program: settings, sockets, threads and timers round the core.
+//!
+//! `docs/architecture.md` has a table of the threads, and the way of a request from socket to effect.
 #![forbid(unsafe_code)]
 
 mod admin;
 mod clients;
 mod clock;
-mod counters;
-mod front;
 mod http;
-mod inputs;
-mod logs;
+mod input_queues;
+mod logging;
 mod outgoing;
 mod process_limits;
 mod process_usage;
-mod requests;
-mod shell;
+mod refusal_counters;
+mod runtime;
+mod servers;
+mod startup_error;
+mod threads;
 
+use admin::AdminError;
 use clap::{Parser, Subcommand};
 use rudderreel_wire::settings::Settings;
+use startup_error::StartupError;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Exit code of every failure.
+const FAILURE: u8 = 2;
+
 /// rudderreel: a cluster scheduler with hierarchical team shares.
 #[derive(Parser)]
 #[command(name = "rudderreel", version, about)]
@@ -28,11 +36,11 @@
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
-    command: Option<Verb>,
+    command: Option<Command>,
 }
 
 #[derive(Subcommand)]
-enum Verb {
+enum Command {
     /// Asks or changes something through the administration API of a running node.
     Admin(admin::AdminArgs),
     /// Checks a settings file and says what is wrong with it.
@@ -43,40 +51,52 @@
     },
 }
 
-fn read(path: &Path) -> Result<Settings, String> {
-    let show = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{show}: {e}"))?;
-    Settings::parse(&text).map_err(|e| format!("{show}: {e}"))
+/// Why the program failed.
+#[derive(Debug, thiserror::Error)]
+enum Failure {
+    #[error(transparent)]
+    Startup(#[from] StartupError),
+    #[error(transparent)]
+    Admin(#[from] AdminError),
 }
 
-fn run() -> Result<(), String> {
-    let args = Args::parse();
-    match (args.command, args.config) {
-        (Some(Verb::Check { config }), _) => {
-            let settings = read(&config)?;
-            println!(
-                "{}: node {} of {}",
-                config.display(),
-                settings.node,
-                settings.params.nodes
-            );
-            Ok(())
-        }
-        (Some(Verb::Admin(args)), _) => admin::run(&args),
-        (None, Some(config)) => {
-            logs::start();
-            shell::run(read(&config)?)
+fn main() -> ExitCode {
+    match run(Args::parse()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(failure) => {
+            eprintln!("rudderreel: {failure}");
+            ExitCode::from(FAILURE)
         }
-        (None, None) => Err("--config FILE is required (see --help)".into()),
     }
 }
 
-fn main() -> ExitCode {
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("rudderreel: {text}");
-            ExitCode::from(2)
+fn run(args: Args) -> Result<(), Failure> {
+    match (args.command, args.config) {
+        (Some(Command::Check { config }), _) => check(&config)?,
+        (Some(Command::Admin(args)), _) => admin::run(&args)?,
+        (None, Some(config)) => {
+            logging::start();
+            runtime::run(read_settings(&config)?)?;
         }
+        (None, None) => return Err(StartupError::NothingToDo.into()),
     }
+    Ok(())
+}
+
+fn check(path: &Path) -> Result<(), StartupError> {
+    let settings = read_settings(path)?;
+    let (node, nodes) = (settings.node, settings.params.nodes);
+    println!("{}: node {node} of {nodes}", path.display());
+    Ok(())
+}
+
+fn read_settings(path: &Path) -> Result<Settings, StartupError> {
+    let text = std::fs::read_to_string(path).map_err(|source| StartupError::ReadSettings {
+        path: path.into(),
+        source,
+    })?;
+    Settings::parse(&text).map_err(|source| StartupError::InvalidSettings {
+        path: path.into(),
+        source,
+    })
 }
--- /dev/null
+++ b/crates/controller/src/outgoing/mod.rs
@@ -0,0 +1,105 @@
+//! Carries out what the core returns: responses go to the servers, calls to threads behind bounded queues.
+//!
+//! There is a queue for each destination. A call that finds its queue full is answered to the core as not
+//! made, so that the core never waits for an answer that can't come.
+
+mod agents;
+mod cloud;
+mod peers;
+mod store;
+mod watch;
+
+use crate::clock::Clock;
+use crate::http::Response;
+use crate::input_queues::InputQueues;
+use crate::process_limits::ProcessLimits;
+use crate::servers::OpenRequests;
+use crate::startup_error::StartupError;
+use agents::AgentQueues;
+use cloud::CloudQueue;
+use peers::PeerQueues;
+use rudderreel_core::units::Time;
+use rudderreel_core::{Input, Output, ReqId};
+use rudderreel_wire::settings::Settings;
+use store::StoreQueues;
+use watch::WatchQueue;
+
+/// Where the core's outputs go.
+pub struct Outgoing {
+    open_requests: OpenRequests,
+    store: StoreQueues,
+    watch: WatchQueue,
+    cloud: CloudQueue,
+    agents: AgentQueues,
+    peers: PeerQueues,
+}
+
+impl Outgoing {
+    /// Starts the threads that make calls.
+    pub fn start(
+        settings: &Settings,
+        limits: &ProcessLimits,
+        clock: Clock,
+        inputs: &InputQueues,
+        open_requests: OpenRequests,
+    ) -> Result<Self, StartupError> {
+        let core = &inputs.control;
+        Ok(Self {
+            open_requests,
+            store: StoreQueues::start(settings.services.state, clock, core)?,
+            watch: WatchQueue::start(settings, core)?,
+            cloud: CloudQueue::start(settings.services.cloud, core)?,
+            agents: AgentQueues::start(limits, core)?,
+            peers: PeerQueues::start(settings, clock, core)?,
+        })
+    }
+
+    /// Sends an output on its way. If it is a call that can't be made, returns its answer.
+    pub fn send(&self, output: Output, now: Time) -> Option<Input> {
+        match output {
+            Output::Answer {
+                req,
+                status,
+                body,
+                retry_after,
+            } => {
+                (self.open_requests).respond_json(req, status, body, retry_after);
+                None
+            }
+            Output::AnswerHeartbeat(req, reply) => self.respond(req, &reply),
+            Output::AnswerForwardedReports(req, reply) => self.respond(req, &reply),
+            Output::AnswerReplicateCancellations(req, reply) => self.respond(req, &reply),
+            Output::State(id, call) => self.store.send(id, call, now),
+            Output::Watch(after) => self.watch.send(after),
+            Output::Cloud(id, call) => self.cloud.send(id, call),
+            Output::Direct {
+                machine,
+                addr,
+                body,
+            } => self.agents.send(machine, addr, body),
+            Output::Heartbeat(heartbeat) => self.peers.send_heartbeat(&heartbeat),
+            Output::Forward(peer, req, request) => self.peers.forward(&peer, req, request),
+            Output::ForwardReports(peer, id, reports) => {
+                self.peers.forward_reports(&peer, id, reports)
+            }
+            Output::ReplicateCancellations(peer, cancellations) => {
+                self.peers.replicate_cancellations(peer, cancellations)
+            }
+        }
+    }
+
+    /// Responds to a message of a peer.
+    fn respond<T: bitcode::Encode>(&self, req: ReqId, reply: &T) -> Option<Input> {
+        (self.open_requests).respond_message(req, bitcode::encode(reply));
+        None
+    }
+
+    /// Refuses a request that has waited too long.
+    pub fn refuse_late(&self, request: ReqId) {
+        let refusal = Response::error(503, "it has waited too long");
+        self.open_requests.respond(request, refusal);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/controller/src/outgoing/peers.rs
+++ b/crates/controller/src/outgoing/peers.rs
@@ -1,107 +1,172 @@
 //! Messages to the other nodes: a queue and threads of its own for each kind and peer, so that none waits
-//! behind another kind, nor behind a peer that is silent.
+//! behind another kind, nor behind a peer that does not answer.
 
-use super::start_threads;
-use crate::clients::{self, CallLimits};
+use crate::clients::http_client::{http_client, CallLimits};
+use crate::clients::peers;
 use crate::clock::Clock;
-use crate::inputs::{InputSender, BATCH_WAITS_MS};
+use crate::input_queues::{InputSender, BATCH_TIMEOUT};
+use crate::startup_error::StartupError;
+use crate::threads::{spawn_pool, PoolSize, ThreadRole};
 use crossbeam_channel::Sender;
 use rudderreel_core::{CallId, Input, ReqId};
 use rudderreel_wire::ids::NodeName;
 use rudderreel_wire::peer::{Forward, ForwardedReports, Heartbeat, ReplicateCancellations};
-use rudderreel_wire::settings::Settings;
+use rudderreel_wire::settings::{Peer, Settings};
 use std::collections::BTreeMap;
-use std::net::SocketAddrV4;
-
-/// Time limits of calls to peers, in milliseconds.
-const PEER_CONNECT_MS: u64 = 300;
-const PEER_CALL_MS: u64 = 1_000;
-
-/// A message to a peer.
-pub(super) enum PeerMessage {
-    Heartbeat(Heartbeat),
-    Forward(ReqId, Forward),
-    ForwardedReports(CallId, ForwardedReports),
-    ReplicateCancellations(NodeName, ReplicateCancellations),
-}
+use std::time::Duration;
+use ureq::Agent;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// A leader that is behind for a moment still answers in time for the agents, who wait for 4 s. When a batch
+/// of reports was given up after a second, the same reports came again, to it or to another node, and held it
+/// up for longer.
+const REPORTS_TIMEOUT: Duration = BATCH_TIMEOUT;
 
-/// How messages of one kind go to a peer.
-#[derive(Clone, Copy)]
-struct PeerCalls {
-    threads: usize,
-    /// Messages that may wait for a thread.
-    waiting: usize,
-    /// How long an answer is waited for.
-    whole_ms: u64,
+/// One message at a time, and one that waits: a peer that is still busy with the last one gets the next.
+const HEARTBEAT_POOL: PoolSize = PoolSize {
+    threads: 1,
+    queue: 1,
+};
+const REPLICATION_POOL: PoolSize = PoolSize {
+    threads: 1,
+    queue: 1,
+};
+const FORWARD_POOL: PoolSize = PoolSize {
+    threads: 2,
+    queue: 32,
+};
+const REPORTS_POOL: PoolSize = PoolSize {
+    threads: 2,
+    queue: 4,
+};
+
+/// Queues of messages to one peer.
+struct QueuesOfPeer {
+    heartbeats: Sender<Heartbeat>,
+    forwards: Sender<(ReqId, Forward)>,
+    reports: Sender<(CallId, ForwardedReports)>,
+    replications: Sender<ReplicateCancellations>,
 }
 
-impl PeerCalls {
-    const HEARTBEATS: Self = Self::of(1, 1, PEER_CALL_MS);
-    const ANNOUNCEMENTS: Self = Self::of(1, 1, PEER_CALL_MS);
-    const FORWARDS: Self = Self::of(2, 32, PEER_CALL_MS);
-    /// A leader that is behind for a moment still answers in time for the workers, who wait for 4 s. Given
-    /// up after a second, the same reports came again, to it or to another node, and held it up for longer.
-    const REPORTS: Self = Self::of(2, 4, BATCH_WAITS_MS);
-
-    const fn of(threads: usize, waiting: usize, whole_ms: u64) -> Self {
-        Self {
-            threads,
-            waiting,
-            whole_ms,
+/// Queues of messages to all peers.
+#[derive(Default)]
+pub(super) struct PeerQueues(BTreeMap<NodeName, QueuesOfPeer>);
+
+impl PeerQueues {
+    pub(super) fn start(
+        settings: &Settings,
+        clock: Clock,
+        core: &InputSender,
+    ) -> Result<Self, StartupError> {
+        let mut peers = BTreeMap::new();
+        for peer in &settings.peers {
+            peers.insert(peer.node.clone(), QueuesOfPeer::start(peer, clock, core)?);
+        }
+        Ok(Self(peers))
+    }
+
+    /// Sends a heartbeat to every peer. One that finds no room is dropped: the next is due soon.
+    pub(super) fn send_heartbeat(&self, heartbeat: &Heartbeat) -> Option<Input> {
+        for peer in self.0.values() {
+            let _ = peer.heartbeats.try_send(heartbeat.clone());
         }
+        None
+    }
+
+    /// Forwards a request. If there is no room, returns that the peer gave no answer.
+    pub(super) fn forward(&self, peer: &NodeName, req: ReqId, request: Forward) -> Option<Input> {
+        let is_queued =
+            (self.0.get(peer)).is_some_and(|p| p.forwards.try_send((req, request)).is_ok());
+        (!is_queued).then_some(Input::ForwardReply(req, None))
+    }
+
+    /// Forwards status reports. If there is no room, returns that the peer gave no answer.
+    pub(super) fn forward_reports(
+        &self,
+        peer: &NodeName,
+        id: CallId,
+        reports: ForwardedReports,
+    ) -> Option<Input> {
+        let is_queued =
+            (self.0.get(peer)).is_some_and(|p| p.reports.try_send((id, reports)).is_ok());
+        (!is_queued).then_some(Input::ForwardedReportsReply(id, None))
+    }
+
+    /// Replicates cancellations. If there is no room, returns that the peer gave no answer.
+    pub(super) fn replicate_cancellations(
+        &self,
+        peer: NodeName,
+        cancellations: ReplicateCancellations,
+    ) -> Option<Input> {
+        let is_queued =
+            (self.0.get(&peer)).is_some_and(|p| p.replications.try_send(cancellations).is_ok());
+        (!is_queued).then_some(Input::ReplicateCancellationsReply(peer, None))
     }
 }
 
-/// Queues of messages to one peer.
-pub(super) struct PeerQueues {
-    pub heartbeats: Sender<PeerMessage>,
-    pub forwards: Sender<PeerMessage>,
-    pub reports: Sender<PeerMessage>,
-    pub announcements: Sender<PeerMessage>,
+impl QueuesOfPeer {
+    fn start(peer: &Peer, clock: Clock, core: &InputSender) -> Result<Self, StartupError> {
+        Ok(Self {
+            heartbeats: start_heartbeats(peer, clock, core)?,
+            forwards: start_forwards(peer, core)?,
+            reports: start_reports(peer, core)?,
+            replications: start_replications(peer, core)?,
+        })
+    }
+}
+
+fn client(call_timeout: Duration) -> Agent {
+    http_client(CallLimits::new(CONNECT_TIMEOUT, call_timeout))
 }
 
-/// Starts the threads that call peers.
-pub(super) fn start(
-    settings: &Settings,
+fn start_heartbeats(
+    peer: &Peer,
     clock: Clock,
     core: &InputSender,
-) -> Result<BTreeMap<NodeName, PeerQueues>, String> {
-    let queues = |addr: SocketAddrV4| -> Result<PeerQueues, String> {
-        Ok(PeerQueues {
-            heartbeats: start_peer(addr, clock, core, PeerCalls::HEARTBEATS)?,
-            forwards: start_peer(addr, clock, core, PeerCalls::FORWARDS)?,
-            reports: start_peer(addr, clock, core, PeerCalls::REPORTS)?,
-            announcements: start_peer(addr, clock, core, PeerCalls::ANNOUNCEMENTS)?,
-        })
-    };
-    (settings.peers.iter())
-        .map(|peer| Ok((peer.node.clone(), queues(peer.addr)?)))
-        .collect()
+) -> Result<Sender<Heartbeat>, StartupError> {
+    let (client, addr) = (client(CALL_TIMEOUT), peer.addr);
+    let role = ThreadRole::PeerHeartbeats;
+    spawn_pool(role, HEARTBEAT_POOL, core, move |heartbeat| {
+        let sent = clock.time();
+        // A heartbeat without an answer says nothing.
+        let reply = peers::send_heartbeat(&client, addr, &heartbeat)?;
+        Some(Input::HeartbeatReply(sent, reply))
+    })
 }
 
-fn start_peer(
-    addr: SocketAddrV4,
-    clock: Clock,
+fn start_forwards(
+    peer: &Peer,
     core: &InputSender,
-    calls: PeerCalls,
-) -> Result<Sender<PeerMessage>, String> {
-    let agent = clients::agent(CallLimits::of_service(PEER_CONNECT_MS, calls.whole_ms));
-    start_threads("peer", calls.threads, calls.waiting, core, move |message| {
-        Some(match message {
-            PeerMessage::Heartbeat(heartbeat) => {
-                let sent = clock.time();
-                // One without an answer says nothing.
-                Input::HeartbeatReply(sent, clients::heartbeat(&agent, addr, &heartbeat)?)
-            }
-            PeerMessage::ForwardedReports(id, reports) => {
-                Input::ForwardedReportsReply(id, clients::pass_reports(&agent, addr, &reports))
-            }
-            PeerMessage::ReplicateCancellations(peer, told) => {
-                Input::ReplicateCancellationsReply(peer, clients::announce(&agent, addr, &told))
-            }
-            PeerMessage::Forward(req, request) => {
-                Input::ForwardReply(req, clients::forward(&agent, addr, &request))
-            }
-        })
+) -> Result<Sender<(ReqId, Forward)>, StartupError> {
+    let (client, addr) = (client(CALL_TIMEOUT), peer.addr);
+    let role = ThreadRole::PeerForwards;
+    spawn_pool(role, FORWARD_POOL, core, move |(req, request)| {
+        let answer = peers::forward(&client, addr, &request);
+        Some(Input::ForwardReply(req, answer))
+    })
+}
+
+fn start_reports(
+    peer: &Peer,
+    core: &InputSender,
+) -> Result<Sender<(CallId, ForwardedReports)>, StartupError> {
+    let (client, addr) = (client(REPORTS_TIMEOUT), peer.addr);
+    let role = ThreadRole::PeerReports;
+    spawn_pool(role, REPORTS_POOL, core, move |(id, reports)| {
+        let reply = peers::forward_reports(&client, addr, &reports);
+        Some(Input::ForwardedReportsReply(id, reply))
+    })
+}
+
+fn start_replications(
+    peer: &Peer,
+    core: &InputSender,
+) -> Result<Sender<ReplicateCancellations>, StartupError> {
+    let (client, addr, name) = (client(CALL_TIMEOUT), peer.addr, peer.node.clone());
+    let role = ThreadRole::PeerReplications;
+    spawn_pool(role, REPLICATION_POOL, core, move |cancellations| {
+        let reply = peers::replicate_cancellations(&client, addr, &cancellations);
+        Some(Input::ReplicateCancellationsReply(name.clone(), reply))
     })
 }
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -1,18 +1,25 @@
 use super::*;
-use rudderreel_wire::ids::{Epoch, Incarnation};
+use crossbeam_channel::bounded;
+use rudderreel_core::{CallId, CloudAnswer, CloudCall, DirectOutcome, StoreAnswer, StoreCall};
+use rudderreel_wire::ids::{Epoch, Incarnation, Version};
 use rudderreel_wire::peer::{Forward, ForwardedReports, ReplicateCancellations};
+use rudderreel_wire::worker::DirectCommands;
 
-/// Channels that take nothing.
+/// Queues that take nothing.
 fn full() -> Outgoing {
     Outgoing {
-        open: Open::default(),
-        state: bounded(0).0,
-        leases: bounded(0).0,
-        watch: bounded(0).0,
-        cloud: bounded(0).0,
-        commands: bounded(0).0,
-        probes: bounded(0).0,
-        peers: BTreeMap::new(),
+        open_requests: OpenRequests::default(),
+        store: StoreQueues {
+            calls: bounded(0).0,
+            leases: bounded(0).0,
+        },
+        watch: WatchQueue(bounded(0).0),
+        cloud: CloudQueue(bounded(0).0),
+        agents: AgentQueues {
+            commands: bounded(0).0,
+            probes: bounded(0).0,
+        },
+        peers: PeerQueues::default(),
     }
 }
 
@@ -71,7 +78,11 @@
 #[test]
 fn a_renewal_does_not_wait_behind_other_calls() {
     let (leases, renewals) = bounded(1);
-    let outgoing = Outgoing { leases, ..full() };
+    let store = StoreQueues {
+        leases,
+        ..full().store
+    };
+    let outgoing = Outgoing { store, ..full() };
     let renew = Output::State(
         CallId(8),
         StoreCall::Renew(rudderreel_wire::ids::LeaseId(3)),
--- /dev/null
+++ b/crates/controller/src/outgoing/watch.rs
@@ -0,0 +1,88 @@
+//! The watch of the store's shared keys, on a thread of its own.
+
+use crate::clients::http_client::{http_client, CallLimits};
+use crate::clients::store::{watch_store, WatchReply};
+use crate::input_queues::InputSender;
+use crate::startup_error::StartupError;
+use crate::threads::{spawn, ThreadRole};
+use crossbeam_channel::{bounded, Sender};
+use rudderreel_core::Input;
+use rudderreel_wire::ids::Version;
+use rudderreel_wire::settings::Settings;
+use std::net::SocketAddrV4;
+use std::thread;
+use std::time::{Duration, Instant};
+use ureq::Agent;
+
+/// The prefix of the keys that every node watches.
+const WATCHED_PREFIX: &str = "pub/";
+/// The part of the store's request limit that the nodes' watches may use together: each is asked for again
+/// after every change.
+const WATCH_PART_OF_REQUESTS: f64 = 0.2;
+/// No watch asks less often than this many times a second, nor pauses longer than this.
+const LEAST_WATCHES_PER_S: f64 = 0.1;
+const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// Pause after a watch that got no answer.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+const CALL_TIMEOUT: Duration = Duration::from_secs(12);
+/// Watches that may wait; the core asks for the next one when it has the last one's answer.
+const QUEUE: usize = 4;
+
+/// Where the core says after which revision to watch.
+pub(super) struct WatchQueue(pub(super) Sender<Version>);
+
+impl WatchQueue {
+    pub(super) fn start(settings: &Settings, core: &InputSender) -> Result<Self, StartupError> {
+        let watch = StoreWatch {
+            client: http_client(CallLimits::new(CONNECT_TIMEOUT, CALL_TIMEOUT)),
+            addr: settings.services.state,
+            pause: pause_between_watches(settings),
+        };
+        let (sender, revisions) = bounded::<Version>(QUEUE);
+        let core = core.clone();
+        spawn(ThreadRole::StoreWatch, move || {
+            for after in revisions {
+                let began = Instant::now();
+                if core.send(watch.next_change(after)).is_err() {
+                    return;
+                }
+                thread::sleep(watch.pause.saturating_sub(began.elapsed()));
+            }
+        })?;
+        Ok(Self(sender))
+    }
+
+    /// Watches after a revision. If there is no room, returns that the watch was lost.
+    pub(super) fn send(&self, after: Version) -> Option<Input> {
+        let is_queued = self.0.try_send(after).is_ok();
+        (!is_queued).then_some(Input::WatchLost)
+    }
+}
+
+struct StoreWatch {
+    client: Agent,
+    addr: SocketAddrV4,
+    pause: Duration,
+}
+
+impl StoreWatch {
+    /// Waits until something has changed, or the watch has lost its place.
+    fn next_change(&self, mut after: Version) -> Input {
+        loop {
+            match watch_store(&self.client, self.addr, WATCHED_PREFIX, after) {
+                WatchReply::Events(e) if e.events.is_empty() => after = e.revision.max(after),
+                WatchReply::Events(e) => return Input::Watched(e.revision, e.events),
+                WatchReply::Lost => return Input::WatchLost,
+                WatchReply::Failed => thread::sleep(RETRY_PAUSE),
+            }
+        }
+    }
+}
+
+fn pause_between_watches(settings: &Settings) -> Duration {
+    let nodes = f64::from(settings.params.nodes.max(1));
+    let watches_per_s = settings.params.state.rps * WATCH_PART_OF_REQUESTS / nodes;
+    let pause = Duration::from_secs_f64(1.0 / watches_per_s.max(LEAST_WATCHES_PER_S));
+    pause.min(LONGEST_PAUSE)
+}
--- a/crates/controller/src/process_usage.rs
+++ b/crates/controller/src/process_usage.rs
@@ -1,7 +1,7 @@
 //! What this process uses of what the platform allows it, for administrators.
 
 use rudderreel_wire::settings::Settings;
-use serde_json::{json, Value};
+use serde::Serialize;
 
 /// The kernel counts processor time in so many ticks a second.
 const TICKS_PER_S: f64 = 100.0;
@@ -25,20 +25,30 @@
         }
     }
 
-    /// Use beside allowance. What the system does not tell is null.
-    pub fn and_usage(&self) -> Value {
+    /// What the process uses beside what it may. What the system does not tell is null.
+    pub fn with_usage(&self) -> ProcessUsage {
         let read = |file: &str| std::fs::read_to_string(file).unwrap_or_default();
         let status = read("/proc/self/status");
-        json!({
-            "memory_mb": memory_mb(&status, "VmRSS:"),
-            "memory_peak_mb": memory_mb(&status, "VmHWM:"),
-            "memory_limit_mb": self.memory_mb,
-            "processor_s": processor_s(&read("/proc/self/stat")),
-            "core_share": self.core_share,
-        })
+        ProcessUsage {
+            core_share: self.core_share,
+            memory_limit_mb: self.memory_mb,
+            memory_mb: memory_mb(&status, "VmRSS:"),
+            memory_peak_mb: memory_mb(&status, "VmHWM:"),
+            processor_s: processor_s(&read("/proc/self/stat")),
+        }
     }
 }
 
+/// What the process uses beside what it may, as administrators see it.
+#[derive(Debug, Serialize)]
+pub struct ProcessUsage {
+    core_share: Option<f64>,
+    memory_limit_mb: Option<f64>,
+    memory_mb: Option<f64>,
+    memory_peak_mb: Option<f64>,
+    processor_s: Option<f64>,
+}
+
 /// Megabytes that a line of the status names.
 fn memory_mb(status: &str, name: &str) -> Option<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name))?;
--- /dev/null
+++ b/crates/controller/src/servers/mod.rs
@@ -0,0 +1,122 @@
+//! The HTTP servers of a node: a public one for users, agents and health checks, and one for peers and
+//! administrators.
+//!
+//! Each runs on a thread of its own and hands what it reads to the core. What can't be read, or finds the
+//! core's queue full, is refused at once and counted.
+
+mod peers;
+mod public;
+mod public_requests;
+
+use crate::http::{Response, ResponseSender, Server, ServerLimits, ServerNumber};
+use crate::input_queues::{InputQueues, QueueFull};
+use crate::process_limits::ProcessLimits;
+use crate::refusal_counters::RefusalCounters;
+use crate::startup_error::StartupError;
+pub use peers::serve_peers;
+pub use public::serve_public;
+use public_requests::MAX_BODY_BYTES;
+use rudderreel_core::{Input, ReqId};
+use rudderreel_wire::peer::MAX_MESSAGE_BYTES;
+use rudderreel_wire::settings::Settings;
+use std::sync::Arc;
+
+/// Numbers of the servers; they are their places in [`OpenRequests`], too.
+const PUBLIC: ServerNumber = ServerNumber(0);
+const PEERS: ServerNumber = ServerNumber(1);
+
+/// Requests that wait for the core's response, whichever server they came to.
+#[derive(Clone, Default)]
+pub struct OpenRequests {
+    servers: Vec<ResponseSender>,
+}
+
+impl OpenRequests {
+    /// Responds to a request with JSON.
+    pub fn respond_json(&self, id: ReqId, status: u16, body: String, retry_after: Option<u32>) {
+        let response = Response {
+            retry_after,
+            ..Response::json(status, body.into_bytes())
+        };
+        self.respond(id, response);
+    }
+
+    /// Responds to a peer with a message.
+    pub fn respond_message(&self, id: ReqId, message: Vec<u8>) {
+        self.respond(id, Response::json(200, message));
+    }
+
+    /// Responds to a request.
+    pub fn respond(&self, id: ReqId, response: Response) {
+        let server = usize::from(ServerNumber::of(id).0);
+        if let Some(server) = self.servers.get(server) {
+            server.send(id, response);
+        }
+    }
+}
+
+/// The servers of a node, which listen.
+pub struct Servers {
+    /// For users, agents and health checks.
+    pub public: Server,
+    /// For peers and administrators.
+    pub peers: Server,
+    /// Where their requests are responded to.
+    pub open_requests: OpenRequests,
+    /// What they refused.
+    pub refusals: Arc<RefusalCounters>,
+}
+
+/// Listens for users and agents, and for peers.
+pub fn listen(settings: &Settings, limits: &ProcessLimits) -> Result<Servers, StartupError> {
+    let connections = &limits.connections;
+    let public_limits = ServerLimits {
+        connections: connections.front,
+        agent_connections: connections.workers,
+        body_bytes: MAX_BODY_BYTES,
+        buffered_bytes: limits.buffered_bytes,
+    };
+    let peer_limits = ServerLimits {
+        connections: connections.peers,
+        agent_connections: 0,
+        body_bytes: MAX_MESSAGE_BYTES,
+        buffered_bytes: limits.buffered_bytes,
+    };
+    let refusals = Arc::<RefusalCounters>::default();
+    let (public, public_responses) =
+        Server::listen(settings.listen, PUBLIC, public_limits, refusals.clone())?;
+    let (peers, peer_responses) =
+        Server::listen(settings.peer_listen, PEERS, peer_limits, refusals.clone())?;
+    Ok(Servers {
+        public,
+        peers,
+        open_requests: OpenRequests {
+            servers: vec![public_responses, peer_responses],
+        },
+        refusals,
+    })
+}
+
+/// Hands inputs to the core and counts what is refused.
+struct Intake<'a> {
+    core: &'a InputQueues,
+    refusals: &'a RefusalCounters,
+}
+
+impl Intake<'_> {
+    /// Hands an input to the core. If the core is too far behind, the request is refused at once.
+    fn hand_over(&self, input: Input) -> Option<Response> {
+        let QueueFull = self.core.offer(input).err()?;
+        self.refusals.queue_full.increment();
+        Some(Response::error(503, "overloaded"))
+    }
+
+    /// Refuses what could not be read.
+    fn refuse_unreadable(&self, why: &str) -> Option<Response> {
+        self.refusals.unreadable.increment();
+        Some(Response::error(400, why))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/controller/src/servers/peers.rs
@@ -0,0 +1,135 @@
+//! The server for peers and administrators.
+//!
+//! Peers send messages in bitcode, administrators JSON. What only this process knows (what its servers
+//! refused, what it uses) is answered here; all else goes to the core.
+
+use super::Intake;
+use crate::http::{Request, Response, Server};
+use crate::input_queues::InputQueues;
+use crate::process_usage::Allowance;
+use crate::refusal_counters::RefusalCounters;
+use rudderreel_core::{AdminRequest, Input, ReqId, UserRequest};
+use rudderreel_wire::peer::{
+    Forward, ForwardedReports, ForwardedSubmission, Heartbeat, ReplicateCancellations,
+    SenderVersion,
+};
+use serde::Serialize;
+
+/// Paths of messages between nodes.
+const HEARTBEAT_PATH: &str = "/peer/heartbeat";
+const REPLICATE_CANCELLATIONS_PATH: &str = "/peer/announce";
+const FORWARDED_REPORTS_PATH: &str = "/peer/reports";
+const FORWARD_PATH: &str = "/peer/forward";
+/// Paths of the administration API.
+const ADMIN_PREFIX: &str = "/admin/";
+const REFUSALS_PATH: &str = "/admin/refusals";
+const PROCESS_PATH: &str = "/admin/process";
+const SETTINGS_PATH: &str = "/admin/settings";
+
+/// Serves peers and administrators, for ever.
+pub fn serve_peers(
+    server: Server,
+    core: &InputQueues,
+    refusals: &RefusalCounters,
+    allowance: Allowance,
+) {
+    let intake = Intake { core, refusals };
+    server.serve(|id, request| handle(id, &request, &intake, allowance));
+}
+
+pub(super) fn handle(
+    id: ReqId,
+    request: &Request,
+    intake: &Intake,
+    allowance: Allowance,
+) -> Option<Response> {
+    let Some(bytes) = request.body else {
+        return Some(Response::error(400, "the body is too long"));
+    };
+    match (request.method, request.url) {
+        ("POST", HEARTBEAT_PATH) => take_message(intake, bytes, |heartbeat: Heartbeat| {
+            Input::Heartbeat(id, heartbeat)
+        }),
+        ("POST", REPLICATE_CANCELLATIONS_PATH) => {
+            take_message(intake, bytes, |cancellations: ReplicateCancellations| {
+                Input::ReplicateCancellations(id, cancellations)
+            })
+        }
+        ("POST", FORWARDED_REPORTS_PATH) => {
+            take_message(intake, bytes, |reports: ForwardedReports| {
+                Input::ForwardedReports(id, reports)
+            })
+        }
+        ("POST", FORWARD_PATH) => match read_forwarded(id, bytes) {
+            Some(input) => intake.hand_over(input),
+            None => intake.refuse_unreadable("unreadable"),
+        },
+        ("GET", REFUSALS_PATH) => respond_with(&intake.refusals.counts()),
+        ("GET", PROCESS_PATH) => respond_with(&allowance.with_usage()),
+        (method, path) if path.starts_with(ADMIN_PREFIX) => {
+            take_admin_request(id, method, path, bytes, intake)
+        }
+        _ => Some(Response::error(404, "no such path")),
+    }
+}
+
+/// Hands over what a message of a peer says.
+fn take_message<T: bitcode::DecodeOwned>(
+    intake: &Intake,
+    bytes: &[u8],
+    to_input: impl FnOnce(T) -> Input,
+) -> Option<Response> {
+    match bitcode::decode::<T>(bytes) {
+        Ok(message) => intake.hand_over(to_input(message)),
+        Err(e) => intake.refuse_unreadable(&e.to_string()),
+    }
+}
+
+fn respond_with<T: Serialize>(value: &T) -> Option<Response> {
+    let body = serde_json::to_vec(value).unwrap_or_default();
+    Some(Response::json(200, body))
+}
+
+/// Hands over a request of the administration API.
+fn take_admin_request(
+    id: ReqId,
+    method: &str,
+    path: &str,
+    bytes: &[u8],
+    intake: &Intake,
+) -> Option<Response> {
+    let request = match method {
+        "PUT" if path == SETTINGS_PATH => match serde_json::from_slice(bytes) {
+            Ok(settings) => Some(AdminRequest::Replace(Box::new(settings))),
+            Err(e) => return intake.refuse_unreadable(&e.to_string()),
+        },
+        "GET" => AdminRequest::of_path(path),
+        _ => {
+            let text = "only GET, and PUT for settings, are allowed here";
+            return Some(Response::error(405, text));
+        }
+    };
+    match request {
+        Some(request) => intake.hand_over(Input::Admin(id, request, true)),
+        None => Some(Response::error(404, "no such path")),
+    }
+}
+
+/// The input that a peer's forwarded request is; none if it can't be read.
+fn read_forwarded(id: ReqId, bytes: &[u8]) -> Option<Input> {
+    // Only of a submission it matters which version the peer has.
+    let any = SenderVersion::KnowsDependencies;
+    Some(match bitcode::decode::<Forward>(bytes).ok()? {
+        Forward::Admin(path) => Input::Admin(id, AdminRequest::of_path(&path)?, false),
+        Forward::Submit(text) => {
+            let ForwardedSubmission { spec, sender } = ForwardedSubmission::parse(&text)?;
+            Input::ForwardedRequest(id, UserRequest::Submit(Box::new(spec)), sender)
+        }
+        Forward::Status(job) => {
+            Input::ForwardedRequest(id, UserRequest::Status(job.parse().ok()?), any)
+        }
+        Forward::Cancel(job) => {
+            Input::ForwardedRequest(id, UserRequest::Cancel(job.parse().ok()?), any)
+        }
+    })
+}
--- a/crates/controller/src/requests/tests.rs
+++ b/crates/controller/src/servers/public_requests/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn status(method: &str, path: &str, body: Option<&[u8]>) -> u16 {
-    front(method, path, body).map_or_else(|r| r.status, |_| 200)
+    parse(method, path, body).map_or_else(|r| r.status, |_| 200)
 }
 
 fn submit(body: &str) -> u16 {
@@ -20,8 +20,8 @@
 #[test]
 fn a_good_submission_is_read() {
     let text = good().to_string();
-    let Ok(Incoming::User(UserRequest::Submit(spec))) =
-        front("POST", "/v1/jobs", Some(text.as_bytes()))
+    let Ok(PublicRequest::User(UserRequest::Submit(spec))) =
+        parse("POST", "/v1/jobs", Some(text.as_bytes()))
     else {
         panic!("it was not read");
     };
@@ -58,8 +58,8 @@
     ];
     for (awaits, count) in cases {
         let text = with(awaits);
-        let read = front("POST", "/v1/jobs", Some(text.as_bytes()));
-        let Ok(Incoming::User(UserRequest::Submit(spec))) = read else {
+        let read = parse("POST", "/v1/jobs", Some(text.as_bytes()));
+        let Ok(PublicRequest::User(UserRequest::Submit(spec))) = read else {
             panic!("{text} was not read");
         };
         assert_eq!(spec.dependencies.len(), count, "{text}");
--- a/crates/controller/src/front/tests.rs
+++ b/crates/controller/src/servers/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
-use crate::inputs::{queue, Queued};
+use crate::http::Request;
+use crate::input_queues::{queue, Queued};
+use crate::process_usage::Allowance;
 use crossbeam_channel::Receiver;
 use rudderreel_wire::ids::{Epoch, Version};
+use rudderreel_wire::peer::{Forward, ReplicateCancellations};
 
 /// Queues with room for four inputs each.
 fn queues() -> (InputQueues, [Receiver<Queued>; 3]) {
@@ -16,13 +19,13 @@
 
 fn ask(core: &InputQueues, method: &str, url: &str, body: Option<&[u8]>) -> Option<u16> {
     let request = Request { method, url, body };
-    let refusals = Refusals::default();
+    let refusals = RefusalCounters::default();
     let intake = Intake {
         core,
         refusals: &refusals,
     };
-    let status =
-        peer_request(ReqId(1), &request, &intake, Allowance::default()).map(|answer| answer.status);
+    let status = peers::handle(ReqId(1), &request, &intake, Allowance::default())
+        .map(|response| response.status);
     let counted = refusals.unreadable.get() + refusals.queue_full.get();
     let counts = body.is_some() && matches!(status, Some(400 | 503));
     assert_eq!(counted, u64::from(counts), "what is refused is counted");
