--- a/crates/controller/tests/loopback/main.rs
+++ b/crates/controller/tests/loopback/main.rs
@@ -5,9 +5,15 @@
 mod fleet;
 mod history;
 mod stand_ins;
-// The same stand-ins as those of the simulated world, which uses more of them.
-#[allow(dead_code)]
-#[path = "../../../core/tests/sim/stores.rs"]
-mod stores;
 mod team_limits;
 mod workers;
+
+// The same stand-ins as those of the simulated world, which uses more of them.
+#[allow(dead_code)]
+#[path = "../../../core/tests/sim/world/cloud.rs"]
+mod cloud;
+#[path = "../../../core/tests/sim/world/rate_limit.rs"]
+mod rate_limit;
+#[allow(dead_code)]
+#[path = "../../../core/tests/sim/world/store.rs"]
+mod store;
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -1,6 +1,7 @@
 //! The state service and the cloud over HTTP, on loopback.
 
-use crate::stores::{Cloud, Limits, Store};
+use crate::cloud::Cloud;
+use crate::store::{Limits, Store};
 use crate::workers::{Shared, Worker};
 use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::{LeaseId, MachineId, Version};
--- a/crates/core/tests/sim/gap.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -1,9 +1,9 @@
-//! A user is told by one node that a job is cancelled while another goes on answering workers that it
-//! doesn't know it. The state service refuses the leader alone; another node confirms a cancellation;
+//! A user is told by one node that a job is cancelled while another goes on answering agents that it
+//! doesn't know it. The store refuses the leader alone; another node confirms a cancellation;
 //! then the service is down for all, for longer than cancelled tasks may remain, and the old leader goes
-//! on by the words of a majority.
+//! on by the lease votes of a majority.
 
-use super::world::{Asked, Plan, World};
+use super::world::{Scenario, UserAction, World};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobSpec, JobState, Kind, Priority};
 
@@ -20,15 +20,15 @@
 
 /// A world in which jobs of replicas run, and who leads it.
 fn running(seed: u64, nodes: usize, spread: bool) -> (World, Vec<JobId>, usize) {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes,
         spread,
         scripted: true,
-        // As in the deployments: workers find an answer within a lease, whichever nodes they try.
+        // As in the deployments: agents find an answer within a lease, whichever nodes they try.
         lease_s: if nodes > 3 { 12 } else { 6 },
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(seed, plan);
+    let mut world = World::of(seed, scenario);
     world.run_until(16_000);
     let specs: Vec<JobSpec> = (1..4).map(|n| replicas(n, 2)).collect();
     let ids: Vec<JobId> = specs.iter().map(|s| s.id.clone()).collect();
@@ -37,7 +37,7 @@
     }
     for id in &ids {
         while !world.jobs[id].accepted {
-            world.user_asks(0, id, Asked::Submit);
+            world.user_asks(0, id, UserAction::Submit);
             world.run_until(world.now + 1_000);
         }
     }
@@ -64,21 +64,21 @@
     Nothing,
     /// The node that told the user ends right after.
     TellerEnds,
-    /// The old leader ends in the outage, and another node takes care of the workers.
-    LeaderEnds,
+    /// The old leader ends in the outage, and another node takes care of the agents.
+    LeaderCrashes,
     /// A third node has just started again when the user is told.
     AnotherReturns,
     /// The same in the outage: it can't read the jobs, and its word would be worth nothing.
     AnotherReturnsLater,
-    /// Nodes can't reach one another from the beginning, and the state service goes later.
+    /// Nodes can't reach one another from the beginning, and the store goes later.
     NoLinks,
     /// Nor when the outage begins.
     LinksLost,
-    /// Workers' reports arrive, and nothing reaches them.
+    /// Agents' reports arrive, and nothing reaches them.
     DeafWorkers,
     /// Nothing can be returned.
     NoCloud,
-    /// The state service serves only the node that tells the user, and that can't reach the old leader:
+    /// The store serves only the node that tells the user, and that can't reach the old leader:
     /// this learns of the cancellation from those that were told of it, with their words.
     OnlyTellerServed,
 }
@@ -93,13 +93,13 @@
 
 /// Asks until the user is told that a job is cancelled, or a moment has come.
 fn ask_until_told(world: &mut World, node: usize, id: &JobId, path: Path, until: u64) {
-    let asked = match path {
-        Path::Withdrawal | Path::ForwardReply => Asked::Cancel,
-        Path::Poll => Asked::Status,
-        Path::RepeatedSubmission => Asked::Submit,
+    let action = match path {
+        Path::Withdrawal | Path::ForwardReply => UserAction::Cancel,
+        Path::Poll => UserAction::Status,
+        Path::RepeatedSubmission => UserAction::Submit,
     };
     while world.jobs[id].cancelled_at.is_none() && world.now < until {
-        world.user_asks(node, id, asked);
+        world.user_asks(node, id, action);
         world.run_until(world.now + 400);
     }
     assert!(
@@ -108,31 +108,31 @@
     );
 }
 
-/// Plays a case. Returns how many workers lost their leases.
+/// Plays a case. Returns how many agents lost their leases.
 fn play(case: &Case) -> usize {
     let (mut world, ids, old) = running(case.seed, case.nodes, case.spread);
     let (node, also) = (|n: usize| (old + n) % case.nodes, case.also);
     let end = world.now + 75_000;
     if also == Also::NoLinks {
-        world.cut_links(end);
+        world.cut_peer_links(end);
     }
     if also == Also::NoCloud {
         world.cloud.down = true;
     }
-    world.cut_state(old, end);
-    let asked = node(1);
+    world.cut_from_store(old, end);
+    let action = node(1);
     if case.path == Path::ForwardReply {
-        world.cut_state(asked, end);
+        world.cut_from_store(action, end);
     }
     if also == Also::OnlyTellerServed {
-        world.cut_pairs.push((old, asked));
-        (2..case.nodes).for_each(|n| world.cut_state(node(n), end));
+        world.cut_pairs.push((old, action));
+        (2..case.nodes).for_each(|n| world.cut_from_store(node(n), end));
     }
     world.run_until(world.now + 500);
     match case.path {
         Path::Withdrawal => {}
         Path::Poll | Path::RepeatedSubmission => world.withdraw_and_leave(node(2), &ids[0]),
-        // The state service refused it with the leader, and it has noticed that by now.
+        // The store refused it with the leader, and it has noticed that by now.
         Path::ForwardReply => world.run_until(world.now + 800),
     }
     if also == Also::AnotherReturns {
@@ -145,9 +145,9 @@
         _ => 1_600,
     };
     let latest = world.now + patience;
-    ask_until_told(&mut world, asked, &ids[0], case.path, latest);
+    ask_until_told(&mut world, action, &ids[0], case.path, latest);
     if also == Also::TellerEnds {
-        world.end_for(asked, 90_000);
+        world.end_for(action, 90_000);
     }
     world.run_until(latest);
     let leads = world.leader();
@@ -157,35 +157,35 @@
     );
     world.store.set_down(true, world.now);
     match also {
-        Also::LinksLost => world.cut_links(end),
+        Also::LinksLost => world.cut_peer_links(end),
         Also::AnotherReturnsLater => world.end_for(node(2), 100),
         Also::DeafWorkers => {
-            for worker in world.workers.values_mut() {
-                worker.deaf_until = end;
+            for agent in world.agents.values_mut() {
+                agent.unreachable_until = end;
             }
         }
         _ => {}
     }
     world.run_until(world.now + 2_000);
-    if also == Also::LeaderEnds {
+    if also == Also::LeaderCrashes {
         world.end_for(old, 90_000);
     }
     // The world checks the rule all the time. The outage is far longer than it allows.
     world.run_until(end);
     assert_eq!(world.on_machines(&ids[0]), 0);
     let lost = world
-        .workers
+        .agents
         .values()
         .filter(|w| w.incarnation.0 > 1)
         .count();
-    world.calm();
+    world.end_faults();
     world.run_until(world.now + 100_000);
     assert_eq!(world.jobs[&ids[0]].last, Some(JobState::Cancelled));
     assert_eq!(world.on_machines(&ids[1]), 2, "others run again");
     lost
 }
 
-/// The old leader learns of the cancellation, or answers no worker. (It went on for the whole outage.)
+/// The old leader learns of the cancellation, or answers no agent. (It went on for the whole outage.)
 #[test]
 fn a_cancellation_that_the_leader_can_not_see() {
     let paths = [
@@ -214,7 +214,7 @@
 fn a_cancellation_that_the_leader_can_not_see_and_more() {
     let more = [
         (Also::TellerEnds, true),
-        (Also::LeaderEnds, true),
+        (Also::LeaderCrashes, true),
         (Also::AnotherReturns, true),
         (Also::AnotherReturnsLater, true),
         (Also::NoLinks, false),
@@ -240,8 +240,8 @@
     }
 }
 
-/// A node that the state service serves alone, and that reaches no other, tells nobody as long as another
-/// may keep the tasks alive: the others live by one another's words and don't know. It leads when the old
+/// A node that the store serves alone, and that reaches no other, tells nobody as long as another
+/// may keep the tasks alive: the others live by one another's lease votes and don't know. It leads when the old
 /// leader's lease has ended, and tells once the machines are returned.
 #[test]
 fn a_node_alone_tells_only_what_nobody_can_undo() {
@@ -250,13 +250,13 @@
         let alone = (old + 1) % nodes;
         let end = world.now + 60_000;
         for n in (0..nodes).filter(|n| *n != alone) {
-            world.cut_state(n, end);
+            world.cut_from_store(n, end);
             world.cut_pairs.push((n, alone));
         }
         world.run_until(world.now + 500);
         let (from, mut told) = (world.now, None);
         while world.now < end {
-            world.user_asks(alone, &ids[0], Asked::Cancel);
+            world.user_asks(alone, &ids[0], UserAction::Cancel);
             world.run_until(world.now + 400);
             if told.is_none() && world.jobs[&ids[0]].cancelled_at.is_some() {
                 told = Some(world.now - from);
@@ -264,24 +264,24 @@
             }
         }
         assert!(told.is_some_and(|after| after > 3_000), "{told:?}");
-        world.calm();
+        world.end_faults();
         world.run_until(world.now + 100_000);
     }
 }
 
-/// Two nodes that the state service refuses, the old leader one of them, sent workers to and fro between
+/// Two nodes that the store refuses, the old leader one of them, sent agents to and fro between
 /// them until their leases ran out: one still took the other for the leader.
 #[test]
 fn workers_of_refused_nodes_find_the_new_leader() {
     for (seed, spread) in [(750, false), (751, true)] {
         let (mut world, ids, old) = running(seed, 5, spread);
         let end = world.now + 40_000;
-        world.cut_state(old, end);
-        world.cut_state((old + 1) % 5, end);
+        world.cut_from_store(old, end);
+        world.cut_from_store((old + 1) % 5, end);
         world.run_until(end - 1_000);
         assert_ne!(world.leader(), Some(old));
         let lost = world
-            .workers
+            .agents
             .values()
             .filter(|w| w.incarnation.0 > 1)
             .count();
@@ -302,14 +302,14 @@
         world.add_job(spec);
         let node = (leader + n as usize % 2) % 3;
         while !world.jobs[&id].accepted {
-            world.user_asks(node, &id, Asked::Submit);
+            world.user_asks(node, &id, UserAction::Submit);
             world.run_until(world.now + 15);
         }
         world.run_until(world.now + 30 + u64::from(n) / 2);
-        world.user_asks(node, &id, Asked::Cancel);
+        world.user_asks(node, &id, UserAction::Cancel);
         world.run_until(world.now + 700);
     }
-    assert_eq!(world.starts_of_cancelled, vec![]);
+    assert_eq!(world.starts_after_cancellation, vec![]);
     let called_off = world
         .jobs
         .values()
--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -4,7 +4,7 @@
 //! case and compares it with `decision_trace.txt`. A change of behaviour that is meant changes the digests: then
 //! the file is replaced by what was printed, and the commit says why.
 
-use super::world::{Plan, Trouble, World};
+use super::world::{Fault, Scenario, World};
 use super::{pipelines, slow_nodes};
 use rudderreel_core::AdminRequest;
 use rudderreel_wire::ids::JobId;
@@ -22,26 +22,26 @@
 struct Case {
     name: &'static str,
     seed: u64,
-    plan: Plan,
+    scenario: Scenario,
     /// No faults before [`FAULTS_FROM_MS`].
     starts_calm: bool,
 }
 
-fn case(name: &'static str, seed: u64, plan: Plan) -> Case {
+fn case(name: &'static str, seed: u64, scenario: Scenario) -> Case {
     Case {
         name,
         seed,
-        starts_calm: plan.upgrade,
-        plan,
+        starts_calm: scenario.upgrade,
+        scenario,
     }
 }
 
 fn cases() -> Vec<Case> {
-    let troubled = |nodes: usize, spread: bool| Plan {
+    let troubled = |nodes: usize, spread: bool| Scenario {
         nodes,
         spread,
         jobs: 40,
-        ..Plan::default()
+        ..Scenario::default()
     };
     vec![
         case("three_nodes", 100, troubled(3, false)),
@@ -51,85 +51,85 @@
         case("five_nodes", 203, troubled(5, false)),
         case("reports_forwarded", 400, troubled(5, true)),
         case("reports_forwarded", 402, troubled(5, true)),
-        case("pipelines", 900, pipelines::plan(3)),
-        case("pipelines", 905, pipelines::plan(5)),
+        case("pipelines", 900, pipelines::scenario(3)),
+        case("pipelines", 905, pipelines::scenario(5)),
         case("old_version_returns", 700, old_version_returns(3)),
         case("old_version_returns", 701, old_version_returns(5)),
         case("crowd", 300, crowd()),
         case("rush", 301, rush()),
         case("state_outages", 302, state_outages()),
-        case("slow_nodes", 303, slow_nodes::plan()),
+        case("slow_nodes", 303, slow_nodes::scenario()),
         case("large_fleet", 600, large_fleet()),
     ]
 }
 
-fn old_version_returns(nodes: usize) -> Plan {
-    Plan {
+fn old_version_returns(nodes: usize) -> Scenario {
+    Scenario {
         nodes,
         jobs: 60,
         pace: 300,
         pipelines: true,
         upgrade: true,
         comes_back_old: true,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
-fn crowd() -> Plan {
-    Plan {
+fn crowd() -> Scenario {
+    Scenario {
         crowd: true,
         jobs: 150,
         machines: 20,
         pace: 200,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
-fn rush() -> Plan {
-    Plan {
+fn rush() -> Scenario {
+    Scenario {
         rush: true,
         jobs: 200,
         machines: 20,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
-fn state_outages() -> Plan {
-    Plan {
+fn state_outages() -> Scenario {
+    Scenario {
         nodes: 5,
         only: vec![
-            Trouble::StateDown,
-            Trouble::NodeRefused,
-            Trouble::LeaderRefused,
-            Trouble::LateWrites,
+            Fault::StoreDown,
+            Fault::StoreRefusesNode,
+            Fault::StoreRefusesLeader,
+            Fault::LateWrites,
         ],
         jobs: 60,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
-fn large_fleet() -> Plan {
-    Plan {
+fn large_fleet() -> Scenario {
+    Scenario {
         nodes: 5,
         machines: 120,
         jobs: 120,
         pace: 120,
         large: true,
         zones: true,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
 fn play(case: Case) -> String {
-    let mut world = World::of(case.seed, case.plan);
-    world.collects = true;
+    let mut world = World::of(case.seed, case.scenario);
+    world.collects_violations = true;
     if !case.starts_calm {
-        world.faults = true;
+        world.random_faults = true;
     }
     world.run_until(FAULTS_FROM_MS);
-    world.faults = true;
+    world.random_faults = true;
     world.run_until(FAULTS_UNTIL_MS);
-    world.calm();
+    world.end_faults();
     world.run_until(END_MS);
     ask_as_administrator(&mut world);
     format!("{} {} {}", case.name, case.seed, world.decision_digest())
--- a/crates/core/tests/sim/fleet.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -2,11 +2,11 @@
 //!
 //! The whole day takes minutes, so it is played by hand; `docs/measuring.md` has the command.
 
-use super::stores::Limits;
 use super::unfinished;
-use super::world::{Plan, Trouble, World};
+use super::world::store::Limits;
+use super::world::{Fault, Scenario, World};
 
-/// What the users' state service takes at the fleet's size.
+/// What the users' store takes at the fleet's size.
 const FLEET_STORE: Limits = Limits {
     rps: 600,
     write_rps: 60,
@@ -16,8 +16,8 @@
 };
 
 /// A fleet with so many machines, in three zones.
-fn plan(machines: usize) -> Plan {
-    Plan {
+fn scenario(machines: usize) -> Scenario {
+    Scenario {
         nodes: 5,
         machines,
         jobs: machines as u32,
@@ -32,7 +32,7 @@
         zone_names: &["a", "b", "c"],
         run_ms: Some((30_000, 500)),
         measures: true,
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
@@ -41,8 +41,8 @@
     let begun = std::time::Instant::now();
     world.costs = Default::default();
     world.run_until(world.now + ms);
-    let machines = world.workers.len();
-    let tasks = world.workers.values().flat_map(|w| w.tasks.values());
+    let machines = world.agents.len();
+    let tasks = world.agents.values().flat_map(|w| w.tasks.values());
     let running = tasks.filter(|task| task.on_machine()).count();
     let open = unfinished(world).len();
     let pages = world.store.count("book/");
@@ -67,28 +67,28 @@
 }
 
 /// A day with what only shows at the size: the leader ends, all nodes end, a third of the machines lies
-/// behind a cut, an eighth hangs, every worker comes to one node, and the state service is away.
+/// behind a cut, an eighth hangs, every agent comes to one node, and the store is away.
 fn fleet_day(seed: u64, machines: usize) {
-    let mut world = World::of(seed, plan(machines));
+    let mut world = World::of(seed, scenario(machines));
     part(&mut world, "start", 90_000);
     part(&mut world, "steady", 30_000);
-    let up = world.workers.len();
+    let up = world.agents.len();
     assert!(up * 10 >= machines * 7, "{up} machines");
-    let (leader, now) = (world.leadership_condition().expect("a leader"), world.now);
-    world.bring_about(Trouble::LeaderEnds, leader, now);
+    let (leader, now) = (world.leader_by_store().expect("a leader"), world.now);
+    world.inject_fault(Fault::LeaderCrashes, leader, now);
     part(&mut world, "the leader ends", 20_000);
-    world.bring_about(Trouble::AllEnd, 0, now);
+    world.inject_fault(Fault::AllNodesCrash, 0, now);
     part(&mut world, "all nodes end", 20_000);
-    world.cut_zone("c", world.now + 25_000);
+    world.partition_zone("c", world.now + 25_000);
     part(&mut world, "a third is cut off", 50_000);
     let hang = world.now + 60_000;
-    world.some_workers(0.125, |worker| worker.hung_until = hang);
+    world.some_agents(0.125, |agent| agent.hangs_until = hang);
     part(&mut world, "an eighth hangs", 40_000);
     (1..5).for_each(|node| world.end_for(node, 25_000));
     part(&mut world, "one node for all workers", 40_000);
     world.store.set_down(true, world.now);
     part(&mut world, "the state service is away", 20_000);
-    world.calm();
+    world.end_faults();
     finish(&mut world);
 }
 
@@ -111,19 +111,19 @@
 /// Four thousand machines, of which all come to one node when the others end.
 #[test]
 fn four_thousand_machines_go_on_with_one_node_of_five() {
-    let plan = Plan {
+    let scenario = Scenario {
         jobs: 600,
         measures: false,
-        ..plan(4_000)
+        ..scenario(4_000)
     };
-    let mut world = World::of(701, plan);
+    let mut world = World::of(701, scenario);
     part(&mut world, "start", 60_000);
-    let up = world.workers.len();
+    let up = world.agents.len();
     assert!(up >= 3_000, "{up} machines");
     (1..5).for_each(|node| world.end_for(node, 15_000));
     part(&mut world, "one node for all workers", 20_000);
-    assert!(world.leadership_condition().is_some());
-    world.calm();
+    assert!(world.leader_by_store().is_some());
+    world.end_faults();
     finish(&mut world);
 }
 
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -1,25 +1,23 @@
 //! Whole days in a small simulated world, with the protocol's rules as assertions.
 
-mod added;
 mod admin_forms;
-mod answers;
+mod cancellations_in_outages;
 mod decision_trace;
-mod fleet;
-mod gap;
-mod meetings;
+mod large_fleets;
+mod one_way_machines_and_cut_nodes;
+mod overlapping_faults;
 mod pipelines;
+mod rolling_upgrades;
 mod slow_nodes;
-mod steady_costs;
-mod stores;
-mod versions;
-mod worker;
+mod steady_load;
+mod user_answers;
 mod world;
 
 use rudderreel_core::AdminRequest;
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::job::{JobState, Kind};
-use world::{Plan, World};
+use world::{Scenario, World};
 
 fn unfinished(world: &World) -> Vec<String> {
     (world.jobs.values())
@@ -42,13 +40,13 @@
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-/// Crashes of one node or all, outages and cuts of the state service, cuts between nodes and to
-/// workers, lost answers, late transactions, late reports and late commands.
+/// Crashes of one node or all, outages and cuts of the store, cuts between nodes and to
+/// agents, lost answers, late transactions, late reports and late commands.
 #[test]
 fn the_rules_hold_whatever_fails() {
-    // The last ones found a lease taken for run out in a new session, a gang that was no longer
+    // The last ones found a lease taken for run out in a new incarnation, a gang that was no longer
     // counted once the first of its tasks was done, and (two) a leader that had not read back when
-    // the state service went away, and kept the tasks of a cancelled job alive.
+    // the store went away, and kept the tasks of a cancelled job alive.
     for seed in (100..110).chain([1060, 1221, 4010, 4049]) {
         troubled_day(seed, 3, false);
     }
@@ -62,7 +60,7 @@
     }
 }
 
-/// Workers report to every node, which pass reports on to the leader.
+/// Agents report to every node, which forward reports to the leader.
 #[test]
 fn the_rules_hold_with_reports_passed_on() {
     for seed in 400..405 {
@@ -70,32 +68,32 @@
     }
 }
 
-/// Five nodes, a hundred machines, and reports passed on as at a large size.
+/// Five nodes, a hundred machines, and reports forwarded as at a large size.
 #[test]
 fn a_large_fleet_with_troubles() {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes: 5,
         machines: 120,
         jobs: 120,
         pace: 120,
         large: true,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(600, plan);
+    let mut world = World::of(600, scenario);
     world.run_until(30_000);
-    assert!(world.workers.len() >= 100, "{}", world.workers.len());
-    world.faults = true;
+    assert!(world.agents.len() >= 100, "{}", world.agents.len());
+    world.random_faults = true;
     world.run_until(70_000);
-    world.calm();
+    world.end_faults();
     world.run_until(200_000);
     assert_eq!(unfinished(&world), Vec::<String>::new());
     world.check_served();
 }
 
-/// A thousand machines and more, five nodes, and all troubles, whole zones cut off among them.
+/// A thousand machines and more, five nodes, and all faults, whole zones cut off among them.
 #[test]
 fn a_fleet_with_troubles() {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes: 5,
         machines: 1_050,
         jobs: 1_100,
@@ -104,36 +102,36 @@
         zones: true,
         report_s: 3.0,
         lease_s: 12,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(611, plan);
+    let mut world = World::of(611, scenario);
     world.run_until(40_000);
-    assert!(world.workers.len() >= 1_000, "{}", world.workers.len());
-    world.faults = true;
+    assert!(world.agents.len() >= 1_000, "{}", world.agents.len());
+    world.random_faults = true;
     world.run_until(52_000);
-    world.calm();
+    world.end_faults();
     world.run_until(300_000);
     assert_eq!(unfinished(&world), Vec::<String>::new());
     world.check_served();
 }
 
 fn troubled_day(seed: u64, nodes: usize, spread: bool) {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes,
         spread,
         jobs: 40,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    day(seed, plan);
+    day(seed, scenario);
 }
 
-/// A day with troubles, and time after them to finish everything.
-fn day(seed: u64, plan: Plan) {
-    println!("seed {seed}, {plan:?}");
-    let mut world = World::of(seed, plan);
-    world.faults = true;
+/// A day with faults, and time after them to finish everything.
+fn day(seed: u64, scenario: Scenario) {
+    println!("seed {seed}, {scenario:?}");
+    let mut world = World::of(seed, scenario);
+    world.random_faults = true;
     world.run_until(150_000);
-    world.calm();
+    world.end_faults();
     world.run_until(400_000);
     assert!(world.starts > 0, "nothing_ran");
     assert_eq!(unfinished(&world), Vec::<String>::new(), "seed {seed}");
@@ -151,8 +149,8 @@
     let (from, to): (u64, u64) = (from.parse().expect("a seed"), to.parse().expect("a seed"));
     let nodes = var("NODES").parse().unwrap_or(3);
     let play = |seed: u64| match var("PLAN").as_str() {
-        "pipelines" => drop(pipelines::play(seed, pipelines::plan(nodes))),
-        "versions" => versions::play(seed, nodes),
+        "pipelines" => drop(pipelines::play(seed, pipelines::scenario(nodes))),
+        "versions" => rolling_upgrades::play(seed, nodes),
         _ => troubled_day(seed, nodes, var("SPREAD") == "1"),
     };
     let failed: Vec<u64> = (from..to)
--- a/crates/core/tests/sim/added.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -1,7 +1,7 @@
-//! The rules and troubles that users added: each trouble alone, and what each must not lead to. They
+//! The rules and faults that users added: each fault alone, and what each must not lead to. They
 //! are mixed with all others in the days of `main`.
 
-use super::world::{Plan, Trouble, World};
+use super::world::{Fault, Scenario, World};
 use super::{day, unfinished};
 use rudderreel_core::{Input, Node, Output, StoreAnswer, StoreCall};
 use rudderreel_wire::ids::{Epoch, Incarnation, JobId, MachineId, Seq, Version};
@@ -9,52 +9,52 @@
 use rudderreel_wire::state::Page;
 use rudderreel_wire::worker::{StatusReport, TaskState, TaskStatus};
 
-fn alone(only: Trouble, nodes: usize, seeds: std::ops::Range<u64>) {
+fn alone(only: Fault, nodes: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        let plan = Plan {
+        let scenario = Scenario {
             nodes,
             only: vec![only],
             jobs: 30,
-            ..Plan::default()
+            ..Scenario::default()
         };
-        day(seed, plan);
+        day(seed, scenario);
     }
 }
 
 /// Processes that are back within a fraction of a second, one or all, also in the middle of an
-/// election, of raising the epoch or of recording starts.
+/// election, of bumping the epoch or of recording starts.
 #[test]
 fn quick_returns() {
-    alone(Trouble::NodeBlinks, 3, 500..502);
-    alone(Trouble::AllBlink, 5, 502..504);
+    alone(Fault::NodeRestartsQuickly, 3, 500..502);
+    alone(Fault::AllNodesRestartQuickly, 5, 502..504);
 }
 
-/// A node without state service and peers, but with its workers.
+/// A node without store and peers, but with its agents.
 #[test]
 fn nodes_that_hear_only_workers() {
-    alone(Trouble::HearsOnlyWorkers, 3, 510..512);
-    alone(Trouble::HearsOnlyWorkers, 5, 512..514);
+    alone(Fault::NodeReachesOnlyAgents, 3, 510..512);
+    alone(Fault::NodeReachesOnlyAgents, 5, 512..514);
 }
 
 #[test]
 fn machines_that_hear_nobody() {
-    alone(Trouble::MachinesDeaf, 3, 520..522);
-    alone(Trouble::MachinesDeaf, 5, 522..524);
+    alone(Fault::MachinesUnreachable, 3, 520..522);
+    alone(Fault::MachinesUnreachable, 5, 522..524);
 }
 
 /// Zones that are cut off from everything while their nodes and machines go on inside, mixed with
-/// all other troubles.
+/// all other faults.
 #[test]
 fn cut_zones() {
     for seed in 515..518 {
-        let plan = Plan {
+        let scenario = Scenario {
             nodes: 5,
             zones: true,
             spread: seed % 2 == 0,
             jobs: 40,
-            ..Plan::default()
+            ..Scenario::default()
         };
-        day(seed, plan);
+        day(seed, scenario);
     }
 }
 
@@ -62,30 +62,30 @@
 /// ran on them, which a cut shorter than a lease does not harm.
 #[test]
 fn a_zone_behind_a_cut_is_left_alone() {
-    let plan = Plan {
+    let scenario = Scenario {
         machines: 60,
         jobs: 60,
         pace: 120,
         large: true,
         lease_s: 20,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(540, plan);
+    let mut world = World::of(540, scenario);
     world.run_until(40_000);
     // The zone in which the leader is not.
     let leader = world.leader().expect("a leader");
-    let partitioned_zones = ["b", "a"][leader % 2];
+    let partitioned_zone = ["b", "a"][leader % 2];
     let there = |world: &World| -> Vec<MachineId> {
         let all = world
-            .workers
+            .agents
             .iter()
-            .filter(|(_, w)| w.zone() == partitioned_zones);
+            .filter(|(_, w)| w.zone() == partitioned_zone);
         all.map(|(id, _)| id.clone()).collect()
     };
     let before = there(&world);
     assert!(before.len() >= 10, "{} machines", before.len());
     let until = world.now + 15_000;
-    world.cut_zone(partitioned_zones, until);
+    world.partition_zone(partitioned_zone, until);
     world.run_until(until);
     let gone = before.iter().filter(|id| !world.cloud.has(id)).count();
     assert_eq!(gone, 0, "machines were given up");
@@ -93,11 +93,11 @@
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-/// A leader that no worker reaches, and that reaches none, makes way though other nodes pass reports
-/// on to it. The others sent it all their workers, since it seemed to have none, again and again.
+/// A leader that no agent reaches, and that reaches none, makes way though other nodes pass reports
+/// on to it. The others sent it all their agents, since it seemed to have none, again and again.
 #[test]
 fn a_leader_that_reaches_no_worker_makes_way() {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes: 5,
         spread: true,
         machines: 60,
@@ -106,38 +106,38 @@
         large: true,
         report_s: 2.0,
         lease_s: 12,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(541, plan);
+    let mut world = World::of(541, scenario);
     world.run_until(40_000);
     let old = world.leader().expect("a leader");
     let until = world.now + 30_000;
-    world.cut_workers(old, until);
+    world.cut_from_agents(old, until);
     world.run_until(until - 10_000);
     assert_ne!(world.leader(), Some(old), "it goes on leading");
-    // A worker that finds no node for a while may lose its lease.
+    // A agent that finds no node for a while may lose its lease.
     let lost = world
-        .workers
+        .agents
         .values()
         .filter(|w| w.incarnation.0 > 1)
         .count();
     assert!(lost <= 3, "{lost} leases ran out");
 }
 
-/// A leader that hears only workers stops giving 200 within its bound, and sends them away so that
+/// A leader that hears only agents stops giving 200 within its bound, and sends them away so that
 /// they find the one that follows it; a follower like it never gives any.
 #[test]
 fn a_cut_leader_stops_and_another_follows() {
-    let mut world = World::of(530, Plan::default());
+    let mut world = World::of(530, Scenario::default());
     world.run_until(60_000);
     let old = world.leader().expect("a leader");
     let until = world.now + 40_000;
-    world.cut_but_for_workers(old, until);
+    world.cut_from_all_but_agents(old, until);
     // Its lease of 3 s, the election, and a little.
     world.run_until(world.now + 8_000);
-    let id = world.workers.keys().next().cloned().expect("a machine");
-    let asked = world.inject(old, report(&id, 1, 1));
-    assert_ne!(asked, 200, "the cut node answers workers");
+    let id = world.agents.keys().next().cloned().expect("a machine");
+    let action = world.inject(old, report(&id, 1, 1));
+    assert_ne!(action, 200, "the cut node answers workers");
     let (status, _) = world.admin(old, rudderreel_core::AdminRequest::Teams);
     assert_eq!(status, 503, "it takes itself for the leader");
     let new = world.leader().expect("another leader");
@@ -147,34 +147,34 @@
 }
 
 /// A machine whose reports arrive but that nothing reaches is told apart and returned, and what ran
-/// there runs elsewhere; with the cloud away, what ran there does so once its next session shows
+/// there runs elsewhere; with the cloud away, what ran there does so once its next incarnation shows
 /// that it is gone, and nothing new goes there meanwhile.
 #[test]
 fn a_machine_that_hears_nobody_is_given_up() {
     for cloud_down in [false, true] {
         // As in the deployments: it is heard several times in a lease, though no answer reaches it.
-        let plan = Plan {
+        let scenario = Scenario {
             nodes: 5,
             spread: true,
             lease_s: 12,
             report_s: 4.0,
-            ..Plan::default()
+            ..Scenario::default()
         };
-        let mut world = World::of(540, plan);
+        let mut world = World::of(540, scenario);
         while world.busy_machine().is_none() {
             world.run_until(world.now + 500);
         }
         let id = world.busy_machine().expect("a machine with tasks");
         world.cloud.down = cloud_down;
-        let worker = world.workers.get_mut(&id).expect("its worker");
-        worker.deaf_until = u64::MAX;
-        let starts = worker.starts;
+        let agent = world.agents.get_mut(&id).expect("its worker");
+        agent.unreachable_until = u64::MAX;
+        let starts = agent.starts;
         world.run_until(world.now + 45_000);
-        match world.workers.get(&id) {
+        match world.agents.get(&id) {
             None => assert!(!cloud_down),
-            Some(worker) => {
+            Some(agent) => {
                 assert!(cloud_down, "it was not returned");
-                assert_eq!(worker.starts, starts, "something was started there");
+                assert_eq!(agent.starts, starts, "something was started there");
             }
         }
         world.cloud.down = false;
@@ -203,9 +203,9 @@
 /// tasks nobody submitted.
 #[test]
 fn bad_reports_are_survived() {
-    let mut world = World::of(550, Plan::default());
+    let mut world = World::of(550, Scenario::default());
     world.run_until(40_000);
-    let known = world.workers.keys().next().cloned().expect("a machine");
+    let known = world.agents.keys().next().cloned().expect("a machine");
     let nobody = MachineId::from("vm-999999");
     let stranger: JobId = "wk-424242".parse().expect("an id");
     let mut odd = report(&nobody, 3, 1);
@@ -249,7 +249,7 @@
 /// works, and watches on. It used to try once, and then missed every later change.
 #[test]
 fn a_lost_watch_is_taken_up_again() {
-    let mut world = World::of(560, Plan::default());
+    let mut world = World::of(560, Scenario::default());
     let mut core = Node::new(world.settings_of(0));
     let answer = |core: &mut Node, world: &mut World, first: Input, good: bool| -> bool {
         let mut next = Some(first);
@@ -290,18 +290,18 @@
 #[test]
 fn nobody_starves_in_a_crowd() {
     for (seed, take_overs) in [(300, false), (301, false), (302, true)] {
-        let plan = Plan {
+        let scenario = Scenario {
             jobs: 1_000,
             crowd: true,
             pace: 64,
-            ..Plan::default()
+            ..Scenario::default()
         };
-        let mut world = World::of(seed, plan);
+        let mut world = World::of(seed, scenario);
         for at in (30..420).step_by(30) {
             world.run_until(at * 1_000);
             if take_overs {
                 if let Some(leader) = world.leader() {
-                    world.blink(leader);
+                    world.restart_quickly(leader);
                 }
             }
         }
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -1,9 +1,9 @@
-//! Pipelines of dependent jobs, with every trouble: no task starts too early, and what needs a cancelled
-//! job is cancelled with it. The state service lowers its limits meanwhile.
+//! Pipelines of dependent jobs, with every fault: no task starts too early, and what needs a cancelled
+//! job is cancelled with it. The store lowers its limits meanwhile.
 
-use super::stores::Limits;
 use super::unfinished;
-use super::world::{Asked, Plan, Trouble, World};
+use super::world::store::Limits;
+use super::world::{Fault, Scenario, UserAction, World};
 use rudderreel_core::AdminRequest;
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobSpec, JobState};
@@ -17,24 +17,24 @@
     page: 10,
 };
 
-pub fn plan(nodes: usize) -> Plan {
-    Plan {
+pub fn scenario(nodes: usize) -> Scenario {
+    Scenario {
         nodes,
         jobs: 60,
         pace: 300,
         pipelines: true,
         lower_limits: Some((60_000, LOW)),
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
-/// A day with troubles; returns how many jobs were cancelled with others.
-pub fn play(seed: u64, plan: Plan) -> usize {
-    println!("seed {seed}, {plan:?}");
-    let mut world = World::of(seed, plan);
-    world.faults = true;
+/// A day with faults; returns how many jobs were cancelled with others.
+pub fn play(seed: u64, scenario: Scenario) -> usize {
+    println!("seed {seed}, {scenario:?}");
+    let mut world = World::of(seed, scenario);
+    world.random_faults = true;
     world.run_until(150_000);
-    world.calm();
+    world.end_faults();
     world.run_until(500_000);
     assert_eq!(unfinished(&world), Vec::<String>::new(), "seed {seed}");
     assert_eq!(world.store.rejected, 0, "seed {seed}");
@@ -45,7 +45,7 @@
 
 #[test]
 fn pipelines_keep_the_rules_whatever_fails() {
-    let cancelled: usize = (0..8).map(|n| play(900 + n, plan(3))).sum();
+    let cancelled: usize = (0..8).map(|n| play(900 + n, scenario(3))).sum();
     assert!(
         cancelled > 10,
         "{cancelled} jobs were cancelled with others"
@@ -54,9 +54,9 @@
 
 #[test]
 fn pipelines_keep_the_rules_with_five_nodes() {
-    let spread = |n: u64| Plan {
+    let spread = |n: u64| Scenario {
         spread: n % 2 == 1,
-        ..plan(5)
+        ..scenario(5)
     };
     let cancelled: usize = (0..6).map(|n| play(920 + n, spread(n))).sum();
     assert!(cancelled > 8, "{cancelled} jobs were cancelled with others");
@@ -65,24 +65,24 @@
 /// Users call jobs off all the time, while nodes end, answers are lost and writes come late.
 #[test]
 fn cancellations_meet_the_ends_of_nodes_and_late_writes() {
-    use Trouble::*;
+    use Fault::*;
     let only = vec![
-        CancelNow,
-        CancelAtEnd,
-        LeaderEnds,
-        NodeBlinks,
+        JobsCancelled,
+        JobsCancelledAtCompletion,
+        LeaderCrashes,
+        NodeRestartsQuickly,
         LateWrites,
         LostAnswers,
-        LeaderRefused,
-        CloseLooks,
-        OddRequests,
+        StoreRefusesLeader,
+        RapidStatusRequests,
+        InvalidRequests,
     ];
-    let plan = Plan {
+    let scenario = Scenario {
         only,
         uneven: true,
-        ..plan(5)
+        ..scenario(5)
     };
-    let cancelled: usize = (0..4).map(|n| play(940 + n, plan.clone())).sum();
+    let cancelled: usize = (0..4).map(|n| play(940 + n, scenario.clone())).sum();
     assert!(cancelled > 8, "{cancelled} jobs were cancelled with others");
 }
 
@@ -90,16 +90,16 @@
 /// (the world fails the test if it is).
 #[test]
 fn limits_that_nobody_announced() {
-    let plan = Plan {
+    let scenario = Scenario {
         announced: false,
-        ..plan(3)
+        ..scenario(3)
     };
     let mut rejected = 0;
     for seed in 960..964 {
-        let mut world = World::of(seed, plan.clone());
-        world.faults = true;
+        let mut world = World::of(seed, scenario.clone());
+        world.random_faults = true;
         world.run_until(150_000);
-        world.calm();
+        world.end_faults();
         world.run_until(500_000);
         assert_eq!(unfinished(&world), Vec::<String>::new(), "seed {seed}");
         rejected += world.store.rejected;
@@ -110,14 +110,14 @@
 
 /// A world in which nobody does anything by themselves.
 pub fn scripted(seed: u64, nodes: usize) -> World {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes,
         scripted: true,
         lease_s: if nodes > 3 { 12 } else { 6 },
         lower_limits: Some((0, LOW)),
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(seed, plan);
+    let mut world = World::of(seed, scenario);
     world.run_until(16_000);
     world
 }
@@ -142,7 +142,7 @@
         if world.jobs[&id].accepted {
             return id;
         }
-        world.user_asks(node, &id, Asked::Submit);
+        world.user_asks(node, &id, UserAction::Submit);
         world.run_until(world.now + 300);
     }
     panic!("{id} was not accepted");
@@ -151,7 +151,7 @@
 /// Withdraws a job until its user is told how it ended.
 pub fn withdraw(world: &mut World, node: usize, id: &JobId) -> JobState {
     for _ in 0..60 {
-        world.user_asks(node, id, Asked::Cancel);
+        world.user_asks(node, id, UserAction::Cancel);
         world.run_until(world.now + 300);
         if let Some(state @ (JobState::Cancelled | JobState::Done)) = world.jobs[id].last {
             return state;
@@ -164,7 +164,7 @@
 pub fn ask(world: &mut World, node: usize, id: &JobId) -> JobState {
     world.jobs.get_mut(id).expect("a job").last = None;
     for _ in 0..40 {
-        world.user_asks(node, id, Asked::Status);
+        world.user_asks(node, id, UserAction::Status);
         world.run_until(world.now + 100);
         if let Some(state) = world.jobs[id].last {
             return state;
@@ -173,7 +173,7 @@
     panic!("no answer about {id}");
 }
 
-/// Each job along a chain is started soon after the one before it is done, although the state service
+/// Each job along a chain is started soon after the one before it is done, although the store
 /// takes few changes.
 #[test]
 fn a_chain_goes_on_promptly() {
@@ -219,7 +219,7 @@
         for id in ids[first + 2..].iter().rev() {
             assert_eq!(ask(&mut world, node, id), JobState::Cancelled, "{id}");
         }
-        world.calm();
+        world.end_faults();
         world.run_until(world.now + 60_000);
         assert_eq!(world.check_cancelled_together(), ids.len() - first - 2);
     }
@@ -289,14 +289,14 @@
         let leader = world.leader().expect("a leader");
         let (teller, cut) = ((leader + 1) % 3, (leader + 2) % 3);
         let end = world.now + 40_000;
-        world.cut_but_for_workers(cut, end);
+        world.cut_from_all_but_agents(cut, end);
         assert_eq!(withdraw(&mut world, teller, &first), JobState::Cancelled);
         world.run_until(end);
         for n in 0..150 {
             let spec = step(100 + n, &[2]);
             let id = spec.id.clone();
             world.add_job(spec);
-            world.user_asks(cut, &id, Asked::Submit);
+            world.user_asks(cut, &id, UserAction::Submit);
             // The world fails the test if it is called queued.
             world.run_until(world.now + 3);
         }
@@ -333,13 +333,13 @@
         let spec = step(second, &[second - 1]);
         let second = spec.id.clone();
         world.add_job(spec);
-        world.user_asks(1, &first, Asked::Cancel);
+        world.user_asks(1, &first, UserAction::Cancel);
         world.run_until(world.now + u64::from(round));
-        world.user_asks(2, &second, Asked::Submit);
+        world.user_asks(2, &second, UserAction::Submit);
         world.run_until(world.now + 2_000);
         withdraw(&mut world, 1, &first);
         while !world.jobs[&second].accepted {
-            world.user_asks(2, &second, Asked::Submit);
+            world.user_asks(2, &second, UserAction::Submit);
             world.run_until(world.now + 300);
         }
         let cancelled = world.jobs[&first].last == Some(JobState::Cancelled);
@@ -350,7 +350,7 @@
     assert!(world.check_cancelled_together() > 20);
 }
 
-/// A pipeline in the gap: one node confirms the cancellation, the state service goes for longer than
+/// A pipeline in the gap: one node confirms the cancellation, the store goes for longer than
 /// cancelled work may remain, and right after that every node must know of the dependents.
 #[test]
 fn dependents_are_never_called_queued_after_an_outage() {
@@ -362,7 +362,7 @@
             .collect();
         let leader = world.leader().expect("a leader");
         let end = world.now + 60_000;
-        world.cut_state(leader, end);
+        world.cut_from_store(leader, end);
         world.run_until(world.now + 500);
         let told = withdraw(&mut world, (leader + 1) % nodes, &first);
         assert_eq!(told, JobState::Cancelled);
@@ -374,13 +374,13 @@
             let n = 100 + node as u32;
             let spec = step(n, &[1, 5]);
             world.add_job(spec.clone());
-            world.user_asks(node, &spec.id, Asked::Submit);
+            world.user_asks(node, &spec.id, UserAction::Submit);
             for id in &ids {
-                world.user_asks(node, id, Asked::Status);
+                world.user_asks(node, id, UserAction::Status);
             }
         }
         world.run_until(world.now + 3_000);
-        world.calm();
+        world.end_faults();
         world.run_until(world.now + 40_000);
         for id in &ids {
             assert_eq!(ask(&mut world, 0, id), JobState::Cancelled, "{id}");
--- a/crates/core/tests/sim/versions.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -4,7 +4,7 @@
 
 use super::pipelines::{ask, scripted, step, submit, withdraw};
 use super::unfinished;
-use super::world::{Asked, NodeVersion, Plan, World};
+use super::world::{NodeVersion, Scenario, UserAction, World};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::JobState;
 use std::collections::BTreeSet;
@@ -25,13 +25,13 @@
     for told in world.jobs.values_mut() {
         told.run_ms = (ENDLESS_MS, 0);
     }
-    world.collects = true;
+    world.collects_violations = true;
     (world, root, chain)
 }
 
 /// No rule was broken since.
 fn assert_kept(world: &World) {
-    assert_eq!(world.broken, BTreeSet::new());
+    assert_eq!(world.violations, BTreeSet::new());
 }
 
 /// All nodes end, and the one that is back first has the version in production.
@@ -63,7 +63,7 @@
         assert_eq!(told, JobState::Cancelled);
         world.run_until(world.now + CANCEL_OVER_MS);
         for id in &chain {
-            world.user_asks(old, id, Asked::Status);
+            world.user_asks(old, id, UserAction::Status);
         }
         world.run_until(world.now + 10_000);
         assert_kept(&world);
@@ -97,7 +97,7 @@
     world.run_until(world.now + 15_000);
     let spec = step(4, &[1]);
     world.add_job(spec.clone());
-    world.user_asks(old, &spec.id, Asked::Submit);
+    world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
     submit(&mut world, leader, spec);
@@ -117,12 +117,12 @@
     world.run_until(world.now + 15_000);
     let spec = step(3, &[2]);
     world.add_job(spec.clone());
-    world.user_asks(old, &spec.id, Asked::Submit);
+    world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
 }
 
-/// A node of the old version that the state service refuses passes submissions on without their
+/// A node of the old version that the store refuses passes submissions on without their
 /// dependencies.
 #[test]
 fn what_a_node_of_the_old_version_passes_on_is_not_accepted() {
@@ -130,33 +130,33 @@
     let old = (world.leader().expect("a leader") + 1) % 3;
     world.come_back_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
-    world.cut_state(old, world.now + 10_000);
+    world.cut_from_store(old, world.now + 10_000);
     world.run_until(world.now + 3_000);
     let spec = step(4, &[1]);
     world.add_job(spec.clone());
-    world.user_asks(old, &spec.id, Asked::Submit);
+    world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
     assert_kept(&world);
 }
 
-/// A day with every trouble on which nodes are upgraded, and some come back old.
+/// A day with every fault on which nodes are upgraded, and some come back old.
 pub fn play(seed: u64, nodes: usize) {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes,
         jobs: 60,
         pace: 300,
         pipelines: true,
         upgrade: true,
         comes_back_old: true,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    println!("seed {seed}, {plan:?}");
-    let mut world = World::of(seed, plan);
+    println!("seed {seed}, {scenario:?}");
+    let mut world = World::of(seed, scenario);
     world.run_until(50_000);
-    world.faults = true;
+    world.random_faults = true;
     world.run_until(200_000);
-    world.calm();
+    world.end_faults();
     world.run_until(550_000);
     assert_eq!(unfinished(&world), Vec::<String>::new(), "seed {seed}");
     world.check_served();
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -4,16 +4,16 @@
 //! done, and leadership must have settled.
 
 use super::unfinished;
-use super::world::{Plan, Trouble, World};
+use super::world::{Fault, Scenario, World};
 
 const NODES: usize = 5;
 /// How often it is looked who leads.
 const LOOK_MS: u64 = 250;
-/// When troubles begin: the first leader has led for long, and most machines are up.
+/// When faults begin: the first leader has led for long, and most machines are up.
 const TROUBLE_MS: u64 = 75_000;
 
-pub fn plan() -> Plan {
-    Plan {
+pub fn scenario() -> Scenario {
+    Scenario {
         nodes: NODES,
         machines: 40,
         jobs: 110,
@@ -25,15 +25,15 @@
         run_ms: Some((15_000, 100)),
         steps_take_time: true,
         core_share: Some(0.032),
-        ..Plan::default()
+        ..Scenario::default()
     }
 }
 
 /// A world that has run for a while.
-fn world(seed: u64, plan: Plan) -> World {
-    let mut world = World::of(seed, plan);
+fn world(seed: u64, scenario: Scenario) -> World {
+    let mut world = World::of(seed, scenario);
     world.run_until(TROUBLE_MS);
-    assert!(world.workers.len() >= 25, "{}", world.workers.len());
+    assert!(world.agents.len() >= 25, "{}", world.agents.len());
     world
 }
 
@@ -43,7 +43,7 @@
     let end = world.now + ms;
     while world.now < end {
         world.run_until(world.now + LOOK_MS);
-        if let Some(leader) = world.leadership_condition() {
+        if let Some(leader) = world.leader_by_store() {
             if leaders.last() != Some(&leader) {
                 leaders.push(leader);
             }
@@ -52,10 +52,10 @@
     leaders
 }
 
-/// Plays on without troubles until all is done.
+/// Plays on without faults until all is done.
 fn finish(world: &mut World) {
     (0..NODES).for_each(|node| world.slow_down(node, 1.0));
-    world.calm();
+    world.end_faults();
     for _ in 0..10 {
         world.run_until(world.now + 50_000);
         if unfinished(world).is_empty() {
@@ -67,18 +67,16 @@
     world.check_served();
 }
 
-/// It kept its lease for as long as it was slow, and answered few workers in time.
+/// It kept its lease for as long as it was slow, and answered few agents in time.
 #[test]
 fn a_leader_that_can_not_keep_up_makes_way() {
     for seed in [901, 902] {
-        let mut world = world(seed, plan());
-        let leader = world.leadership_condition().expect("a leader");
+        let mut world = world(seed, scenario());
+        let leader = world.leader_by_store().expect("a leader");
         world.slow_down(leader, 8.0);
         let leaders = leaders_during(&mut world, 60_000);
         assert!(
-            world
-                .leadership_condition()
-                .is_some_and(|now| now != leader),
+            world.leader_by_store().is_some_and(|now| now != leader),
             "{leaders:?}"
         );
         assert!(leaders.len() <= 3, "it settles: {leaders:?}");
@@ -89,7 +87,7 @@
 /// Nobody is better than the leader, so the lead does not go round.
 #[test]
 fn leadership_settles_while_all_nodes_are_slow() {
-    let mut world = world(911, plan());
+    let mut world = world(911, scenario());
     (0..NODES).for_each(|node| world.slow_down(node, 9.0));
     let leaders = leaders_during(&mut world, 120_000);
     assert!(leaders.len() <= 3, "{leaders:?}");
@@ -99,8 +97,8 @@
 /// Both would be candidates when the leader ends.
 #[test]
 fn two_slow_candidates_do_not_lead_by_turns() {
-    let mut world = world(921, plan());
-    let leader = world.leadership_condition().expect("a leader");
+    let mut world = world(921, scenario());
+    let leader = world.leader_by_store().expect("a leader");
     let slow = (0..NODES).filter(|node| *node != leader).take(2);
     slow.for_each(|node| world.slow_down(node, 8.0));
     world.end_for(leader, 5_000);
@@ -109,10 +107,10 @@
     finish(&mut world);
 }
 
-/// All workers and users come at once to nodes that have just started.
+/// All agents and users come at once to nodes that have just started.
 #[test]
 fn all_slow_nodes_end_together_and_come_back() {
-    let mut world = world(931, plan());
+    let mut world = world(931, scenario());
     (0..NODES).for_each(|node| world.slow_down(node, 2.0));
     (0..NODES as u64).for_each(|node| world.end_for(node as usize, 3_000 + 500 * node));
     let leaders = leaders_during(&mut world, 60_000);
@@ -123,28 +121,28 @@
 /// One node after the other is restarted every 15 s while four times as many jobs come.
 #[test]
 fn a_rolling_restart_in_a_burst() {
-    let burst = Plan {
+    let burst = Scenario {
         jobs: 260,
         pace: 60,
-        ..plan()
+        ..scenario()
     };
     let mut world = world(941, burst);
     for node in 0..NODES {
         world.end_for(node, 5_000);
         world.run_until(world.now + 15_000);
     }
-    assert!(world.leadership_condition().is_some());
+    assert!(world.leader_by_store().is_some());
     finish(&mut world);
 }
 
-/// The leader is cut off from workers while the state service is slow.
+/// The leader is cut off from agents while the store is slow.
 #[test]
 fn a_cut_leader_beside_a_slow_state_service() {
-    let mut world = world(951, plan());
-    let leader = world.leadership_condition().expect("a leader");
+    let mut world = world(951, scenario());
+    let leader = world.leader_by_store().expect("a leader");
     let until = world.now + 40_000;
-    world.bring_about(Trouble::SlowState, leader, until);
-    world.cut_workers(leader, until);
+    world.inject_fault(Fault::SlowStore, leader, until);
+    world.cut_from_agents(leader, until);
     let leaders = leaders_during(&mut world, 40_000);
     assert!(leaders.len() <= 4, "{leaders:?}");
     finish(&mut world);
@@ -153,10 +151,10 @@
 /// The leader ends while inputs have been waiting at all nodes.
 #[test]
 fn a_take_over_in_the_middle_of_a_backlog() {
-    let mut world = world(961, plan());
+    let mut world = world(961, scenario());
     (0..NODES).for_each(|node| world.slow_down(node, 5.0));
     world.run_until(world.now + 8_000);
-    let leader = world.leadership_condition().expect("a leader");
+    let leader = world.leader_by_store().expect("a leader");
     world.end_for(leader, 4_000);
     let leaders = leaders_during(&mut world, 60_000);
     assert!(leaders.len() <= 4, "{leaders:?}");
--- a/crates/core/tests/sim/steady_costs.rs
+++ b/crates/core/tests/sim/steady_load.rs
@@ -1,6 +1,6 @@
 //! What a fleet costs in which little changes: counts of messages, by the share of a core that nodes have.
 
-use super::world::{Plan, World};
+use super::world::{Scenario, World};
 
 const NODES: usize = 5;
 const MEASURED_MS: u64 = 20_000;
@@ -14,7 +14,7 @@
 }
 
 fn steady_fleet(core_share: Option<f64>) -> Messages {
-    let plan = Plan {
+    let scenario = Scenario {
         nodes: NODES,
         machines: 100,
         jobs: 40,
@@ -25,11 +25,11 @@
         run_ms: Some((600_000, 0)),
         measures: true,
         core_share,
-        ..Plan::default()
+        ..Scenario::default()
     };
-    let mut world = World::of(971, plan);
+    let mut world = World::of(971, scenario);
     world.run_until(60_000);
-    assert!(world.workers.len() >= 60, "{}", world.workers.len());
+    assert!(world.agents.len() >= 60, "{}", world.agents.len());
     world.costs = Default::default();
     world.run_until(world.now + MEASURED_MS);
     let count = |kind: &str| world.costs.messages.get(kind).map_or(0, |cost| cost.count);
@@ -68,7 +68,7 @@
     // What keeps a rule is not stretched.
     assert!(small.heartbeats.abs_diff(ample.heartbeats) <= NODES as u32);
     assert!(small.heartbeats >= NODES as u32 * seconds * 2 - NODES as u32);
-    // Users withdraw a job now and then, and replicas are moved; nothing else calls for a worker.
+    // Users withdraw a job now and then, and replicas are moved; nothing else calls for a agent.
     assert!(small.direct_calls <= 5 * seconds, "{}", small.direct_calls);
     assert!(ample.direct_calls <= 5 * seconds, "{}", ample.direct_calls);
     // Questions are confirmed, by jobs asked about and time.
--- a/crates/core/tests/sim/answers.rs
+++ b/crates/core/tests/sim/user_answers.rs
@@ -1,7 +1,7 @@
 //! Answers are made from the newest that a node knows at the moment of telling, whatever it read before.
 
-use super::gap::replicas;
-use super::world::{Plan, World};
+use super::cancellations_in_outages::replicas;
+use super::world::{Scenario, World};
 use rudderreel_core::{CallId, Input, Node, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::peer::{CancelledJob, ReplicateCancellations, ReplicateCancellationsReply};
@@ -16,14 +16,14 @@
 }
 
 impl SingleNode {
-    /// One of so many nodes, that has read an empty state service.
+    /// One of so many nodes, that has read an empty store.
     fn new(nodes: usize) -> Self {
-        let plan = Plan {
+        let scenario = Scenario {
             nodes,
             scripted: true,
-            ..Plan::default()
+            ..Scenario::default()
         };
-        let world = World::of(570, plan);
+        let world = World::of(570, scenario);
         let node = Node::new(world.settings_of(0));
         let mut node = Self {
             node,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes the next call to the state service of a kind.
+    /// Takes the next call to the store of a kind.
     fn call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
         let of = |o: &Output| matches!(o, Output::State(_, call) if wanted(call));
         let at = self.out.iter().position(of)?;
@@ -152,7 +152,7 @@
     matches!(call, StoreCall::Get(key) if key.starts_with("pub/job/"))
 }
 
-/// Told by the state service that there was no such job, a node said so, although it had learned by then
+/// Told by the store that there was no such job, a node said so, although it had learned by then
 /// that it was accepted elsewhere.
 #[test]
 fn no_job_is_unknown_that_was_accepted_meanwhile() {
@@ -217,7 +217,7 @@
 }
 
 /// A user is told once a majority knows, and refused at once when that takes too long; what others have
-/// written through the state service counts, too.
+/// written through the store counts, too.
 #[test]
 fn a_cancellation_is_told_when_a_majority_knows() {
     for nodes in [3, 5] {
@@ -310,7 +310,7 @@
     let read = node.expect(is_read);
     node.answer(read, StoreAnswer::Missing);
     assert_eq!(node.told(1).map(|(status, _)| status), Some(404));
-    // Without the machine types, and without the state service, it is refused at once.
+    // Without the machine types, and without the store, it is refused at once.
     node.ask(2, UserRequest::Submit(Box::new(replicas(2, 1))));
     assert_eq!(node.told(2).map(|(status, _)| status), Some(503));
     let mut unknown = replicas(3, 1);
--- a/crates/core/tests/sim/worker.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -1,6 +1,6 @@
-//! A stand-in for a worker, by the protocol: sessions, leases, tokens, commands.
+//! A stand-in for a agent, by the protocol: incarnations, leases, tokens, commands.
 
-use super::world::Told;
+use super::ObservedJob;
 use rudderreel_wire::cloud::Rent;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::Kind;
@@ -35,7 +35,7 @@
     }
 }
 
-pub struct Worker {
+pub struct SimulatedAgent {
     gang_wait_ms: u64,
     id: MachineId,
     rent: Rent,
@@ -46,21 +46,21 @@
     pub answered: u64,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
     pub node: usize,
-    pub cut_until: u64,
+    pub partitioned_until: u64,
     /// Its reports arrive, but nothing reaches it.
-    pub deaf_until: u64,
+    pub unreachable_until: u64,
     /// Its reports reach nobody, but commands reach it.
-    pub mute_until: u64,
+    pub unable_to_report_until: u64,
     /// It does nothing, and goes on later.
-    pub hung_until: u64,
+    pub hangs_until: u64,
     pub starts: u32,
 }
 
 const FETCH_MS: u64 = 500;
 const GANG_PEER_MS: u64 = 2_000;
 
-impl Worker {
-    /// A worker whose gang tasks wait so long for the others.
+impl SimulatedAgent {
+    /// A agent whose gang tasks wait so long for the others.
     pub fn new(id: MachineId, rent: Rent, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
@@ -72,10 +72,10 @@
             answered: now,
             tasks: BTreeMap::new(),
             node: 0,
-            cut_until: 0,
-            deaf_until: 0,
-            mute_until: 0,
-            hung_until: 0,
+            partitioned_until: 0,
+            unreachable_until: 0,
+            unable_to_report_until: 0,
+            hangs_until: 0,
             starts: 0,
         }
     }
@@ -88,7 +88,7 @@
         self.rent.spot
     }
 
-    /// Back at once under the same name, in its next session, with nothing on it.
+    /// Back at once under the same name, in its next incarnation, with nothing on it.
     pub fn reboot(&mut self) {
         self.tasks.clear();
         self.incarnation.0 += 1;
@@ -160,7 +160,7 @@
         completed
     }
 
-    pub fn obey(&mut self, command: &Command, jobs: &BTreeMap<JobId, Told>, now: u64) {
+    pub fn obey(&mut self, command: &Command, jobs: &BTreeMap<JobId, ObservedJob>, now: u64) {
         match command {
             Command::Start { task, attempt } => {
                 let key = (task.clone(), *attempt);
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -40,17 +40,17 @@
 pub struct Costs {
     /// By whether the node leads and the kind of input.
     pub steps: BTreeMap<(bool, &'static str), StepCost>,
-    /// By kind: messages to peers, and calls to the state service, the cloud and workers.
+    /// By kind: messages to peers, and calls to the store, the cloud and agents.
     pub messages: BTreeMap<&'static str, MessageCost>,
 }
 
 impl World {
     /// A step of the core, measured if the plan says so.
     pub(super) fn measured_step(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
-        if !self.plan.measures {
+        if !self.scenario.measures {
             return self.step_core(node, input, now);
         }
-        let kind = (self.leadership_condition() == Some(node), kind_of(&input));
+        let kind = (self.leader_by_store() == Some(node), kind_of(&input));
         let begun = Instant::now();
         let outputs = self.step_core(node, input, now);
         let took = begun.elapsed();
@@ -84,7 +84,7 @@
     }
 }
 
-/// The kind and the bytes of what goes to peers, the state service, the cloud and workers.
+/// The kind and the bytes of what goes to peers, the store, the cloud and agents.
 fn message(output: &Output) -> Option<(&'static str, usize)> {
     Some(match output {
         Output::Heartbeat(heartbeat) => ("heartbeat", bitcode::encode(heartbeat).len()),
--- a/crates/core/tests/sim/world/versions.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// A call to the state service as production makes it.
+/// A call to the store as production makes it.
 fn written_by_production(call: StoreCall) -> StoreCall {
     let StoreCall::Commit(mut transaction) = call else {
         return call;
@@ -160,7 +160,7 @@
 
     /// Upgrades nodes of the version in production one after the other.
     pub(super) fn plan_upgrade(&mut self, from: u64, every: u64) {
-        for node in 0..self.plan.nodes {
+        for node in 0..self.scenario.nodes {
             self.nodes[node].version = NodeVersion::Production;
             self.after(from + every * node as u64, Event::Upgrade(node));
         }
@@ -175,7 +175,7 @@
     /// Hands an input to a node's core, as its version takes it.
     pub(super) fn step_core(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
         let version = self.nodes[node].version;
-        let Some(core) = self.nodes[node].core.as_mut() else {
+        let Some(core) = self.nodes[node].process.as_mut() else {
             return Vec::new();
         };
         if version == NodeVersion::Current {
@@ -190,6 +190,6 @@
     pub(super) fn asks_cloud(&self, node: usize, call: &CloudCall) -> bool {
         let catalog = matches!(call, CloudCall::Catalog);
         let production = self.nodes[node].version == NodeVersion::Production;
-        !(catalog && production) || self.leadership_condition() == Some(node)
+        !(catalog && production) || self.leader_by_store() == Some(node)
     }
 }
--- a/crates/core/tests/sim/world/pipelines.rs
+++ b/crates/core/tests/sim/world/pipelines.rs
@@ -1,15 +1,15 @@
 //! Jobs that depend on others: what users submit, and the two rules about them.
 
+use super::agent::Task;
 use super::*;
-use crate::worker::Task;
 
 impl World {
     /// Accepted jobs that a new one may depend on, in any state.
     pub(super) fn some_dependencies(&mut self) -> Vec<JobId> {
-        if !self.plan.pipelines || !self.is_upgraded() || self.rng.random_bool(0.4) {
+        if !self.scenario.pipelines || !self.is_upgraded() || self.rng.random_bool(0.4) {
             return Vec::new();
         }
-        let may = |t: &&Told| t.accepted && t.spec.kind != Kind::Service;
+        let may = |t: &&ObservedJob| t.accepted && t.spec.kind != Kind::Service;
         let accepted: Vec<JobId> = (self.jobs.values().filter(may))
             .map(|t| t.spec.id.clone())
             .collect();
@@ -47,7 +47,7 @@
 
     /// No task starts before all that its job needs is done.
     pub(super) fn check_pipelines(&mut self) {
-        let waiting = |t: &&Told| t.ready_at.is_none();
+        let waiting = |t: &&ObservedJob| t.ready_at.is_none();
         let ready: Vec<JobId> = (self.jobs.values().filter(waiting))
             .filter(|t| t.spec.dependencies.iter().all(|d| self.is_done(d)))
             .map(|t| t.spec.id.clone())
@@ -59,7 +59,7 @@
             }
         }
         let early = |task: &&Task| self.jobs[&task.task.job].ready_at.is_none();
-        let tasks = self.workers.values().flat_map(|w| w.tasks.values());
+        let tasks = self.agents.values().flat_map(|w| w.tasks.values());
         let early: Vec<String> = tasks.filter(early).map(|t| t.task.to_string()).collect();
         for task in early {
             self.breaks("too_early", &task);
@@ -68,15 +68,15 @@
 
     /// A rule is broken: that fails the test, now or when it looks at what was collected.
     pub(super) fn breaks(&mut self, rule: &'static str, what: &str) {
-        assert!(self.collects, "{rule}: {what} at {}", self.now);
-        self.broken.insert(rule);
+        assert!(self.collects_violations, "{rule}: {what} at {}", self.now);
+        self.violations.insert(rule);
     }
 
     /// A job that is told to be cancelled was cancelled by its user, or needs one that was.
     pub(super) fn check_cancelled(&self, id: &JobId) {
-        let asked = |id: &JobId| self.jobs[id].withdrawn;
+        let action = |id: &JobId| self.jobs[id].cancel_requested;
         assert!(
-            asked(id) || self.ancestors(id).iter().any(asked),
+            action(id) || self.ancestors(id).iter().any(action),
             "went_back: nobody cancelled {id}"
         );
     }
@@ -93,7 +93,7 @@
     pub(super) fn check_not_orphaned(&mut self, id: &JobId) {
         for ancestor in self.ancestors(id) {
             let cancelled = self.jobs[&ancestor].cancelled_at;
-            if let Some(at) = cancelled.filter(|at| self.now > at + self.plan.cancel_ms()) {
+            if let Some(at) = cancelled.filter(|at| self.now > at + self.scenario.cancel_ms()) {
                 self.breaks(
                     "orphaned",
                     &format!("{id}, {ancestor} was cancelled at {at}"),
@@ -114,9 +114,9 @@
             let by_another = self.ancestors(id).iter().any(cancelled);
             if by_another {
                 assert!(cancelled(id), "{id} goes on after what it needs");
-                with_others += usize::from(!told.withdrawn);
+                with_others += usize::from(!told.cancel_requested);
             } else if cancelled(id) {
-                assert!(told.withdrawn, "nobody cancelled {id}");
+                assert!(told.cancel_requested, "nobody cancelled {id}");
             }
         }
         with_others
--- a/crates/core/tests/sim/world/step_times.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -116,7 +116,7 @@
             };
             let waited = self.now - since;
             let clock = self.clock(node).time;
-            if let Some(core) = self.nodes[node].core.as_mut() {
+            if let Some(core) = self.nodes[node].process.as_mut() {
                 core.note_wait(clock, Span(waited));
                 self.take(node, input, waited);
             }
@@ -126,7 +126,7 @@
     fn take(&mut self, node: usize, input: Input, waited: u64) {
         match input {
             Input::StatusReport(req, _) if waited > WORKER_WAITS_MS => {
-                self.answer(node, req, 503, "{}".into());
+                self.respond(node, req, 503, "{}".into());
             }
             // Its sender has been told already that there is no answer.
             Input::ForwardedReports(..) if waited > BATCH_WAITS_MS => {}
@@ -139,15 +139,15 @@
         let cost = cost_us(&input);
         let life = self.nodes[node].life;
         self.step_now(node, input);
-        let machines = self.workers.len();
-        let Some(core) = self.nodes[node].core.as_mut() else {
+        let machines = self.agents.len();
+        let Some(core) = self.nodes[node].process.as_mut() else {
             return;
         };
         let cost = cost + long_step_us(core.long_step(), machines);
         let took = self.nodes[node].work.take_time(cost);
         self.nodes[node].work.busy_until = self.now + took;
         let ended = self.clock(node).time + Span(took);
-        if let Some(core) = self.nodes[node].core.as_mut() {
+        if let Some(core) = self.nodes[node].process.as_mut() {
             core.step_ended(ended, Span(took));
         }
         if is_tick {
--- a/crates/core/tests/sim/world/rules.rs
+++ b/crates/core/tests/sim/world/rule_checks.rs
@@ -9,28 +9,28 @@
             if let Command::Start { task, .. } = command {
                 let told = self.jobs.get(&task.job).and_then(|t| t.cancelled_at);
                 if let Some(at) = told {
-                    self.starts_of_cancelled
+                    self.starts_after_cancellation
                         .push((task.job.clone(), self.now - at));
                 }
             }
         }
     }
 
-    /// Once there are no troubles, no job is left waiting for 90 s while a machine that fits has room and
+    /// Once there are no faults, no job is left waiting for 90 s while a machine that fits has room and
     /// its team is under its limit. Replicas run only within quota (docs/questions.md), so they are not
     /// looked at; nor are gangs, whose room must be there all at once.
     pub(super) fn check_waiting(&mut self) {
-        let Some(calm) = self
-            .calm_since
-            .filter(|_| !self.plan.crowd && !self.plan.large)
+        let Some(end_faults) = self
+            .faults_ended_at
+            .filter(|_| !self.scenario.crowd && !self.scenario.large)
         else {
             return;
         };
         let mut used: BTreeMap<String, f64> = BTreeMap::new();
         let mut room: Vec<(String, bool, f64)> = Vec::new();
-        for worker in self.workers.values() {
+        for agent in self.agents.values() {
             let mut free = 4.0;
-            for task in worker
+            for task in agent
                 .tasks
                 .values()
                 .filter(|t| t.state != TaskState::Exited)
@@ -39,14 +39,18 @@
                 free -= spec.cpus;
                 *used.entry(spec.team.to_string()).or_default() += spec.cpus;
             }
-            room.push((worker.zone().into(), worker.is_spot(), free));
+            room.push((agent.zone().into(), agent.is_spot(), free));
         }
         let there: BTreeMap<JobId, usize> = (self.jobs.keys())
             .map(|id| (id.clone(), self.tasks_of(id)))
             .collect();
-        let (now, (red, blue)) = (self.now, self.plan.limits);
+        let (now, (red, blue)) = (self.now, self.scenario.limits);
         let called_off: BTreeSet<JobId> = (self.jobs.keys())
-            .filter(|id| self.ancestors(id).iter().any(|a| self.jobs[a].withdrawn))
+            .filter(|id| {
+                self.ancestors(id)
+                    .iter()
+                    .any(|a| self.jobs[a].cancel_requested)
+            })
             .cloned()
             .collect();
         for (id, told) in &mut self.jobs {
@@ -54,7 +58,7 @@
             let done = self.results.get(id).map_or(0, BTreeSet::len);
             let waits = told.accepted
                 && told.ready_at.is_some()
-                && !told.withdrawn
+                && !told.cancel_requested
                 && !called_off.contains(id)
                 && spec.kind == Kind::Array
                 && done + there[id] < spec.tasks as usize;
@@ -70,17 +74,17 @@
                     && spec.zone.as_ref().is_none_or(|z| z.as_str() == zone)
             });
             if !(waits && under && fits) {
-                told.fits_since = None;
+                told.startable_since = None;
                 continue;
             }
-            let since = *told.fits_since.get_or_insert(now.max(calm));
+            let since = *told.startable_since.get_or_insert(now.max(end_faults));
             assert!(now <= since + 90_000, "left waiting: {id} at {now}");
         }
     }
 
     /// Tasks of a job that are on machines or on their way to run there.
     fn tasks_of(&self, id: &JobId) -> usize {
-        let tasks = self.workers.values().flat_map(|w| w.tasks.values());
+        let tasks = self.agents.values().flat_map(|w| w.tasks.values());
         tasks
             .filter(|t| t.task.job == *id && t.state != TaskState::Exited)
             .count()
@@ -90,14 +94,14 @@
     /// hear of it may start one more before its own lease has ended.
     pub fn check_starts(&self) {
         let late = |(_, after): &&(JobId, u64)| *after > 3_100;
-        let late: Vec<_> = self.starts_of_cancelled.iter().filter(late).collect();
+        let late: Vec<_> = self.starts_after_cancellation.iter().filter(late).collect();
         assert!(late.is_empty(), "starts of cancelled jobs: {late:?}");
     }
 
     /// At the end of a day: at least half of each class, of each team and of the largest jobs of
     /// each class were served, and the largest began in time.
     pub fn check_served(&self) {
-        let jobs: Vec<&Told> = (self.jobs.values())
+        let jobs: Vec<&ObservedJob> = (self.jobs.values())
             .filter(|t| t.accepted && t.cancelled_at.is_none())
             .filter(|t| (t.ready_at).is_some_and(|at| self.now > at + BEGIN_MS))
             // Replicas run only within quota, and users here ask for more.
@@ -133,7 +137,7 @@
 
     /// How many tasks of a job are on machines.
     pub fn on_machines(&self, id: &JobId) -> usize {
-        let tasks = self.workers.values().flat_map(|w| w.tasks.values());
+        let tasks = self.agents.values().flat_map(|w| w.tasks.values());
         tasks
             .filter(|t| t.task.job == *id && t.on_machine())
             .count()
@@ -145,31 +149,31 @@
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: BTreeMap<&JobId, BTreeMap<&str, u32>> = BTreeMap::new();
         let mut left: Vec<String> = Vec::new();
-        for worker in self.workers.values_mut() {
+        for agent in self.agents.values_mut() {
             // A machine that hangs goes on within its lease or not at all.
-            worker.expire(self.now, self.plan.lease_s * 1_000);
+            agent.expire(self.now, self.scenario.lease_s * 1_000);
         }
         self.starts = self
-            .workers
+            .agents
             .values()
             .map(|w| w.starts)
             .sum::<u32>()
             .max(self.starts);
-        for worker in self.workers.values() {
-            for task in worker.tasks.values().filter(|t| t.on_machine()) {
+        for agent in self.agents.values() {
+            for task in agent.tasks.values().filter(|t| t.on_machine()) {
                 let told = &self.jobs[&task.task.job];
                 *places
                     .entry((task.task.job.clone(), task.task.index))
                     .or_default() += 1;
                 *used.entry(told.spec.team.as_str()).or_default() += told.spec.cpus;
                 let zone = zones.entry(&told.spec.id).or_default();
-                *zone.entry(worker.zone()).or_default() += 1;
+                *zone.entry(agent.zone()).or_default() += 1;
                 let cancelled = self.cancelled_since(&task.task.job);
-                if cancelled.is_some_and(|at| self.now > at + self.plan.cancel_ms()) {
+                if cancelled.is_some_and(|at| self.now > at + self.scenario.cancel_ms()) {
                     left.push(task.task.to_string());
                 }
                 assert!(
-                    told.spec.spot || !worker.is_spot(),
+                    told.spec.spot || !agent.is_spot(),
                     "wrong_place: {}",
                     task.task
                 );
@@ -178,7 +182,7 @@
         for ((job, index), n) in &places {
             assert!(*n < 2, "ran_twice: {job}/{index} at {}", self.now);
         }
-        let (red, blue) = self.plan.team_limits();
+        let (red, blue) = self.scenario.team_limits();
         let limits = [("red", f64::from(red)), ("blue", f64::from(blue))];
         for (team, limit) in limits {
             assert!(used.get(team).is_none_or(|u| *u <= limit), "quota: {team}");
@@ -186,12 +190,12 @@
         let full = limits
             .iter()
             .all(|(team, limit)| used.get(team).is_some_and(|u| *u + 1.0 >= *limit));
-        if full && !self.plan.crowd && !self.plan.large {
-            match self.troubles.last_mut() {
-                Some((Trouble::TeamsAtLimit, _, until)) => *until = self.now,
+        if full && !self.scenario.crowd && !self.scenario.large {
+            match self.faults_seen.last_mut() {
+                Some((Fault::TeamsAtLimit, _, until)) => *until = self.now,
                 _ => self
-                    .troubles
-                    .push((Trouble::TeamsAtLimit, self.now, self.now)),
+                    .faults_seen
+                    .push((Fault::TeamsAtLimit, self.now, self.now)),
             }
         }
         for (job, zones) in zones {
--- a/crates/core/tests/sim/world/plan.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -1,12 +1,12 @@
 //! What kind of world it is, and the settings that its nodes are started with.
 
-use super::super::stores::{Limits, LIMITS};
-use super::Trouble;
+use super::store::{Limits, LIMITS};
+use super::Fault;
 use rudderreel_wire::settings::Settings;
 
 /// What kind of world it is.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     pub nodes: usize,
     /// Machines that the cloud has.
     pub machines: usize,
@@ -15,15 +15,15 @@
     /// Users submit more than there is room for: small arrays all the time, from one team mostly,
     /// and a few large ones among them.
     pub crowd: bool,
-    /// Workers report to all nodes however few they are.
+    /// Agents report to all nodes however few they are.
     pub spread: bool,
-    /// Seconds that a worker's lease lasts, and between its reports.
+    /// Seconds that a agent's lease lasts, and between its reports.
     pub lease_s: u64,
     pub report_s: f64,
     /// Jobs have many tasks.
     pub large: bool,
-    /// Only these troubles come; all that there are if none are named.
-    pub only: Vec<Trouble>,
+    /// Only these faults come; all that there are if none are named.
+    pub only: Vec<Fault>,
     /// Whole zones are cut off, too.
     pub zones: bool,
     /// Milliseconds from one look at a user's turn to the next, at most.
@@ -44,7 +44,7 @@
     pub rush: bool,
     /// Half of the jobs depend on up to three earlier ones.
     pub pipelines: bool,
-    /// When the state service lowers its limits, and to what.
+    /// When the store lowers its limits, and to what.
     pub lower_limits: Option<(u64, Limits)>,
     /// Whether the settings announce the lower limits.
     pub announced: bool,
@@ -56,7 +56,7 @@
     pub cancel_s: u64,
     /// Seconds that a gang's task waits for the others.
     pub gang_wait_s: u64,
-    /// What the state service takes.
+    /// What the store takes.
     pub store: Limits,
     /// Calls a second that the cloud takes.
     pub cloud_rps: f64,
@@ -73,7 +73,7 @@
     pub core_share: Option<f64>,
 }
 
-impl Default for Plan {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             nodes: 3,
@@ -112,7 +112,7 @@
     }
 }
 
-impl Plan {
+impl Scenario {
     /// CPUs that the two teams may use.
     pub(super) fn team_limits(&self) -> (u32, u32) {
         if self.crowd || self.large {
@@ -130,11 +130,12 @@
 
     /// The settings of a node.
     pub(super) fn settings(&self, me: usize) -> Settings {
-        let plan = self;
-        let (nodes, lease, report) = (plan.nodes, plan.lease_s, plan.report_s);
-        let (red, blue) = plan.team_limits();
-        let (cancel, gang_wait, cloud_rps) = (plan.cancel_s, plan.gang_wait_s, plan.cloud_rps);
-        let zones = serde_json::to_string(plan.zone_names).expect("JSON");
+        let scenario = self;
+        let (nodes, lease, report) = (scenario.nodes, scenario.lease_s, scenario.report_s);
+        let (red, blue) = scenario.team_limits();
+        let (cancel, gang_wait, cloud_rps) =
+            (scenario.cancel_s, scenario.gang_wait_s, scenario.cloud_rps);
+        let zones = serde_json::to_string(scenario.zone_names).expect("JSON");
         let mut text = format!(
         "node = \"n{me}\"\ndomain = \"z{me}\"\nfront = \"10.0.0.{me}:1\"\npeer_bind = \"10.0.0.{me}:2\"\n"
     );
@@ -150,12 +151,12 @@
         [params.workers]\nreport_s = {report}\nlease_s = {lease}.0\ngang_wait_s = {gang_wait}.0\ngang_peer_s = 2.0\n\
         cancel_s = {cancel}.0\n[params.cloud]\nrps = {cloud_rps:.1}\nlist_lag_s = 3.0\n[params.state]\n"
     );
-        text += &limits_as_toml(&plan.store);
-        if let Some((_, lower)) = plan.lower_limits.filter(|_| plan.announced) {
+        text += &limits_as_toml(&scenario.store);
+        if let Some((_, lower)) = scenario.lower_limits.filter(|_| scenario.announced) {
             text += "[params.state.next]\n";
             text += &limits_as_toml(&lower);
         }
-        if let Some(share) = plan.core_share {
+        if let Some(share) = scenario.core_share {
             text += &format!("[params.machine_limits]\ncore_share = {share}\n");
         }
         Settings::parse(&text).expect("the settings are valid")
--- a/crates/core/tests/sim/stores.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -1,14 +1,12 @@
-//! Stand-ins for the state service and the cloud, plain and small.
+//! A stand-in for the store: keys with versions, transactions, leases, a watch, and limits that it enforces.
 
-use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
-use rudderreel_wire::cloud::{
-    Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, Rent,
-};
-use rudderreel_wire::ids::{LeaseId, MachineId, Version};
+use super::rate_limit::RateLimit;
+use rudderreel_core::{StoreAnswer, StoreCall, Value};
+use rudderreel_wire::ids::{LeaseId, Version};
 use rudderreel_wire::state::{Change, Event, Item, Page, Transaction};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// What the state service takes. Bursts of a second's worth are allowed.
+/// What the store takes. Bursts of a second's worth are allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Requests a second, and changes a second.
@@ -34,34 +32,14 @@
 
 /// Bytes that the items of a page hold at most, by the protocol.
 const PAGE_BYTES: usize = 512 * 1024;
-/// Machines on a page of the cloud's list at most, by the protocol.
-const LISTED: usize = 500;
-
-/// A limit of so many a second.
-#[derive(Default)]
-struct Bucket {
-    full_at: u64,
-}
-
-impl Bucket {
-    fn take(&mut self, n: u64, per_s: u64, now: u64) -> bool {
-        let cost = n * 1_000 / per_s;
-        let from = self.full_at.max(now);
-        let fits = from + cost <= now + 1_000;
-        if fits {
-            self.full_at = from + cost;
-        }
-        fits
-    }
-}
 
-/// The state service.
+/// The store.
 pub struct Store {
     pub limits: Limits,
     /// How many transactions were rejected as too large.
     pub rejected: u32,
-    requests: Bucket,
-    writes: Bucket,
+    requests: RateLimit,
+    writes: RateLimit,
     /// Calls refused for its limits.
     pub limited: u32,
     keys: BTreeMap<String, Item<Value>>,
@@ -77,8 +55,8 @@
         Self {
             limits: LIMITS,
             rejected: 0,
-            requests: Bucket::default(),
-            writes: Bucket::default(),
+            requests: RateLimit::default(),
+            writes: RateLimit::default(),
             limited: 0,
             keys: BTreeMap::new(),
             log: Vec::new(),
@@ -91,7 +69,7 @@
 }
 
 impl Store {
-    /// A state service with limits.
+    /// A store with limits.
     pub fn of(limits: Limits) -> Self {
         Self {
             limits,
@@ -327,134 +305,3 @@
         }
     }
 }
-
-/// The cloud: one type, two zones, few spot machines.
-#[derive(Default)]
-pub struct Cloud {
-    asked: BTreeMap<String, Vec<MachineId>>,
-    machines: BTreeMap<MachineId, (Rent, u64)>,
-    /// Those that are not up yet.
-    booting: BTreeSet<MachineId>,
-    /// Those that were returned since this was last asked.
-    gone: Vec<MachineId>,
-    next: u32,
-    most: usize,
-    /// How long machines take to come up, at least and at most.
-    boot_ms: (u64, u64),
-    zones: &'static [&'static str],
-    /// Its interface is down.
-    pub down: bool,
-}
-
-impl Cloud {
-    /// A cloud with so many machines.
-    pub fn of(most: usize, boot_ms: (u64, u64), zones: &'static [&'static str]) -> Self {
-        Self {
-            most,
-            boot_ms,
-            zones,
-            ..Self::default()
-        }
-    }
-
-    /// How long a machine takes to come up: some sooner, some later.
-    fn boot(&self, id: &MachineId) -> u64 {
-        let n = id.as_str().bytes().map(u64::from).sum::<u64>() % 7;
-        self.boot_ms.0 + (self.boot_ms.1 - self.boot_ms.0) * n / 6
-    }
-
-    pub fn has(&self, id: &MachineId) -> bool {
-        self.machines.contains_key(id)
-    }
-
-    /// Machines that have come up since the last time.
-    pub fn booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
-        let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot(id);
-        let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
-        let rented = |id: MachineId| {
-            self.booting.remove(&id);
-            let rent = self.machines[&id].0.clone();
-            (id, rent)
-        };
-        new.into_iter().map(rented).collect()
-    }
-
-    /// Machines that were returned since this was last asked.
-    pub fn gone(&mut self) -> Vec<MachineId> {
-        std::mem::take(&mut self.gone)
-    }
-
-    pub fn call(&mut self, call: &CloudCall, now: u64) -> CloudAnswer {
-        if self.down {
-            return CloudAnswer::Refused;
-        }
-        match call {
-            CloudCall::Catalog => CloudAnswer::Catalog(Catalog {
-                types: vec![MachineType {
-                    name: "m4".into(),
-                    cpus: 4.0,
-                    gpus: 0.0,
-                    memory_gb: 16.0,
-                    cache_gb: 10.0,
-                    fetch_gb_per_s: 1.0,
-                    price: 1.0,
-                    spot_price: Some(0.3),
-                    boot_s: 4.0,
-                    zones: self.zones.iter().map(|zone| (*zone).into()).collect(),
-                }],
-            }),
-            CloudCall::Rent(rent) => {
-                if let Some(machines) = self.asked.get(&rent.request) {
-                    let machines = machines.clone();
-                    return CloudAnswer::Rented(MachineNames { machines });
-                }
-                let room = self
-                    .most
-                    .saturating_sub(self.machines.len())
-                    .min(rent.count as usize);
-                if room == 0 {
-                    return CloudAnswer::NoCapacity;
-                }
-                let machines: Vec<MachineId> = (0..room).map(|_| self.add(rent, now)).collect();
-                self.asked.insert(rent.request.clone(), machines.clone());
-                CloudAnswer::Rented(MachineNames { machines })
-            }
-            CloudCall::Return(names) => {
-                for id in &names.machines {
-                    self.machines.remove(id);
-                    self.booting.remove(id);
-                    self.gone.push(id.clone());
-                }
-                CloudAnswer::Returned
-            }
-            CloudCall::List(after) => {
-                let mut machines: Vec<ListedMachine> = (self.machines.iter())
-                    .filter(|(id, (_, at))| {
-                        now >= at + 3_000 && after.as_ref().is_none_or(|a| *id > a)
-                    })
-                    .map(|(id, (rent, at))| ListedMachine {
-                        id: id.clone(),
-                        addr: None,
-                        machine_type: rent.machine_type.clone(),
-                        zone: rent.zone.clone(),
-                        spot: rent.spot,
-                        state: ListedState::Running,
-                        age_s: (now - at) as f64 / 1000.0,
-                    })
-                    .take(LISTED + 1)
-                    .collect();
-                let more = machines.len() > LISTED;
-                machines.truncate(LISTED);
-                CloudAnswer::Page(MachinePage { machines, more })
-            }
-        }
-    }
-
-    fn add(&mut self, rent: &Rent, now: u64) -> MachineId {
-        self.next += 1;
-        let id = MachineId::from(format!("vm-{:06}", self.next).as_str());
-        self.machines.insert(id.clone(), (rent.clone(), now));
-        self.booting.insert(id.clone());
-        id
-    }
-}
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -14,8 +14,8 @@
         for id in ended {
             self.ended.insert(id.clone());
             if self.now < self.cancel_at_end_until && self.rng.random_bool(0.6) {
-                let node = self.rng.random_range(0..self.plan.nodes);
-                self.user_asks(node, &id, Asked::Cancel);
+                let node = self.rng.random_range(0..self.scenario.nodes);
+                self.user_asks(node, &id, UserAction::Cancel);
                 self.look_closely(&id);
             }
         }
@@ -23,23 +23,25 @@
 
     /// A user asks at all nodes within milliseconds, and repeats the submission.
     pub(super) fn look_closely(&mut self, id: &JobId) {
-        for node in 0..self.plan.nodes {
-            for asked in [Asked::Status, Asked::Submit] {
+        for node in 0..self.scenario.nodes {
+            for action in [UserAction::Status, UserAction::Submit] {
                 let delay = self.rng.random_range(0..12);
-                self.after(delay, Event::Look(node, id.clone(), asked));
+                self.after(delay, Event::UserAction(node, id.clone(), action));
             }
         }
     }
 
     pub(super) fn user(&mut self) {
-        let next = self.rng.random_range(self.plan.pace / 4..self.plan.pace);
+        let next = self
+            .rng
+            .random_range(self.scenario.pace / 4..self.scenario.pace);
         self.after(next, Event::User);
-        let share = if self.plan.rush { 1.0 } else { 0.15 };
-        if self.next_job < self.plan.jobs && self.rng.random_bool(share) {
+        let share = if self.scenario.rush { 1.0 } else { 0.15 };
+        if self.next_job < self.scenario.jobs && self.rng.random_bool(share) {
             self.next_job += 1;
-            let spec = if self.plan.rush {
+            let spec = if self.scenario.rush {
                 self.small_job()
-            } else if self.plan.crowd {
+            } else if self.scenario.crowd {
                 self.crowd_job()
             } else {
                 self.new_job()
@@ -53,29 +55,29 @@
         let id = ids[self.rng.random_range(0..ids.len())].clone();
         let told = &self.jobs[&id];
         let service = told.spec.kind == Kind::Service;
-        let asked = if !told.accepted || self.rng.random_bool(0.05) {
-            Asked::Submit
+        let action = if !told.accepted || self.rng.random_bool(0.05) {
+            UserAction::Submit
         } else if self.rng.random_bool(if service { 0.05 } else { 0.02 }) {
-            Asked::Cancel
+            UserAction::Cancel
         } else {
-            Asked::Status
+            UserAction::Status
         };
-        let node = self.rng.random_range(0..self.plan.nodes);
-        self.user_asks(node, &id, asked);
+        let node = self.rng.random_range(0..self.scenario.nodes);
+        self.user_asks(node, &id, action);
     }
 
     /// A job that a user is about to submit.
     pub fn add_job(&mut self, spec: JobSpec) {
-        let told = Told {
+        let told = ObservedJob {
             spec: spec.clone(),
             accepted: false,
             last: None,
             cancelled_at: None,
-            withdrawn: false,
-            fits_since: None,
-            run_ms: match self.plan.run_ms {
+            cancel_requested: false,
+            startable_since: None,
+            run_ms: match self.scenario.run_ms {
                 Some(range) => range,
-                None if self.plan.uneven => (1_000, 13_000),
+                None if self.scenario.uneven => (1_000, 13_000),
                 None => (4_000, 0),
             },
             final_at: 0,
@@ -89,39 +91,39 @@
     }
 
     /// A user asks something of a node, if it is up.
-    pub fn user_asks(&mut self, node: usize, id: &JobId, asked: Asked) {
-        let request = match asked {
-            Asked::Submit => UserRequest::Submit(Box::new(self.jobs[id].spec.clone())),
-            Asked::Status => UserRequest::Status(id.clone()),
-            Asked::Cancel => UserRequest::Cancel(id.clone()),
+    pub fn user_asks(&mut self, node: usize, id: &JobId, action: UserAction) {
+        let request = match action {
+            UserAction::Submit => UserRequest::Submit(Box::new(self.jobs[id].spec.clone())),
+            UserAction::Status => UserRequest::Status(id.clone()),
+            UserAction::Cancel => UserRequest::Cancel(id.clone()),
         };
-        if asked == Asked::Cancel {
-            self.jobs.get_mut(id).expect("a job").withdrawn = true;
+        if action == UserAction::Cancel {
+            self.jobs.get_mut(id).expect("a job").cancel_requested = true;
         }
-        if self.nodes[node].core.is_some() {
-            let req = self.ask(node, Asker::User(id.clone(), asked, self.now));
+        if self.nodes[node].process.is_some() {
+            let req = self.ask(node, Requester::User(id.clone(), action, self.now));
             self.step(node, Input::User(req, request));
         }
     }
 
     pub(super) fn new_job(&mut self) -> JobSpec {
         let rng = &mut self.rng;
-        let kinds = if self.plan.no_replicas { 2 } else { 3 };
+        let kinds = if self.scenario.no_replicas { 2 } else { 3 };
         let kind = ["sweep", "gang", "standing"][rng.random_range(0..kinds)];
         let team = ["red", "blue"][rng.random_range(0..2)];
         let priority = if kind == "standing" { "prod" } else { "normal" };
-        let tasks = match (self.plan.large, kind) {
+        let tasks = match (self.scenario.large, kind) {
             (true, "sweep") => rng.random_range(20..60),
             (true, "gang") => rng.random_range(4..16),
             _ => rng.random_range(1..5),
         };
         let together = kind == "gang" && rng.random_bool(0.5);
-        let scatter = kind == "standing" && !self.plan.bound && rng.random_bool(0.5);
-        let berth =
-            (self.plan.bound && rng.random_bool(0.5)).then(|| ["a", "b"][rng.random_range(0..2)]);
+        let scatter = kind == "standing" && !self.scenario.bound && rng.random_bool(0.5);
+        let berth = (self.scenario.bound && rng.random_bool(0.5))
+            .then(|| ["a", "b"][rng.random_range(0..2)]);
         let needs = self.some_dependencies();
         let expected_s =
-            (self.plan.run_ms).map_or(4.0, |(least, more)| (least + more / 2) as f64 / 1e3);
+            (self.scenario.run_ms).map_or(4.0, |(least, more)| (least + more / 2) as f64 / 1e3);
         let rng = &mut self.rng;
         let value = serde_json::json!({
             "id": format!("wk-{:06}", self.next_job), "reel": kind, "crew": team, "rig": kind,
@@ -143,19 +145,19 @@
         let id = spec.id.clone();
         // A submission is repeated; that of an accepted job is answered, too.
         for again in 0..12 {
-            let node = self.rng.random_range(0..self.plan.nodes);
+            let node = self.rng.random_range(0..self.scenario.nodes);
             self.after(
                 1 + again * 4_000,
-                Event::Look(node, id.clone(), Asked::Submit),
+                Event::UserAction(node, id.clone(), UserAction::Submit),
             );
         }
         if self.rng.random_bool(0.25) {
             let delay = self.rng.random_range(50..9_000);
             for again in 0..12 {
-                let node = self.rng.random_range(0..self.plan.nodes);
+                let node = self.rng.random_range(0..self.scenario.nodes);
                 self.after(
                     delay + again * 4_000,
-                    Event::Look(node, id.clone(), Asked::Cancel),
+                    Event::UserAction(node, id.clone(), UserAction::Cancel),
                 );
             }
         }
@@ -163,14 +165,14 @@
     }
 
     /// Submissions that can't be accepted, and cancellations of jobs that are over.
-    pub(super) fn odd_requests(&mut self) {
-        let node = self.rng.random_range(0..self.plan.nodes);
-        if self.nodes[node].core.is_none() {
+    pub(super) fn submit_invalid_requests(&mut self) {
+        let node = self.rng.random_range(0..self.scenario.nodes);
+        if self.nodes[node].process.is_none() {
             return;
         }
         let mut spec = self.new_job();
-        self.next_odd += 1;
-        spec.id = format!("wk-{}", 900_000 + self.next_odd)
+        self.next_invalid += 1;
+        spec.id = format!("wk-{}", 900_000 + self.next_invalid)
             .parse()
             .expect("an id");
         match self.rng.random_range(0..6) {
@@ -181,15 +183,15 @@
             2 => spec.types = Some(vec!["m-none".into()]),
             _ => (spec.kind, spec.tasks, spec.cpus) = (Kind::Gang, 90_000, 4.0),
         }
-        let req = self.ask(node, Asker::Odd(spec.id.clone()));
+        let req = self.ask(node, Requester::InvalidSubmission(spec.id.clone()));
         self.step(node, Input::User(req, UserRequest::Submit(Box::new(spec))));
-        let over = |t: &&Told| matches!(t.last, Some(JobState::Done | JobState::Cancelled));
+        let over = |t: &&ObservedJob| matches!(t.last, Some(JobState::Done | JobState::Cancelled));
         let over: Vec<JobId> = (self.jobs.values().filter(over))
             .map(|t| t.spec.id.clone())
             .collect();
         if !over.is_empty() {
             let id = over[self.rng.random_range(0..over.len())].clone();
-            self.user_asks(node, &id, Asked::Cancel);
+            self.user_asks(node, &id, UserAction::Cancel);
             self.look_closely(&id);
         }
     }
@@ -217,20 +219,20 @@
         serde_json::from_value(value).expect("a job")
     }
 
-    /// Once there are no troubles, every job is asked after at each node in turn, and each must
+    /// Once there are no faults, every job is asked after at each node in turn, and each must
     /// answer in time: a refusal is no answer.
     pub(super) fn sweep(&mut self, round: usize) {
-        self.after(5_000, Event::Sweep(round + 1));
+        self.after(5_000, Event::StatusSweep(round + 1));
         self.check_waiting();
-        let node = round % self.plan.nodes;
-        let since = self.calm_since.unwrap_or(self.now);
+        let node = round % self.scenario.nodes;
+        let since = self.faults_ended_at.unwrap_or(self.now);
         let ids: Vec<JobId> = (self.jobs.iter())
             .filter(|(_, t)| t.accepted)
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
             let told = &self.jobs[&id];
-            for n in 0..self.plan.nodes {
+            for n in 0..self.scenario.nodes {
                 let answered = told.answered.get(&n).copied().unwrap_or(0);
                 let last = answered.max(told.accepted_at).max(since);
                 assert!(
@@ -239,14 +241,24 @@
                     self.now
                 );
             }
-            if self.nodes[node].core.is_some() {
-                let req = self.ask(node, Asker::User(id.clone(), Asked::Status, self.now));
+            if self.nodes[node].process.is_some() {
+                let req = self.ask(
+                    node,
+                    Requester::User(id.clone(), UserAction::Status, self.now),
+                );
                 self.step(node, Input::User(req, UserRequest::Status(id)));
             }
         }
     }
 
-    pub(super) fn told(&mut self, id: &JobId, asked: Asked, at: u64, status: u16, body: &str) {
+    pub(super) fn job_answered(
+        &mut self,
+        id: &JobId,
+        action: UserAction,
+        at: u64,
+        status: u16,
+        body: &str,
+    ) {
         let now = self.now;
         let told = self.jobs.get_mut(id).expect("a known job");
         if status == 503 {
@@ -257,7 +269,7 @@
             return;
         }
         assert!(
-            status == 200 || (status == 201 && asked == Asked::Submit),
+            status == 200 || (status == 201 && action == UserAction::Submit),
             "{id} got {status}: {body}"
         );
         let value: Value = serde_json::from_str(body).expect("JSON");
@@ -291,21 +303,24 @@
         let told = self.jobs.get_mut(id).expect("a known job");
         let news = told.last.is_none() || told.last != Some(state);
         told.last = Some(state);
-        if news && now < self.close_looks_until {
+        if news && now < self.rapid_status_until {
             self.look_closely(id);
             if state == JobState::Queued && self.rng.random_bool(0.2) {
-                let node = self.rng.random_range(0..self.plan.nodes);
-                self.jobs.get_mut(id).expect("a job").withdrawn = true;
+                let node = self.rng.random_range(0..self.scenario.nodes);
+                self.jobs.get_mut(id).expect("a job").cancel_requested = true;
                 let delay = self.rng.random_range(0..12);
-                self.after(delay, Event::Look(node, id.clone(), Asked::Cancel));
+                self.after(
+                    delay,
+                    Event::UserAction(node, id.clone(), UserAction::Cancel),
+                );
             }
         }
     }
 
-    /// A user withdraws a job and is gone before the answer comes.
+    /// A user cancels a job and is gone before the answer comes.
     pub fn withdraw_and_leave(&mut self, node: usize, id: &JobId) {
-        self.jobs.get_mut(id).expect("a job").withdrawn = true;
-        let req = self.ask(node, Asker::Nobody);
+        self.jobs.get_mut(id).expect("a job").cancel_requested = true;
+        let req = self.ask(node, Requester::Nobody);
         self.step(node, Input::User(req, UserRequest::Cancel(id.clone())));
     }
 }
