--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -12,7 +12,7 @@
 //! lease may tell of a job of which surely nothing is left: what no machine holds nobody keeps alive.
 
 use crate::api::user_requests::Waiting;
-use crate::store::records::KnownRecord;
+use crate::store::records::WatermarkRecord;
 use crate::units::Time;
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,7 +46,7 @@
     /// What the other nodes are asked to write that they know, and what they ask.
     pub(crate) watermark_wanted: Version,
     pub(crate) watermark_asked_for: Version,
-    pub(crate) written: KnownRecord,
+    pub(crate) written: WatermarkRecord,
     pub(crate) next_write: Time,
     pub(crate) writing: bool,
 }
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -6,7 +6,8 @@
 use crate::cache::dependencies::DependencyGraph;
 use crate::io::Value;
 use crate::store::records::{
-    JobRecord, KnownRecord, LeaderKey, LeaderRecord, ADMIN, CATALOG, JOBS, KNOWN, MACHINE_TYPES,
+    JobRecord, LeaderKey, LeaderRecord, WatermarkRecord, ADMIN_SETTINGS_KEY, CATALOG_KEY,
+    GATED_CATALOG_KEY, JOB_PREFIX, WATERMARK_PREFIX,
 };
 use crate::units::Wall;
 use rudderreel_wire::admin::AdminSettings;
@@ -83,7 +84,7 @@
     /// How often a record could not be read.
     pub unreadable: u64,
     /// What other nodes have written about the cancellations that they know.
-    pub peer_watermarks: BTreeMap<NodeName, KnownRecord>,
+    pub peer_watermarks: BTreeMap<NodeName, WatermarkRecord>,
 }
 
 impl JobCache {
@@ -251,24 +252,24 @@
                 Some(record) => self.update_leader(leader_key, version, Some((version, record))),
                 None => self.record_unreadable(key, &"no leader's record"),
             }
-        } else if key == ADMIN {
+        } else if key == ADMIN_SETTINGS_KEY {
             match serde_json::from_value(value.clone()) {
                 Ok(settings) => self.admin = Some((version, settings)),
                 Err(e) => self.record_unreadable(key, &e),
             }
-        } else if key == CATALOG {
+        } else if key == CATALOG_KEY {
             self.catalog = serde_json::from_value(value.clone()).ok();
             self.catalog_in_common_key = true;
-        } else if key == MACHINE_TYPES {
+        } else if key == GATED_CATALOG_KEY {
             // Null if they are too large to be stored.
             self.catalog = serde_json::from_value(value.clone()).ok();
             self.catalog_in_gated_key = true;
-        } else if let Some(node) = key.strip_prefix(KNOWN) {
+        } else if let Some(node) = key.strip_prefix(WATERMARK_PREFIX) {
             match serde_json::from_value(value.clone()) {
                 Ok(record) => drop(self.peer_watermarks.insert(node.into(), record)),
                 Err(e) => self.record_unreadable(key, &e),
             }
-        } else if let Some(id) = key.strip_prefix(JOBS).and_then(|id| id.parse().ok()) {
+        } else if let Some(id) = key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok()) {
             match serde_json::from_value(value.clone()) {
                 Ok(record) => self.update_job(id, version, record),
                 Err(e) => self.record_unreadable(key, &e),
@@ -284,7 +285,7 @@
                 value,
                 version,
             } => self.apply_item(key, *version, value),
-            Event::Delete { key, .. } if key == CATALOG => self.catalog_in_common_key = false,
+            Event::Delete { key, .. } if key == CATALOG_KEY => self.catalog_in_common_key = false,
             Event::Delete { key, version } => match LeaderKey::of_name(key) {
                 Some(leader_key) => self.update_leader(leader_key, *version, None),
                 None => log::debug!("{key} was deleted"),
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -5,7 +5,7 @@
 pub use admin_request::AdminRequest;
 
 use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
-use rudderreel_wire::ids::{Epoch, JobId, LeaseId, MachineId, NodeName, Version};
+use rudderreel_wire::ids::{JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::peer::{
     Forward, ForwardedReports, ForwardedReportsReply, Heartbeat, HeartbeatReply,
@@ -224,8 +224,3 @@
 pub(crate) fn error_body(text: &str) -> String {
     serde_json::json!({ "error": text }).to_string()
 }
-
-/// The token as it is logged.
-pub(crate) fn show(epoch: Epoch) -> String {
-    format!("epoch {epoch}")
-}
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,6 +1,7 @@
 //! Everything that a node holds while it leads, composed of the parts that own it.
 
 pub mod policy;
+mod recovery;
 pub mod recovery_progress;
 
 use crate::cloud::scale_out_requests::ScaleOutRequests;
--- /dev/null
+++ b/crates/core/src/leader/recovery.rs
@@ -0,0 +1,96 @@
+//! Rebuilding the leader's view of machines and tasks from the segments of the placement log.
+//!
+//! What the log names may be on a machine or may not be: the leader before this one wrote it down first and sent the
+//! start afterwards. So each task counts as sent, and takes capacity, until a status report that acknowledges this
+//! leader's epoch shows what became of it.
+
+use super::Leader;
+use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::store::records::{SegmentId, SegmentMachine, SegmentRecord};
+use crate::units::Now;
+use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, MachineId, TaskId};
+
+/// The incarnation of an agent that is not known: no status report is of this one.
+const UNKNOWN_INCARNATION: Incarnation = Incarnation(u64::MAX);
+
+impl Leader {
+    /// Applies a segment that an earlier leader wrote.
+    pub(crate) fn recover_segment(&mut self, segment: SegmentId, record: SegmentRecord, now: Now) {
+        self.placement_log.register_segment(segment);
+        self.recover_job_progress(segment, &record);
+        for line in record.machines {
+            self.recover_machine(segment, &line);
+            for (job, attempt, indexes) in line.tasks {
+                for index in indexes {
+                    self.recover_task(segment, &line.id, job.task(index), attempt, now);
+                }
+            }
+        }
+    }
+
+    /// Notes which tasks are done and which jobs are suspected. Segments may be read in any order: only the newest
+    /// that names a job says whether it is suspected.
+    fn recover_job_progress(&mut self, segment: SegmentId, record: &SegmentRecord) {
+        for (id, ranges) in &record.done {
+            let Some(job) = self.jobs.get_mut(id) else {
+                continue;
+            };
+            if segment >= job.segment {
+                let tries = record.suspected.iter().find(|(of, _)| of == id);
+                job.failures.restore(tries.map_or(0, |(_, tries)| *tries));
+            }
+            job.restore_progress(segment, ranges);
+        }
+    }
+
+    fn recover_machine(&mut self, segment: SegmentId, line: &SegmentMachine) {
+        let capacity = self.policy.capacity_of(&line.machine_type);
+        let machine = (self.fleet.machines.entry(line.id.clone())).or_insert_with(|| {
+            let mut machine = Machine::new(
+                line.id.clone(),
+                line.machine_type.clone(),
+                line.zone.clone(),
+                line.spot,
+                capacity,
+                line.since,
+            );
+            machine.in_cloud_list = true;
+            machine
+        });
+        machine.segment = machine.segment.max(segment);
+    }
+
+    /// Accounts for a task that may be on a machine. Its job may not be known, since it is done or its record can't be
+    /// read; the task may be there all the same, and is stopped as soon as a status report names it.
+    fn recover_task(
+        &mut self,
+        segment: SegmentId,
+        machine: &MachineId,
+        task: TaskId,
+        attempt: Attempt,
+        now: Now,
+    ) {
+        let earlier_epoch = Epoch(self.term.epoch.0.saturating_sub(1));
+        let Some(found) = self.fleet.machines.get_mut(machine) else {
+            return;
+        };
+        if found.task_mut(&task, attempt).is_some() {
+            return;
+        }
+        let job = self.jobs.get_mut(&task.job);
+        let spec = job.as_ref().map(|job| job.spec.clone());
+        if let Some(job) = job {
+            job.place(task.index, machine, attempt);
+        }
+        let mut placed = PlacedTask::planned(task, attempt, spec, now.time);
+        placed.segment = segment;
+        placed.phase = Phase::Sent;
+        // The agent's incarnation at that time is not known: only a status report that acknowledges this epoch shows
+        // that the task is gone.
+        placed.start_sent = (earlier_epoch, UNKNOWN_INCARNATION);
+        found.tasks.push(placed);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/recovery_progress.rs
+++ b/crates/core/src/leader/recovery_progress.rs
@@ -1,28 +1,109 @@
-//! How far a new leader has come in reading the state back.
+//! How far a new leader has come in reading its predecessors' state from the store.
+//!
+//! Jobs are read before the segments of the placement log, which refer to them. Until both have been read nothing is
+//! decided; status reports that come before are held, the newest of each machine.
 
-use crate::units::Time;
+use crate::store::records::{JOB_PREFIX, SEGMENT_PREFIX};
+use crate::units::{Span, Time};
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::worker::StatusReport;
 use std::collections::BTreeMap;
 
-/// A page of the recovery that could not be read and has to be asked for again.
-#[derive(Clone, Debug)]
-pub struct RecoveryRetry {
-    /// When.
-    pub at: Time,
-    /// The prefix that is being read.
-    pub prefix: &'static str,
-    /// The key that the page begins after.
+/// A page that could not be read is asked for again after so long.
+const PAGE_RETRY_INTERVAL: Span = Span(150);
+
+/// What is read page by page to recover the state.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecoverySource {
+    /// The jobs' records.
+    Jobs,
+    /// The segments of the placement log.
+    Segments,
+}
+
+impl RecoverySource {
+    /// The prefix of its keys in the store.
+    pub fn prefix(self) -> &'static str {
+        match self {
+            Self::Jobs => JOB_PREFIX,
+            Self::Segments => SEGMENT_PREFIX,
+        }
+    }
+
+    /// What is read after it.
+    fn next(self) -> Option<Self> {
+        match self {
+            Self::Jobs => Some(Self::Segments),
+            Self::Segments => None,
+        }
+    }
+}
+
+/// A page of the recovery.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecoveryPage {
+    /// What is being read.
+    pub source: RecoverySource,
+    /// The key that the page begins after; none for the first.
     pub after: Option<String>,
 }
 
-/// What a new leader has read back so far.
+impl RecoveryPage {
+    /// The first page of the recovery.
+    pub fn first() -> Self {
+        Self::first_of(RecoverySource::Jobs)
+    }
+
+    fn first_of(source: RecoverySource) -> Self {
+        Self {
+            source,
+            after: None,
+        }
+    }
+
+    /// The page after this one, whose last key is known if there are more of the same source; none if all is read.
+    pub fn following(&self, last_key_if_more: Option<String>) -> Option<Self> {
+        if last_key_if_more.is_some() {
+            return Some(Self {
+                source: self.source,
+                after: last_key_if_more,
+            });
+        }
+        self.source.next().map(Self::first_of)
+    }
+}
+
+/// What a new leader has read so far.
 #[derive(Default)]
 pub struct RecoveryProgress {
-    /// Whether all state has been read back. Before that nothing is decided.
+    /// Whether all state has been read. Before that nothing is decided.
     pub is_complete: bool,
-    /// A page that has to be asked for again.
-    pub retry: Option<RecoveryRetry>,
+    /// A page that has to be asked for again, and when.
+    retry: Option<(Time, RecoveryPage)>,
     /// Newest status reports that came before that, by machine.
     pub early_reports: BTreeMap<MachineId, StatusReport>,
 }
+
+impl RecoveryProgress {
+    /// A page could not be read. It is asked for again, but not at once, or an outage would be filled with such calls.
+    pub fn retry_later(&mut self, page: RecoveryPage, now: Time) {
+        self.retry = Some((now + PAGE_RETRY_INTERVAL, page));
+    }
+
+    /// The page to ask for again now, if there is one.
+    pub fn take_due_retry(&mut self, now: Time) -> Option<RecoveryPage> {
+        let (_, page) = self.retry.take_if(|(at, _)| now >= *at)?;
+        Some(page)
+    }
+
+    /// All state has been read; returns the status reports that were held.
+    pub fn complete(&mut self) -> Vec<StatusReport> {
+        self.is_complete = true;
+        std::mem::take(&mut self.early_reports)
+            .into_values()
+            .collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -9,7 +9,7 @@
     LEASE_RENEWAL_INTERVAL,
 };
 use crate::io::{StoreAnswer, StoreCall, Value};
-use crate::store::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH, LEADER};
+use crate::store::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH_KEY, LEADER_KEY};
 use crate::store::transactions::put;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, LeaseId, Version};
@@ -32,7 +32,7 @@
         let lease = superseded.and_then(|(_, record)| record.lease_to_end());
         match lease {
             Some(lease) => (StoreCall::EndLease(lease), ElectionCall::EndSuperseded),
-            None => (StoreCall::Get(EPOCH.into()), ElectionCall::ReadEpoch),
+            None => (StoreCall::Get(EPOCH_KEY.into()), ElectionCall::ReadEpoch),
         }
     }
 
@@ -46,7 +46,7 @@
         if !matches!(answer, StoreAnswer::Done | StoreAnswer::Missing) {
             return self.give_up(now);
         }
-        let call = StoreCall::Get(EPOCH.into());
+        let call = StoreCall::Get(EPOCH_KEY.into());
         ElectionProgress::by(call, ElectionCall::ReadEpoch)
     }
 
@@ -94,7 +94,7 @@
         let record = LeaderRecord::new(self.me.clone(), epoch, lease);
         let mut claim = epoch_change(self.key, &record, Version(0), self.epoch_version);
         let common = self.superseded.map(|version| Condition {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             version,
         });
         claim.conditions.extend(common);
@@ -194,10 +194,10 @@
     let tombstone = record.tombstone(Some(record.lease));
     StoreCall::Commit(Transaction {
         conditions: vec![Condition {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             version: *version,
         }],
-        changes: vec![put(LEADER.into(), &tombstone)],
+        changes: vec![put(LEADER_KEY.into(), &tombstone)],
     })
 }
 
@@ -218,7 +218,7 @@
                 version: leader_version,
             },
             Condition {
-                key: EPOCH.into(),
+                key: EPOCH_KEY.into(),
                 version: epoch_version,
             },
         ],
@@ -229,7 +229,7 @@
                 lease: Some(record.lease),
             },
             Change::Put {
-                key: EPOCH.into(),
+                key: EPOCH_KEY.into(),
                 value: serde_json::to_value(epoch).unwrap_or_default(),
                 lease: None,
             },
--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -4,13 +4,16 @@
 //! that was replaced, or whose epoch was bumped by somebody else, can't write any more. The epoch is the fencing
 //! token that agents see.
 
-use super::election::{ElectionWin, ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL};
+use super::election::{
+    epoch_change, ElectionWin, ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL,
+};
 use super::version_gate::VersionGateStep;
+use crate::io::Value;
 use crate::store::records::{LeaderKey, LeaderRecord, SegmentId};
 use crate::store::transactions::condition;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Attempt, Epoch, LeaseId, NodeName, Version};
-use rudderreel_wire::state::Condition;
+use rudderreel_wire::state::{Condition, Transaction};
 use std::collections::BTreeMap;
 
 /// Attempts and segments are numbered within an epoch: so many bits are left for the number.
@@ -102,6 +105,37 @@
         self.epoch_bump.in_progress || self.version_gate.is_changing_key()
     }
 
+    /// Begins to bump the epoch; returns the epoch that the commit sets.
+    pub fn begin_epoch_bump(&mut self, now: Time) -> Epoch {
+        self.epoch_bump = EpochBump {
+            last_at: now,
+            in_progress: true,
+        };
+        Epoch(self.epoch.0 + 1)
+    }
+
+    /// The commit that bumps the epoch.
+    pub fn epoch_bump_commit(&self, node: &NodeName, epoch: Epoch) -> Transaction<Value> {
+        let record = LeaderRecord::new(node.clone(), epoch, self.lease_id);
+        epoch_change(self.key, &record, self.key_version, self.epoch_version)
+    }
+
+    /// The commit that bumps the epoch was carried out.
+    pub fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Time) {
+        self.epoch = epoch;
+        self.key_version = version;
+        self.epoch_version = version;
+        self.epoch_bump = EpochBump {
+            last_at: now,
+            in_progress: false,
+        };
+    }
+
+    /// The commit that bumps the epoch was not carried out, and will not be.
+    pub fn epoch_bump_refused(&mut self) {
+        self.epoch_bump.in_progress = false;
+    }
+
     /// The lease was renewed by a call sent at a moment.
     pub fn lease_renewed(&mut self, sent: Time) {
         self.lease_until = self.lease_until.max(lease_alive_until(sent));
--- a/crates/core/src/leadership/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -19,7 +19,7 @@
 
 use super::term::Term;
 use crate::io::Value;
-use crate::store::records::{LeaderRecord, LEADER, SEAT};
+use crate::store::records::{LeaderRecord, GATED_LEADER_KEY, LEADER_KEY};
 use crate::store::transactions::{condition, put};
 use crate::units::Time;
 use rudderreel_wire::ids::Version;
@@ -57,11 +57,14 @@
     /// on, and are sent again by the other.
     pub(crate) fn change_key(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
-            conditions: vec![self.key_condition(), condition(SEAT.into(), Version(0))],
+            conditions: vec![
+                self.key_condition(),
+                condition(GATED_LEADER_KEY.into(), Version(0)),
+            ],
             changes: vec![
-                put(LEADER.into(), &record.tombstone(None)),
+                put(LEADER_KEY.into(), &record.tombstone(None)),
                 Change::Put {
-                    key: SEAT.into(),
+                    key: GATED_LEADER_KEY.into(),
                     value: serde_json::to_value(record).unwrap_or_default(),
                     lease: Some(self.lease_id),
                 },
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -5,10 +5,11 @@
 use crate::io::AdminRequest;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
 use crate::leader::Leader;
-use crate::node::{Node, PendingCall};
+use crate::node::pending_call::PendingCall;
+use crate::node::Node;
 use crate::overload::fleet_limits::FleetLimits;
-use crate::store::calls::Urgency;
-use crate::store::records::ADMIN;
+use crate::store::calls::CallPriority;
+use crate::store::records::ADMIN_SETTINGS_KEY;
 use crate::units::Now;
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::ids::Version;
@@ -82,18 +83,18 @@
         }
         let transaction = Transaction {
             conditions: vec![Condition {
-                key: ADMIN.into(),
+                key: ADMIN_SETTINGS_KEY.into(),
                 version: new.version,
             }],
             changes: vec![Change::Put {
-                key: ADMIN.into(),
+                key: ADMIN_SETTINGS_KEY.into(),
                 value: serde_json::to_value(&new.settings).unwrap_or_default(),
                 lease: None,
             }],
         };
-        let purpose = PendingCall::Settings(req, Box::new(new.settings));
-        self.calls
-            .call(Urgency::User, StoreCall::Commit(transaction), purpose);
+        let purpose = PendingCall::ReplaceAdminSettings(req, Box::new(new.settings));
+        self.store_calls
+            .enqueue(CallPriority::User, StoreCall::Commit(transaction), purpose);
     }
 
     /// The answer to a change of settings.
--- a/crates/core/src/node/admission.rs
+++ b/crates/core/src/node/admission.rs
@@ -5,7 +5,7 @@
 use crate::cache::dependencies::Ancestry;
 use crate::io::{error_body, json, StoreAnswer, StoreCall, UserRequest};
 use crate::node::Node;
-use crate::store::records::{job_key, JobRecord, JOBS};
+use crate::store::records::{job_key, JobRecord, JOB_PREFIX};
 use crate::units::{Now, Resources};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::{JobAnswer, JobSpec, JobState, Kind};
@@ -166,7 +166,8 @@
 
     /// The job exists already, or what is known of its dependencies is out of date.
     fn creation_conflicts(&mut self, waiting: Waiting, keys: &[String], now: Now) {
-        let stale = (keys.iter()).filter_map(|key| key.strip_prefix(JOBS)?.parse::<JobId>().ok());
+        let stale =
+            (keys.iter()).filter_map(|key| key.strip_prefix(JOB_PREFIX)?.parse::<JobId>().ok());
         let mut others = stale.filter(|id| id != waiting.job());
         match others.next() {
             Some(dependency) if keys.iter().all(|k| *k != job_key(waiting.job())) => {
--- /dev/null
+++ b/crates/core/src/node/cache_sync.rs
@@ -0,0 +1,114 @@
+//! Filling the cache of watched keys and keeping it current: list, then watch (see [`crate::cache::cache_sync`]).
+
+use crate::cache::cache_sync::Listing;
+use crate::io::{Output, StoreAnswer, StoreCall, Value};
+use crate::node::pending_call::PendingCall;
+use crate::node::Node;
+use crate::store::calls::CallPriority;
+use crate::store::records::WATCHED_PREFIX;
+use crate::units::Now;
+use rudderreel_wire::ids::Version;
+use rudderreel_wire::job::JobState;
+use rudderreel_wire::state::Event;
+
+impl Node {
+    /// The watch has lost its place. Until everything has been listed again the cache may lack changes; the tick
+    /// repeats a listing that fails.
+    pub(super) fn watch_lost(&mut self) {
+        self.job_cache.is_complete = false;
+        self.begin_cache_sync();
+    }
+
+    /// Begins a listing unless the cache is complete or one is under way.
+    pub(super) fn begin_cache_sync_if_due(&mut self, now: Now) {
+        if !self.job_cache.is_complete && self.cache_sync.may_begin(now.time) {
+            self.begin_cache_sync();
+        }
+    }
+
+    fn begin_cache_sync(&mut self) {
+        self.cache_sync.begin();
+        self.request_listing_page(None, None);
+    }
+
+    fn request_listing_page(&mut self, listing: Option<Listing>, after: Option<String>) {
+        let call = StoreCall::List(WATCHED_PREFIX.into(), after);
+        let purpose = PendingCall::CacheSync(listing);
+        self.store_calls.enqueue(CallPriority::User, call, purpose);
+    }
+
+    /// The answer to the call for a page of a listing.
+    pub(super) fn cache_sync_page_answered(
+        &mut self,
+        listing: Option<Listing>,
+        answer: StoreAnswer,
+        now: Now,
+    ) {
+        let StoreAnswer::Page(page) = answer else {
+            return self.cache_sync.retry_later(now.time);
+        };
+        let mut listing = listing.unwrap_or_else(|| Listing::beginning_with(&page));
+        listing.apply(&page, &mut self.job_cache);
+        self.apply_cached_settings(now);
+        match page.items.last() {
+            Some(last) if page.more => {
+                self.request_listing_page(Some(listing), Some(last.key.clone()))
+            }
+            _ => self.complete_cache_sync(listing.revision()),
+        }
+    }
+
+    fn complete_cache_sync(&mut self, revision: Version) {
+        self.cache_sync.complete();
+        self.job_cache.is_complete = true;
+        self.advance_cancellation_watermark(revision);
+        self.out.push(Output::Watch(revision));
+    }
+
+    /// Applies the changes that the watch has seen up to a revision, and watches on from there.
+    pub(super) fn watch_events_received(
+        &mut self,
+        revision: Version,
+        events: Vec<Event<Value>>,
+        now: Now,
+    ) {
+        for event in &events {
+            self.job_cache.apply_event(event);
+        }
+        self.apply_cached_settings(now);
+        self.advance_cancellation_watermark(revision);
+        self.out.push(Output::Watch(revision));
+    }
+
+    /// Takes over what the cache has read for other parts of the node.
+    fn apply_cached_settings(&mut self, now: Now) {
+        if let Some(catalog) = self.job_cache.catalog.take() {
+            self.catalog.get_or_insert(catalog);
+        }
+        if let Some((version, settings)) = self.job_cache.admin.take() {
+            self.apply_admin_settings(version, settings);
+        }
+        if let Some((_, record)) = self.job_cache.leader() {
+            self.election.observe_epoch(record.epoch, now.time);
+        }
+    }
+
+    /// Hands the jobs that changed in the cache to the leader, and cancels or frees what depends on them.
+    pub(super) fn apply_job_changes(&mut self, now: Now) {
+        let changed = std::mem::take(&mut self.job_cache.changed);
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        for id in &changed {
+            let Some(known) = self.job_cache.jobs.get(id) else {
+                continue;
+            };
+            leader.update_job(id, known.version, &known.record);
+            if known.record.state == JobState::Cancelled {
+                leader.stop_job(id, now.time);
+            }
+            leader.request_cycle(now.time);
+        }
+        self.refresh_dependencies(&changed, now);
+    }
+}
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -4,9 +4,10 @@
 use crate::api::user_requests::Waiting;
 use crate::io::{Output, ReqId, StoreCall};
 use crate::jobs::job::Job;
-use crate::node::{Node, PendingCall};
-use crate::store::calls::Urgency;
-use crate::store::records::{KnownRecord, KNOWN};
+use crate::node::pending_call::PendingCall;
+use crate::node::Node;
+use crate::store::calls::CallPriority;
+use crate::store::records::{WatermarkRecord, WATERMARK_PREFIX};
 use crate::store::transactions::put;
 use crate::units::{Now, Span};
 use rudderreel_wire::ids::{JobId, NodeName, Version};
@@ -149,24 +150,25 @@
         if !may || !(answers || asks) {
             return;
         }
-        let record = KnownRecord {
+        let record = WatermarkRecord {
             cancellation_watermark: c.cancellation_watermark,
             asks: c.watermark_wanted,
         };
         (c.written, c.writing, c.next_write) = (record, true, now.time + WRITE);
-        let key = format!("{KNOWN}{}", self.settings.node);
+        let key = format!("{WATERMARK_PREFIX}{}", self.settings.node);
         let call = StoreCall::Commit(Transaction {
             conditions: Vec::new(),
             changes: vec![put(key, &record)],
         });
-        self.calls.call(Urgency::User, call, PendingCall::Known);
+        self.store_calls
+            .enqueue(CallPriority::User, call, PendingCall::WriteWatermark);
     }
 
     /// The answer to that. If it failed it is written again when next asked for.
     pub(crate) fn watermark_written(&mut self, written: bool) {
         self.cancellations.writing = false;
         if !written {
-            self.cancellations.written = KnownRecord::default();
+            self.cancellations.written = WatermarkRecord::default();
         }
     }
 
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -6,7 +6,7 @@
 //! record that is written shows the next jobs along the pipeline.
 
 use crate::io::{StoreAnswer, StoreCall};
-use crate::node::recovery::LeaderCall;
+use crate::node::pending_call::LeaderCall;
 use crate::node::Node;
 use crate::store::records::{job_key, JobRecord};
 use crate::store::transactions::{condition, put};
@@ -58,7 +58,7 @@
             changes,
         });
         let records = jobs.into_iter().map(|job| (job.id, job.record)).collect();
-        self.call_store_as_leader(call, LeaderCall::Cascade(records));
+        self.call_store_as_leader(call, LeaderCall::CommitCascade(records));
     }
 
     fn due_cascade_cancellations(&self, now: Now) -> Vec<CascadeCancellation> {
@@ -125,7 +125,7 @@
     fn read_jobs(&mut self, ids: impl Iterator<Item = JobId>) {
         for id in ids {
             let call = StoreCall::Get(job_key(&id));
-            self.call_store_as_leader(call, LeaderCall::JobAgain(id));
+            self.call_store_as_leader(call, LeaderCall::RereadJob(id));
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/node/completions.rs
@@ -0,0 +1,176 @@
+//! Committing that jobs are done.
+//!
+//! Each job's record is replaced under the condition that it still has the version that the leader knows, so a
+//! cancellation that was committed first wins. A commit of unknown outcome is followed by reading the jobs' keys.
+
+use crate::fleet::machine::Phase;
+use crate::io::{StoreAnswer, StoreCall, Value};
+use crate::jobs::job::Job;
+use crate::leader::Leader;
+use crate::node::pending_call::LeaderCall;
+use crate::node::Node;
+use crate::store::limits::StoreLimits;
+use crate::store::records::{job_key, JobRecord};
+use crate::store::transactions::{condition, put};
+use crate::units::Now;
+use rudderreel_wire::ids::{JobId, Version};
+use rudderreel_wire::state::Transaction;
+use rudderreel_wire::worker::Cause;
+use std::collections::BTreeSet;
+
+/// Jobs whose completion one commit records, at most.
+const MAX_JOBS_PER_COMMIT: usize = 16;
+
+impl Node {
+    /// Commits that jobs are done whose tasks have all said so.
+    pub(super) fn flush_completions(&mut self, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        for (ids, commit) in leader.begin_completion_commits(now) {
+            let purpose = LeaderCall::CommitCompletions(ids);
+            self.call_store_as_leader(StoreCall::Commit(commit), purpose);
+        }
+    }
+
+    /// The answer to the commit that some jobs are done.
+    pub(super) fn completions_answered(&mut self, ids: Vec<JobId>, answer: StoreAnswer, now: Now) {
+        if self.step_down_if_superseded(&answer) {
+            return;
+        }
+        match answer {
+            StoreAnswer::Committed(version) => self.completions_committed(&ids, version, now),
+            StoreAnswer::Refused | StoreAnswer::Rejected => self.retry_completions(&ids),
+            StoreAnswer::Conflict(keys) if !keys.is_empty() => {
+                // The others were not at fault, and are tried again without these.
+                let (conflicting, others): (Vec<_>, Vec<_>) =
+                    ids.into_iter().partition(|id| keys.contains(&job_key(id)));
+                self.retry_completions(&others);
+                self.reread_jobs(conflicting);
+            }
+            _ => self.reread_jobs(ids),
+        }
+    }
+
+    fn completions_committed(&mut self, ids: &[JobId], version: Version, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        leader.mark_outcomes_recorded(ids);
+        for id in ids {
+            if let Some(record) = leader.complete_job(id, now) {
+                self.job_cache.update_job(id.clone(), version, record);
+            }
+        }
+        leader.request_cycle(now.time);
+    }
+
+    fn retry_completions(&mut self, ids: &[JobId]) {
+        if let Some(leader) = self.leader.as_mut() {
+            leader.retry_completions(ids);
+        }
+    }
+
+    /// Reads the records of jobs whose commit failed or has an unknown outcome.
+    fn reread_jobs(&mut self, ids: Vec<JobId>) {
+        for id in ids {
+            let call = StoreCall::Get(job_key(&id));
+            self.call_store_as_leader(call, LeaderCall::RereadJob(id));
+        }
+    }
+
+    /// A job's record as read after a commit that failed.
+    pub(super) fn job_reread(&mut self, id: JobId, answer: StoreAnswer) {
+        if let StoreAnswer::Found(item) = answer {
+            if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
+                self.job_cache.update_job(id.clone(), item.version, record);
+                self.update_job_from_cache(&id);
+            }
+        }
+        // If it was not read, the commit is tried again with the version that is known: if the first try was carried
+        // out it fails by that, and the key is read again. (Reading on at once filled an outage with calls.)
+        self.retry_completions(&[id]);
+    }
+
+    /// Hands a job to the leader as the cache knows it.
+    fn update_job_from_cache(&mut self, id: &JobId) {
+        if let (Some(leader), Some(known)) = (self.leader.as_mut(), self.job_cache.jobs.get(id)) {
+            leader.update_job(id, known.version, &known.record);
+        }
+    }
+}
+
+impl Leader {
+    /// The commits by which jobs become done whose tasks all are, with the jobs of each: many small jobs end at a
+    /// time, so one commit holds several.
+    fn begin_completion_commits(&mut self, now: Now) -> Vec<(Vec<JobId>, Transaction<Value>)> {
+        let leadership = self.term.key_condition();
+        let limits = &self.store_limits;
+        let mut due: Vec<&mut Job> = (self.jobs.values_mut())
+            .filter(|job| !job.completion_open && job.is_active() && job.is_complete())
+            .collect();
+        let mut commits = Vec::new();
+        for jobs in due.chunks_mut(limits.operations.min(MAX_JOBS_PER_COMMIT)) {
+            let mut conditions = vec![leadership.clone()];
+            let mut changes = Vec::new();
+            for job in jobs.iter_mut() {
+                job.completion_open = true;
+                let key = job_key(&job.spec.id);
+                conditions.push(condition(key.clone(), job.version));
+                changes.push(put(key, &completed_record(job, limits, now)));
+            }
+            let ids = jobs.iter().map(|job| job.spec.id.clone()).collect();
+            commits.push((
+                ids,
+                Transaction {
+                    conditions,
+                    changes,
+                },
+            ));
+        }
+        commits
+    }
+
+    /// Notes on the placed tasks of some jobs that their success is on record.
+    fn mark_outcomes_recorded(&mut self, ids: &[JobId]) {
+        let ids: BTreeSet<&JobId> = ids.iter().collect();
+        let machines = self.fleet.machines.values_mut();
+        for placed in machines.flat_map(|machine| &mut machine.tasks) {
+            let succeeded = placed.phase == Phase::Exited(Cause::Done);
+            placed.outcome_recorded |= succeeded && ids.contains(&placed.task.job);
+        }
+    }
+
+    /// A job's completion is committed; returns the record, none if the job is not known any more.
+    fn complete_job(&mut self, id: &JobId, now: Now) -> Option<JobRecord> {
+        let job = self.jobs.get_mut(id)?;
+        log::info!("job is done job={id}");
+        job.completion_open = false;
+        let record = completed_record(job, &self.store_limits, now);
+        self.finish(id);
+        Some(record)
+    }
+
+    /// Jobs whose completion was not committed: it is tried again.
+    fn retry_completions(&mut self, ids: &[JobId]) {
+        for id in ids {
+            if let Some(job) = self.jobs.get_mut(id) {
+                job.completion_open = false;
+            }
+        }
+    }
+}
+
+/// The record of a job whose tasks are all done. While some of its tasks may still be on machines it keeps the
+/// submission, so that a later leader knows whose capacity they use.
+pub(crate) fn completed_record(job: &Job, limits: &StoreLimits, now: Now) -> JobRecord {
+    let record = JobRecord::done(job.spec.tasks, job.submitted, now.wall);
+    if job.placements.is_empty() {
+        record
+    } else {
+        record.with_submission(&job.spec, limits)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/node/election.rs
@@ -0,0 +1,132 @@
+//! The node's part in the election: the calls that the election wants, becoming leader and stepping down.
+
+use crate::io::{StoreAnswer, StoreCall};
+use crate::leader::Leader;
+use crate::leadership::election::{ElectionCall, ElectionEvent, ElectionWin};
+use crate::leadership::step_down_reason::StepDownReason;
+use crate::node::pending_call::PendingCall;
+use crate::node::Node;
+use crate::store::calls::CallPriority;
+use crate::store::limits::StoreLimits;
+use crate::units::{Now, Time};
+use rudderreel_wire::ids::LeaseId;
+use rudderreel_wire::settings::Settings;
+
+/// The part of the store's rate limit that calls may use; the rest is for watches.
+const CALLS_PART: f64 = 0.8;
+
+/// How many calls a second a node may make to the store: the leader, which keeps the placement log, twice as many as
+/// others. Each node's watch has a part of its own.
+pub(super) fn store_call_rate(settings: &Settings, leads: bool) -> f64 {
+    let parts = f64::from(settings.params.nodes.max(1) + 1);
+    StoreLimits::of(&settings.params.state).requests_per_s
+        * CALLS_PART
+        * if leads { 2.0 } else { 1.0 }
+        / parts
+}
+
+impl Node {
+    /// Makes the calls of the election that are due: renewals of a leader's lease, looks at the leader's key, and
+    /// campaigns.
+    pub(super) fn election_tick(&mut self, now: Now) {
+        let held_lease = self.leader.as_ref().map(|leader| leader.term.lease_id);
+        let calls = self
+            .election
+            .tick(now.time, self.job_cache.leader_slot(), held_lease);
+        self.enqueue_election_calls(calls);
+    }
+
+    fn enqueue_election_calls(&mut self, calls: Vec<(StoreCall, ElectionCall)>) {
+        for (call, purpose) in calls {
+            self.store_calls
+                .enqueue(CallPriority::Lease, call, PendingCall::Election(purpose));
+        }
+    }
+
+    /// The answer to a call of the election.
+    pub(super) fn election_call_answered(
+        &mut self,
+        call: ElectionCall,
+        sent: Time,
+        answer: StoreAnswer,
+        now: Now,
+    ) {
+        if let (ElectionCall::Renew(lease), StoreAnswer::Done) = (&call, &answer) {
+            self.lease_renewed(*lease, sent);
+        }
+        let progress = self.election.answered(now.time, sent, call, answer);
+        self.enqueue_election_calls(progress.calls);
+        match progress.verdict {
+            ElectionEvent::Nothing => {}
+            ElectionEvent::Leader(key, record) => self.job_cache.update_leader_read(key, record),
+            ElectionEvent::ElectionWin(win) => self.become_leader(win, now),
+            ElectionEvent::Lost => self.step_down(StepDownReason::LeaseEnded),
+        }
+    }
+
+    fn lease_renewed(&mut self, lease: LeaseId, sent: Time) {
+        if let Some(leader) = self.leader.as_mut() {
+            if leader.term.lease_id == lease {
+                leader.term.lease_renewed(sent);
+            }
+        }
+    }
+
+    /// Begins a term, with the recovery of the state.
+    fn become_leader(&mut self, win: ElectionWin, now: Now) {
+        log::info!("became leader epoch={}", win.epoch);
+        let mut leader = Leader::new(&self.settings, self.tree.clone(), win, now.time);
+        leader
+            .policy
+            .apply(self.tree.clone(), &self.admin_settings.settings);
+        leader.store_limits = self.limits;
+        leader.fleet.previously_partitioned_zones =
+            std::mem::take(&mut self.leader_partitioned_zones);
+        if let Some(catalog) = &self.catalog {
+            leader.set_catalog(catalog.clone());
+        }
+        self.leader = Some(leader);
+        self.store_calls
+            .set_rate(store_call_rate(&self.settings, true));
+        self.cloud.clear();
+        self.cloud.next_catalog = now.time;
+        self.cloud.next_list = now.time;
+        self.next_heartbeat_at = now.time;
+        self.begin_recovery();
+    }
+
+    /// Ends this node's term, if it leads, and the lease with it, so that another node can win at once.
+    pub(crate) fn step_down(&mut self, reason: StepDownReason) {
+        let Some(leader) = self.leader.take() else {
+            return;
+        };
+        log::info!("stepped down epoch={} reason={reason}", leader.term.epoch);
+        let end = StoreCall::EndLease(leader.term.lease_id);
+        self.enqueue_election_calls(vec![(end, ElectionCall::End)]);
+        self.store_calls
+            .set_rate(store_call_rate(&self.settings, false));
+        self.cloud.clear();
+        self.job_cache.forget_leader(leader.term.lease_id);
+    }
+
+    /// Steps down if a failed commit shows that the leader's key is not this leader's any more; returns whether it
+    /// did. While a commit of its own may be changing the key, a conflict on it shows nothing.
+    pub(crate) fn step_down_if_superseded(&mut self, answer: &StoreAnswer) -> bool {
+        let StoreAnswer::Conflict(keys) = answer else {
+            return false;
+        };
+        let is_key_changing =
+            (self.leader.as_ref()).is_some_and(|leader| leader.term.is_key_changing());
+        let is_superseded = self.names_leader_key(keys) && !is_key_changing;
+        if is_superseded {
+            self.step_down(StepDownReason::KeyChanged);
+        }
+        is_superseded
+    }
+
+    /// Whether the key that this leader holds is among some.
+    pub(crate) fn names_leader_key(&self, keys: &[String]) -> bool {
+        let held = self.leader.as_ref().map(|leader| leader.term.key.name());
+        keys.iter().any(|key| Some(key.as_str()) == held)
+    }
+}
--- /dev/null
+++ b/crates/core/src/node/epoch_bump.rs
@@ -0,0 +1,96 @@
+//! Bumping the epoch, the fencing token: whatever was sent under the old epoch and has not arrived never will be
+//! carried out, since agents refuse an older token than the highest that they know.
+//!
+//! A leader bumps its epoch if nothing else can show that a start which it sent is not carried out any more. The
+//! commit rewrites the leader's key and the epoch's key together. While it is open nothing else is committed, since
+//! every write depends on the version of the leader's key. If its outcome is unknown the key is read until it shows
+//! the new epoch; if the key shows anything else, the commit may yet be carried out, and the leader steps down.
+
+use crate::io::{StoreAnswer, StoreCall};
+use crate::leadership::step_down_reason::StepDownReason;
+use crate::node::pending_call::LeaderCall;
+use crate::node::Node;
+use crate::store::records::LeaderRecord;
+use crate::units::Now;
+use rudderreel_wire::ids::{Epoch, Version};
+
+impl Node {
+    /// Bumps the epoch if only that shows that a start will not arrive any more.
+    pub(super) fn bump_epoch_if_needed(&mut self, now: Now) {
+        let is_needed = (self.leader.as_ref()).is_some_and(|leader| {
+            leader.recovery.is_complete
+                && leader.term.is_lease_valid(now.time)
+                && !leader.term.is_key_changing()
+                && leader.needs_epoch_bump(now.time)
+        });
+        if is_needed {
+            self.bump_epoch(now);
+        }
+    }
+
+    fn bump_epoch(&mut self, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        let epoch = leader.term.begin_epoch_bump(now.time);
+        let commit = leader.term.epoch_bump_commit(&self.settings.node, epoch);
+        self.call_store_as_leader(StoreCall::Commit(commit), LeaderCall::BumpEpoch(epoch));
+    }
+
+    /// The answer to the commit that bumps the epoch.
+    pub(super) fn epoch_bump_answered(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
+        match answer {
+            StoreAnswer::Committed(version) => self.epoch_bumped(epoch, version, now),
+            StoreAnswer::Refused => self.epoch_bump_refused(),
+            StoreAnswer::Conflict(_) => self.step_down(StepDownReason::KeyChanged),
+            StoreAnswer::NoSuchLease => self.step_down(StepDownReason::LeaseEnded),
+            _ => self.verify_epoch_bump(epoch),
+        }
+    }
+
+    /// Reads the leader's key to see whether the commit was carried out.
+    fn verify_epoch_bump(&mut self, epoch: Epoch) {
+        let Some(leader) = self.leader.as_ref() else {
+            return;
+        };
+        let call = StoreCall::Get(leader.term.key.name().into());
+        self.call_store_as_leader(call, LeaderCall::VerifyEpochBump(epoch));
+    }
+
+    /// The leader's key as read after a commit of unknown outcome.
+    pub(super) fn epoch_bump_verification_answered(
+        &mut self,
+        epoch: Epoch,
+        answer: StoreAnswer,
+        now: Now,
+    ) {
+        match answer {
+            StoreAnswer::Found(item) => {
+                let record = LeaderRecord::deserialize_from(&item.value);
+                if record.is_some_and(|r| r.epoch == epoch && r.node == self.settings.node) {
+                    self.epoch_bumped(epoch, item.version, now);
+                } else {
+                    // It may yet be carried out, and would make every later commit fail: only a new term is
+                    // certain.
+                    self.step_down(StepDownReason::EpochBumpUnknown);
+                }
+            }
+            StoreAnswer::Missing => self.step_down(StepDownReason::KeyGone),
+            _ => self.verify_epoch_bump(epoch),
+        }
+    }
+
+    fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Now) {
+        self.election.observe_epoch(epoch, now.time);
+        if let Some(leader) = self.leader.as_mut() {
+            log::info!("bumped the epoch epoch={epoch}");
+            leader.term.epoch_bumped(epoch, version, now.time);
+        }
+    }
+
+    fn epoch_bump_refused(&mut self) {
+        if let Some(leader) = self.leader.as_mut() {
+            leader.term.epoch_bump_refused();
+        }
+    }
+}
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -2,6 +2,7 @@
 
 use crate::io::{Output, ReqId};
 use crate::leader::Leader;
+use crate::leadership::step_down_reason::StepDownReason;
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Epoch, JobId, NodeName, Zone};
@@ -148,7 +149,7 @@
             .as_ref()
             .is_some_and(|l| l.term.epoch_bump.in_progress);
         if !raising && self.leader.as_ref().is_some_and(|l| epoch > l.term.epoch) {
-            self.step_down("a higher epoch is known");
+            self.step_down(StepDownReason::HigherEpoch);
         }
     }
 
--- a/crates/core/src/node/leadership_transfer.rs
+++ b/crates/core/src/node/leadership_transfer.rs
@@ -4,6 +4,7 @@
 //! holds off for a while.
 
 use crate::leader::Leader;
+use crate::leadership::step_down_reason::StepDownReason;
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
 
@@ -31,14 +32,14 @@
         self.step_down(why);
     }
 
-    fn unfit_because(&mut self, now: Time) -> Option<&'static str> {
+    fn unfit_because(&mut self, now: Time) -> Option<StepDownReason> {
         if self.is_cut_off(now) {
-            return Some("workers do not reach this node");
+            return Some(StepDownReason::AgentsUnreachable);
         }
         let leader = self.leader.as_ref()?;
         let slow = self.backlog.far_behind_for(now) >= FAR_BEHIND;
         let led_long = now - leader.term.elected_at >= LED_LONG;
-        (slow && led_long && self.has_fit_peer(now)).then_some("it can't keep up")
+        (slow && led_long && self.has_fit_peer(now)).then_some(StepDownReason::Overloaded)
     }
 
     /// Whether some peer could lead: it was heard lately and the state service answers it.
--- a/crates/core/src/node/placement_log.rs
+++ b/crates/core/src/node/placement_log.rs
@@ -1,7 +1,7 @@
 //! Commits of the placement log.
 
 use crate::io::{StoreAnswer, StoreCall};
-use crate::node::recovery::LeaderCall;
+use crate::node::pending_call::LeaderCall;
 use crate::node::Node;
 use crate::placement_log::log::draft::PendingSegment;
 use crate::placement_log::log::{PlacementLog, UncommittedSegment};
@@ -148,7 +148,7 @@
             conditions,
             changes,
         });
-        self.call_store_as_leader(call, LeaderCall::Page(page));
+        self.call_store_as_leader(call, LeaderCall::CommitSegment(page));
     }
 
     fn repeat_segment_commits(&mut self, now: Time) {
--- a/crates/core/src/node/read_confirmation.rs
+++ b/crates/core/src/node/read_confirmation.rs
@@ -4,7 +4,7 @@
 use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::Node;
-use crate::store::records::{job_key, JobRecord, JOBS};
+use crate::store::records::{job_key, JobRecord, JOB_PREFIX};
 use crate::units::{Now, Span};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::state::{Condition, Transaction};
@@ -35,7 +35,7 @@
 
     /// How many requests may wait: as many as can be confirmed before they have waited too long.
     fn most_unconfirmed(&self) -> usize {
-        let commits_per_s = self.calls.rate() * CONFIRM_PART * BATCHES as f64;
+        let commits_per_s = self.store_calls.rate() * CONFIRM_PART * BATCHES as f64;
         let jobs = commits_per_s * self.limits.conditions() as f64 * PATIENCE.as_secs();
         LEAST_UNCONFIRMED.max(jobs as usize)
     }
@@ -48,7 +48,7 @@
         if !due {
             return;
         }
-        let pause = 1.0 / (self.calls.rate() * CONFIRM_PART).max(0.1);
+        let pause = 1.0 / (self.store_calls.rate() * CONFIRM_PART).max(0.1);
         self.user_requests.unconfirmed.next = now.time + Span::secs(pause);
         for _ in 0..BATCHES {
             self.send_confirmation_batch(now);
@@ -139,7 +139,10 @@
         if failed.is_empty() && confirmation.confirmed < confirmation.versions.len() {
             return self.send_confirmation(confirmation);
         }
-        let failed: BTreeSet<&str> = failed.iter().filter_map(|k| k.strip_prefix(JOBS)).collect();
+        let failed: BTreeSet<&str> = failed
+            .iter()
+            .filter_map(|k| k.strip_prefix(JOB_PREFIX))
+            .collect();
         let fresh: BTreeMap<JobId, Version> = (confirmation.versions.into_iter())
             .take(confirmation.confirmed)
             .filter(|(id, _)| !failed.contains(id.as_str()))
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -4,8 +4,9 @@
 use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
 use crate::cache::job_cache::KnownJob;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
-use crate::node::{Node, PendingCall};
-use crate::store::calls::Urgency;
+use crate::node::pending_call::PendingCall;
+use crate::node::Node;
+use crate::store::calls::CallPriority;
 use crate::store::records::{job_key, JobRecord};
 use crate::units::{Now, Span};
 use rudderreel_wire::ids::JobId;
@@ -27,8 +28,8 @@
             from_peer,
             ..Waiting::new(req, request, now.time)
         };
-        let most = LEAST_OPEN.max((self.calls.rate() * PATIENCE.as_secs()) as usize);
-        if self.user_requests.open >= most || self.calls.is_behind() {
+        let most = LEAST_OPEN.max((self.store_calls.rate() * PATIENCE.as_secs()) as usize);
+        if self.user_requests.open >= most || self.store_calls.is_behind() {
             return self.refuse(waiting.req, "too many requests are open");
         }
         if self.is_final(waiting.job()) {
@@ -67,8 +68,8 @@
 
     pub(crate) fn user_call(&mut self, call: StoreCall, step: UserCall) {
         self.user_requests.open += 1;
-        self.calls
-            .call(Urgency::User, call, PendingCall::User(step));
+        self.store_calls
+            .enqueue(CallPriority::User, call, PendingCall::User(step));
     }
 
     /// Cancels a job for its user, or with a dependency.
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -1,10 +1,13 @@
 //! The commits by which a leader closes the version gate.
 
 use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
+use crate::leadership::step_down_reason::StepDownReason;
 use crate::leadership::version_gate::VersionGateStep;
-use crate::node::recovery::LeaderCall;
+use crate::node::pending_call::LeaderCall;
 use crate::node::Node;
-use crate::store::records::{LeaderKey, LeaderRecord, CATALOG, MACHINE_TYPES, SEAT};
+use crate::store::records::{
+    LeaderKey, LeaderRecord, CATALOG_KEY, GATED_CATALOG_KEY, GATED_LEADER_KEY,
+};
 use crate::store::transactions::put;
 use crate::units::{Now, Span};
 use rudderreel_wire::cloud::Catalog;
@@ -55,9 +58,9 @@
         }
         if let Some(catalog) = self.catalog.clone() {
             let changes = vec![
-                put(MACHINE_TYPES.into(), &self.storable(&catalog)),
+                put(GATED_CATALOG_KEY.into(), &self.storable(&catalog)),
                 Change::Delete {
-                    key: CATALOG.into(),
+                    key: CATALOG_KEY.into(),
                 },
             ];
             let call = StoreCall::Commit(Transaction {
@@ -71,7 +74,7 @@
     fn gate_call(&mut self, step: VersionGateStep, call: StoreCall) {
         if let Some(leader) = self.leader.as_mut() {
             leader.term.version_gate = step;
-            self.call_store_as_leader(call, LeaderCall::Gate);
+            self.call_store_as_leader(call, LeaderCall::CloseVersionGate);
         }
     }
 
@@ -96,10 +99,11 @@
         match answer {
             StoreAnswer::Committed(version) => self.holds_gated_key(version),
             StoreAnswer::Refused => self.set_gate(VersionGateStep::Idle),
-            StoreAnswer::NoSuchLease => self.step_down("its lease has ended"),
-            StoreAnswer::Conflict(_) => {
-                self.gate_call(VersionGateStep::ReadingKey, StoreCall::Get(SEAT.into()))
-            }
+            StoreAnswer::NoSuchLease => self.step_down(StepDownReason::LeaseEnded),
+            StoreAnswer::Conflict(_) => self.gate_call(
+                VersionGateStep::ReadingKey,
+                StoreCall::Get(GATED_LEADER_KEY.into()),
+            ),
             _ => self.set_gate(VersionGateStep::ChangingKeyAgain(now.time + AGAIN)),
         }
     }
@@ -112,10 +116,10 @@
                 if record.is_some_and(|record| Some(record.lease) == lease) {
                     self.holds_gated_key(item.version);
                 } else {
-                    self.step_down("its key has changed");
+                    self.step_down(StepDownReason::KeyChanged);
                 }
             }
-            StoreAnswer::Missing => self.step_down("its key is gone"),
+            StoreAnswer::Missing => self.step_down(StepDownReason::KeyGone),
             _ => self.set_gate(VersionGateStep::ChangingKeyAgain(now.time + AGAIN)),
         }
     }
@@ -125,7 +129,9 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        log::info!("the leader's key is {SEAT} from now on, since jobs depend on others");
+        log::info!(
+            "the leader's key is {GATED_LEADER_KEY} from now on, since jobs depend on others"
+        );
         leader.term.version_gate = VersionGateStep::Idle;
         leader.term.key = LeaderKey::Gated;
         leader.term.key_version = version;
@@ -159,9 +165,9 @@
         };
         let call = StoreCall::Commit(Transaction {
             conditions: vec![leader.term.key_condition()],
-            changes: vec![put(CATALOG.into(), &stored)],
+            changes: vec![put(CATALOG_KEY.into(), &stored)],
         });
-        self.call_store_as_leader(call, LeaderCall::Catalog);
+        self.call_store_as_leader(call, LeaderCall::StoreCatalog);
     }
 
     /// The machine types, if they are small enough to be stored.
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -2,7 +2,7 @@
 use crate::cache::job_cache::JobCache;
 use crate::leadership::election::LeaderSlot;
 use crate::leadership::election::LEADER_LEASE_TTL;
-use crate::store::records::LEADER;
+use crate::store::records::LEADER_KEY;
 use crate::store::records::RECORD_FORMAT;
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
@@ -88,12 +88,12 @@
         ..NOW
     };
     node.close_version_gate(later);
-    node.gate_answered(StoreAnswer::Conflict(vec![LEADER.into()]), later);
+    node.gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), later);
     assert_eq!(gate(&node), Some(VersionGateStep::ReadingKey));
     let lease = node.leader.as_ref().map(|leader| leader.term.lease_id);
     let record = LeaderRecord::new("n0".into(), Epoch(1), lease.expect("a lease"));
     let item = rudderreel_wire::state::Item {
-        key: SEAT.into(),
+        key: GATED_LEADER_KEY.into(),
         value: serde_json::to_value(record).expect("JSON"),
         version: Version(8),
         lease,
@@ -108,7 +108,7 @@
     let mut lost = leading_node();
     lost.job_cache.dependencies_seen = true;
     lost.close_version_gate(NOW);
-    lost.gate_answered(StoreAnswer::Conflict(vec![LEADER.into()]), NOW);
+    lost.gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), NOW);
     lost.gate_answered(StoreAnswer::Missing, NOW);
     assert!(lost.leader.is_none());
 }
--- a/crates/core/src/store/calls.rs
+++ b/crates/core/src/store/calls.rs
@@ -1,110 +1,155 @@
-//! Calls to the state service: what each is for, and how many may go out.
+//! Calls to the store that wait to go out, or for their answers.
+//!
+//! The store takes a limited number of requests a second from all nodes together, and each node keeps to its part of
+//! that by a token bucket. Calls wait in one queue for each priority; what each is for is kept until its answer comes.
 
 use crate::io::{CallId, Output, StoreCall};
 use crate::units::Time;
 use std::collections::{HashMap, VecDeque};
 
-/// How soon a call may go out when requests are short.
+/// Who waits for a call, which decides when it goes out if tokens are short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Urgency {
-    /// Leases and elections.
+pub enum CallPriority {
+    /// Leases and elections: they go first, and may use the last tokens.
     Lease,
-    /// What a user waits for.
+    /// What a user or the cache waits for. It takes turns with the leader's calls.
     User,
-    /// The leader's bookkeeping.
-    Placements,
+    /// The leader's commits, and the reads of a failover. They take turns with users' calls.
+    Leader,
 }
 
-/// Keeps this node's part of the state service's limits with one bucket of tokens.
-pub struct StoreCalls<P> {
-    next: u64,
-    rate: f64,
+/// How many priorities there are.
+const PRIORITIES: usize = 3;
+/// Calls that may be open at once: more would only queue up in the shell.
+const MAX_OPEN: usize = 12;
+/// Calls for leases that may be open beyond that.
+const EXTRA_OPEN_FOR_LEASES: usize = 4;
+/// Tokens that other calls leave for leases.
+const TOKENS_KEPT_FOR_LEASES: f64 = 1.0;
+/// The tokens that gather at most are worth so many seconds of calls, and one more.
+const MAX_BURST_S: f64 = 0.5;
+/// More users' calls than go out in so many seconds are too many to wait.
+const MAX_QUEUED_S: f64 = 1.0;
+
+/// A token bucket: tokens come at a steady rate, each call takes one, and only so many gather.
+#[derive(Clone, Copy, Debug)]
+struct TokenBucket {
+    tokens_per_s: f64,
     tokens: f64,
-    filled: Time,
-    queues: [VecDeque<(StoreCall, P)>; 3],
+    refilled_at: Time,
+}
+
+impl TokenBucket {
+    fn new(tokens_per_s: f64) -> Self {
+        Self {
+            tokens_per_s,
+            tokens: tokens_per_s * MAX_BURST_S,
+            refilled_at: Time(0),
+        }
+    }
+
+    fn refill(&mut self, now: Time) {
+        self.tokens += (now - self.refilled_at).as_secs() * self.tokens_per_s;
+        self.tokens = self.tokens.min(self.tokens_per_s * MAX_BURST_S + 1.0);
+        self.refilled_at = now;
+    }
+
+    /// Whether a call may take a token and leave so many.
+    fn can_take_leaving(&self, kept: f64) -> bool {
+        self.tokens >= 1.0 + kept
+    }
+
+    fn take(&mut self) {
+        self.tokens -= 1.0;
+    }
+}
+
+/// The calls of a node to the store. `P` says what a call is for.
+pub struct StoreCalls<P> {
+    last_id: u64,
+    bucket: TokenBucket,
+    queues: [VecDeque<(StoreCall, P)>; PRIORITIES],
     open: HashMap<CallId, P>,
     /// Whose turn it is when both users' calls and the leader's wait.
-    placements_next: bool,
+    is_leaders_turn: bool,
 }
 
-/// Calls that may be open at once: more would only queue up in the shell.
-const MAX_OPEN: usize = 12;
-
 impl<P> StoreCalls<P> {
-    /// `rate` is how many calls a second this node may make.
-    pub fn new(rate: f64) -> Self {
+    /// `calls_per_s` is how many calls a second this node may make.
+    pub fn new(calls_per_s: f64) -> Self {
         Self {
-            next: 0,
-            rate,
-            tokens: rate / 2.0,
-            filled: Time(0),
+            last_id: 0,
+            bucket: TokenBucket::new(calls_per_s),
             queues: Default::default(),
             open: HashMap::new(),
-            placements_next: false,
+            is_leaders_turn: false,
         }
     }
 
-    /// This node's part has changed: how many calls a second it may make now.
-    pub fn set_rate(&mut self, rate: f64) {
-        self.rate = rate;
+    /// This node's part of the limit has changed: how many calls a second it may make now.
+    pub fn set_rate(&mut self, calls_per_s: f64) {
+        self.bucket.tokens_per_s = calls_per_s;
     }
 
     /// How many calls a second this node may make.
     pub fn rate(&self) -> f64 {
-        self.rate
+        self.bucket.tokens_per_s
     }
 
     /// Queues a call.
-    pub fn call(&mut self, urgency: Urgency, call: StoreCall, purpose: P) {
-        self.queues[urgency as usize].push_back((call, purpose));
+    pub fn enqueue(&mut self, priority: CallPriority, call: StoreCall, purpose: P) {
+        self.queues[priority as usize].push_back((call, purpose));
     }
 
-    /// Whether more of users' calls wait than can go out within a second: one more would be answered
-    /// too late.
+    /// Whether more of users' calls wait than can go out in time: one more would be answered too late.
     pub fn is_behind(&self) -> bool {
-        self.queues[Urgency::User as usize].len() as f64 > self.rate.max(1.0)
+        let most = self.rate().max(1.0) * MAX_QUEUED_S;
+        self.queues[CallPriority::User as usize].len() as f64 > most
     }
 
-    /// The purpose of a call that has been answered.
-    pub fn finish(&mut self, id: CallId) -> Option<P> {
+    /// A call has been answered; returns what it was for.
+    pub fn complete(&mut self, id: CallId) -> Option<P> {
         self.open.remove(&id)
     }
 
-    /// Lets out what may go out now.
-    pub fn pump(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.tokens += (now - self.filled).as_secs() * self.rate;
-        self.tokens = self.tokens.min(self.rate / 2.0 + 1.0);
-        self.filled = now;
+    /// Sends the calls that may go out now.
+    pub fn send_due(&mut self, now: Time, out: &mut Vec<Output>) {
+        self.bucket.refill(now);
         while let Some((call, purpose)) = self.next_call() {
-            self.tokens -= 1.0;
-            self.next += 1;
-            self.open.insert(CallId(self.next), purpose);
-            out.push(Output::State(CallId(self.next), call));
+            self.bucket.take();
+            self.last_id += 1;
+            let id = CallId(self.last_id);
+            self.open.insert(id, purpose);
+            out.push(Output::State(id, call));
         }
     }
 
-    /// The next call that may go out. Leases may use the last tokens. Users' calls and the leader's
-    /// take turns: whichever always went first could keep the other waiting for ever. (A leader that
-    /// got many questions once read its log back for 690 s, and nothing ran meanwhile.)
+    /// The next call that may go out.
     fn next_call(&mut self) -> Option<(StoreCall, P)> {
-        let (tokens, open) = (self.tokens, self.open.len());
-        if tokens >= 1.0 && open < MAX_OPEN + 4 {
-            if let Some(call) = self.queues[Urgency::Lease as usize].pop_front() {
+        let open = self.open.len();
+        if open < MAX_OPEN + EXTRA_OPEN_FOR_LEASES && self.bucket.can_take_leaving(0.0) {
+            if let Some(call) = self.queues[CallPriority::Lease as usize].pop_front() {
                 return Some(call);
             }
         }
-        if tokens < 2.0 || open >= MAX_OPEN {
-            return None;
+        if open < MAX_OPEN && self.bucket.can_take_leaving(TOKENS_KEPT_FOR_LEASES) {
+            return self.next_of_users_and_leader();
         }
-        let (users, placements) = (Urgency::User as usize, Urgency::Placements as usize);
-        let order = if self.placements_next {
-            [placements, users]
+        None
+    }
+
+    /// Users' calls and the leader's take turns: whichever always went first could keep the other waiting for ever.
+    /// (A leader that got many questions once took 690 s to recover its state, and nothing ran meanwhile.)
+    fn next_of_users_and_leader(&mut self) -> Option<(StoreCall, P)> {
+        let order = if self.is_leaders_turn {
+            [CallPriority::Leader, CallPriority::User]
         } else {
-            [users, placements]
+            [CallPriority::User, CallPriority::Leader]
         };
-        let level = order.into_iter().find(|l| !self.queues[*l].is_empty())?;
-        self.placements_next = level == users;
-        self.queues[level].pop_front()
+        let waits = |priority: &CallPriority| !self.queues[*priority as usize].is_empty();
+        let priority = order.into_iter().find(waits)?;
+        self.is_leaders_turn = priority == CallPriority::User;
+        self.queues[priority as usize].pop_front()
     }
 }
 
--- a/crates/core/src/store/calls/tests.rs
+++ b/crates/core/src/store/calls/tests.rs
@@ -6,12 +6,16 @@
     let mut calls = StoreCalls::new(5.0);
     let mut queued = 0;
     while !calls.is_behind() {
-        calls.call(Urgency::User, StoreCall::Get("pub/job/wk-1".into()), ());
+        calls.enqueue(
+            CallPriority::User,
+            StoreCall::Get("pub/job/wk-1".into()),
+            (),
+        );
         queued += 1;
     }
     assert_eq!(queued, 6);
     let mut out = Vec::new();
-    calls.pump(Time(2_000), &mut out);
+    calls.send_due(Time(2_000), &mut out);
     assert!(!out.is_empty() && !calls.is_behind());
 }
 
@@ -21,15 +25,15 @@
     let mut calls = StoreCalls::new(10.0);
     let mut out = Vec::new();
     let key = |s: &str| StoreCall::Get(s.into());
-    calls.call(Urgency::Placements, key("book/1"), "placements");
+    calls.enqueue(CallPriority::Leader, key("book/1"), "placements");
     for second in 1..4u64 {
         for _ in 0..20 {
-            calls.call(Urgency::User, key("pub/job/wk-1"), "user");
+            calls.enqueue(CallPriority::User, key("pub/job/wk-1"), "user");
         }
-        calls.pump(Time(second * 1_000), &mut out);
+        calls.send_due(Time(second * 1_000), &mut out);
         let ids: Vec<CallId> = calls.open.keys().copied().collect();
         for id in ids {
-            calls.finish(id);
+            calls.complete(id);
         }
     }
     let asked = |name: &str| {
--- a/crates/core/src/store/records.rs
+++ b/crates/core/src/store/records.rs
@@ -21,37 +21,37 @@
 use serde::{Deserialize, Serialize};
 
 /// Everything that every node watches.
-pub const SHARED: &str = "pub/";
+pub const WATCHED_PREFIX: &str = "pub/";
 /// Prefix of jobs.
-pub const JOBS: &str = "pub/job/";
+pub const JOB_PREFIX: &str = "pub/job/";
 /// The leader's key, which every version reads.
-pub const LEADER: &str = "pub/leader";
+pub const LEADER_KEY: &str = "pub/leader";
 /// The leader's key once jobs depend on others. Versions that know no dependencies don't read it.
-pub const SEAT: &str = "pub/seat";
+pub const GATED_LEADER_KEY: &str = "pub/seat";
 /// Operators' settings.
-pub const ADMIN: &str = "pub/admin";
+pub const ADMIN_SETTINGS_KEY: &str = "pub/admin";
 /// The epoch's key.
-pub const EPOCH: &str = "epoch";
+pub const EPOCH_KEY: &str = "epoch";
 /// Prefix of what nodes say about the cancellations that they know, when they can't tell one another.
-pub const KNOWN: &str = "pub/known/";
+pub const WATERMARK_PREFIX: &str = "pub/known/";
 /// Prefix of the pages of the leader's placement log.
-pub const PLACEMENTS: &str = "book/";
+pub const SEGMENT_PREFIX: &str = "book/";
 /// The catalog's key, which every version reads.
-pub const CATALOG: &str = "pub/catalog";
+pub const CATALOG_KEY: &str = "pub/catalog";
 /// The catalog's key once jobs depend on others. Versions that know no dependencies don't read it.
-pub const MACHINE_TYPES: &str = "pub/machine-types";
+pub const GATED_CATALOG_KEY: &str = "pub/machine-types";
 /// What this version understands of the records: 2 since jobs may depend on others. A leader's record
 /// without it is that of a version that knows no dependencies.
 pub const RECORD_FORMAT: u32 = 2;
 
 /// A job's key.
 pub fn job_key(id: &JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 
 /// A page's key.
 pub fn segment_key(page: SegmentId) -> String {
-    format!("{PLACEMENTS}{:016x}", page.0)
+    format!("{SEGMENT_PREFIX}{:016x}", page.0)
 }
 
 /// A page of the placement log. A page is written once and deleted when nothing in it holds any more.
@@ -266,8 +266,8 @@
     /// The key.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Common => LEADER,
-            Self::Gated => SEAT,
+            Self::Common => LEADER_KEY,
+            Self::Gated => GATED_LEADER_KEY,
         }
     }
 }
@@ -332,7 +332,7 @@
 
 /// Which cancellations a node knows, for nodes that it can't reach.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct KnownRecord {
+pub struct WatermarkRecord {
     /// Every cancellation committed up to this revision.
     #[serde(rename = "known_to")]
     pub cancellation_watermark: Version,
