--- a/crates/core/src/agents/reconciliation.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -118,7 +118,9 @@
         if newest && !same {
             machine.last_task_list = (machine.last_message, report.tasks.as_slice().into());
         }
-        self.placement_log.may_have_unrecorded |= machine.segment == SegmentId::NONE;
+        if machine.segment == SegmentId::NONE {
+            self.placement_log.mark_unrecorded();
+        }
         let became_known = !was_known && machine.is_reconciled(epoch);
         let release = report.token;
         for entry in machine.tasks.iter_mut().filter(|e| e.start_may_arrive_late) {
@@ -338,7 +340,7 @@
             }
         }
         let exited = entry.phase;
-        self.placement_log.may_have_unrecorded = true;
+        self.placement_log.mark_unrecorded();
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.tasks.push(entry);
         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -11,7 +11,7 @@
 use crate::leadership::term::Term;
 use crate::metrics::LeaderMetrics;
 use crate::overload::processor_share::ProcessorShare;
-use crate::placement_log::log::PlacementLog;
+use crate::placement_log::PlacementLog;
 use crate::store::limits::StoreLimits;
 use crate::teams::team_tree::TeamTree;
 use crate::units::{Span, Time};
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -65,7 +65,7 @@
     assert!(
         leader
             .placement_log
-            .compact(&leader.fleet, &leader.jobs, &leader.store_limits)
+            .select_for_compaction(&leader.fleet, &leader.jobs, &leader.store_limits)
             .is_empty()
             && !leader.placement_log.is_dead(SegmentId(1))
     );
--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -1,1 +1,370 @@
-pub mod log;
+//! The leader's write-ahead log of placements: which tasks may be on which machine, and which tasks are done.
+//!
+//! **What it owns.** The ids of the segments that exist in the store, the segments whose commits have not been
+//! answered yet, the segments that nothing refers to any more, and the budget of the store's writes.
+//! The placements themselves belong to the fleet, the progress to the job table: both name the segment that
+//! records them, which is how the log finds out what it has still to record and what a segment is still good for.
+//!
+//! **Segments.** The store's rate limit counts changes, whatever their size, so all that was decided at one time
+//! goes on one new segment, for all machines and jobs together. A segment is written once and never changed. It
+//! is deleted when nothing refers to it any more; segments that little refers to are merged into a new one, in
+//! the same transaction that deletes them. What is recorded is the union of all segments: one that names a task
+//! which has long gone does no harm, since a later leader finds out that the task is gone.
+//!
+//! **Invariants.**
+//! - A start is sent only for a task whose segment is committed (`PlacedTask::is_recorded`).
+//! - A commit of unknown outcome is retried with the same segment and the same contents. Its key must not exist
+//!   yet, so it is carried out at most once; a conflict on that key alone shows that an earlier try was.
+//! - A segment that the store rejects as too large is never sent again: what it names is recorded again on
+//!   smaller ones.
+//! - A segment is deleted only by a commit after which everything that it still records is recorded elsewhere.
+//!
+//! **In and out.** [`PlacementLog::due_commits`] decides what to commit now, [`PlacementLog::commit_answered`]
+//! what an answer means. The log calls nobody: the node sends the transactions and hands the answers back.
+
+mod compaction;
+mod segment;
+mod write_budget;
+
+use self::segment::{JobProgress, PendingSegment};
+use self::write_budget::WriteBudget;
+use crate::fleet::Fleet;
+use crate::io::{StoreAnswer, Value};
+use crate::jobs::job_table::JobTable;
+use crate::leadership::term::Term;
+use crate::store::limits::StoreLimits;
+use crate::store::records::{segment_key, SegmentId, SegmentRecord};
+use crate::store::transactions::{condition, put};
+use crate::units::{Span, Time};
+use rudderreel_wire::ids::{MachineId, TaskId, Version};
+use rudderreel_wire::state::{Change, Transaction};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// How often the progress of jobs is recorded, and segments are compacted.
+const COMPACTION_INTERVAL: Span = Span(1_000);
+/// Commits of segments that may be open at once.
+const MAX_OPEN_COMMITS: usize = 3;
+/// Dead segments that are deleted along with a new segment.
+const MAX_DELETES_WITH_SEGMENT: usize = 4;
+/// A commit that the store refused is retried after this long.
+const SEGMENT_RETRY_INTERVAL: Span = Span(200);
+
+/// The placement log of a leader.
+pub struct PlacementLog {
+    /// Whether some placement may wait to be recorded, so that the fleet is searched only then.
+    may_have_unrecorded: bool,
+    /// Segments that exist in the store.
+    segments: BTreeSet<SegmentId>,
+    /// Segments whose commits have not been answered yet.
+    uncommitted: BTreeMap<SegmentId, UncommittedSegment>,
+    /// Segments that nothing refers to any more. One that an open commit deletes may be found again; to delete it
+    /// twice does no harm.
+    dead: Vec<SegmentId>,
+    next_compaction_at: Time,
+    write_budget: WriteBudget,
+}
+
+/// The parts of a leader that the log records, and that its commits depend on.
+pub(crate) struct LogContext<'a> {
+    /// Numbers new segments; each commit is conditional on its leader key.
+    pub(crate) term: &'a mut Term,
+    /// The placements.
+    pub(crate) fleet: &'a mut Fleet,
+    /// The progress of jobs.
+    pub(crate) jobs: &'a mut JobTable,
+    /// The sizes of values and transactions.
+    pub(crate) limits: &'a StoreLimits,
+    /// Puts and deletes a second that the log and the cascade cancellations may make together.
+    pub(crate) writes_per_s: f64,
+}
+
+/// A transaction of the log, and the segment that identifies its answer.
+pub(crate) struct SegmentCommit {
+    /// The segment that the transaction writes, or whose id was used up for deletes alone.
+    pub(crate) segment: SegmentId,
+    /// What to commit.
+    pub(crate) transaction: Transaction<Value>,
+}
+
+/// What the answer to a segment's commit means.
+pub(crate) enum CommitResult {
+    /// The segment is committed: the machines have tasks that may be started from now on.
+    Committed(Vec<MachineId>),
+    /// The store will never take it. What it names is recorded again on smaller segments.
+    Rejected,
+    /// Not carried out, or not known to be: it is retried.
+    WillRetry,
+    /// No commit of this segment is open.
+    NotOpen,
+}
+
+/// A segment whose commit has not been answered yet.
+struct UncommittedSegment {
+    record: SegmentRecord,
+    progress: Vec<JobProgress>,
+    /// Segments that the same transaction deletes.
+    deletes: Vec<SegmentId>,
+    /// When it must be sent again; none while an answer is awaited.
+    retry_at: Option<Time>,
+}
+
+impl UncommittedSegment {
+    /// Whether the commit deletes segments without writing one.
+    fn is_deletion_only(&self) -> bool {
+        self.record == SegmentRecord::default()
+    }
+
+    fn transaction(&self, segment: SegmentId, term: &Term) -> Transaction<Value> {
+        let mut conditions = vec![term.key_condition()];
+        let mut changes: Vec<Change<Value>> = (self.deletes.iter())
+            .map(|deleted| Change::Delete {
+                key: segment_key(*deleted),
+            })
+            .collect();
+        if !self.is_deletion_only() {
+            conditions.push(condition(segment_key(segment), Version(0)));
+            changes.push(put(segment_key(segment), &self.record));
+        }
+        Transaction {
+            conditions,
+            changes,
+        }
+    }
+}
+
+impl Default for PlacementLog {
+    fn default() -> Self {
+        Self {
+            may_have_unrecorded: true,
+            segments: BTreeSet::new(),
+            uncommitted: BTreeMap::new(),
+            dead: Vec::new(),
+            next_compaction_at: Time(0),
+            write_budget: WriteBudget::default(),
+        }
+    }
+}
+
+impl PlacementLog {
+    /// Registers a segment that a new leader has read back.
+    pub fn register_segment(&mut self, segment: SegmentId) {
+        self.segments.insert(segment);
+    }
+
+    /// Notes that a placement or a machine was added that no segment names yet.
+    pub fn mark_unrecorded(&mut self) {
+        self.may_have_unrecorded = true;
+    }
+
+    /// How many segments exist.
+    pub fn len(&self) -> usize {
+        self.segments.len()
+    }
+
+    /// Whether nothing refers to a segment any more.
+    #[cfg(test)]
+    pub fn is_dead(&self, segment: SegmentId) -> bool {
+        self.dead.contains(&segment)
+    }
+
+    /// Takes writes for records of cascade cancellations from the budget that both share; returns how many.
+    pub(crate) fn take_cancellation_writes(
+        &mut self,
+        wanted: usize,
+        writes_per_s: f64,
+        now: Time,
+    ) -> usize {
+        let segments_in_flight = !self.uncommitted.is_empty();
+        self.write_budget
+            .take_for_cancellations(wanted, segments_in_flight, writes_per_s, now)
+    }
+
+    /// The commits that are due: retries first, then a compaction, then what is not recorded yet.
+    pub(crate) fn due_commits(
+        &mut self,
+        mut context: LogContext<'_>,
+        now: Time,
+    ) -> Vec<SegmentCommit> {
+        let mut commits = self.due_retries(context.term, now);
+        let compaction_due = now >= self.next_compaction_at;
+        if compaction_due {
+            self.next_compaction_at = now + COMPACTION_INTERVAL;
+            commits.extend(self.compact(&mut context, now));
+        }
+        let mut with_progress = compaction_due;
+        while (self.may_have_unrecorded || with_progress)
+            && self.uncommitted.len() < MAX_OPEN_COMMITS
+            && (self.write_budget).take_for_segments(1, context.writes_per_s, now)
+        {
+            let Some(commit) = self.record_changes(&mut context, with_progress, now) else {
+                break;
+            };
+            commits.push(commit);
+            with_progress = false;
+        }
+        commits
+    }
+
+    fn due_retries(&mut self, term: &Term, now: Time) -> Vec<SegmentCommit> {
+        let mut commits = Vec::new();
+        for (segment, uncommitted) in &mut self.uncommitted {
+            if uncommitted.retry_at.is_some_and(|at| now >= at) {
+                uncommitted.retry_at = None;
+                commits.push(SegmentCommit {
+                    segment: *segment,
+                    transaction: uncommitted.transaction(*segment, term),
+                });
+            }
+        }
+        commits
+    }
+
+    /// Opens the commit of a new segment with what is not recorded yet, for a write that was taken from the
+    /// budget already. If there is nothing to record the write goes back.
+    fn record_changes(
+        &mut self,
+        context: &mut LogContext<'_>,
+        with_progress: bool,
+        now: Time,
+    ) -> Option<SegmentCommit> {
+        let segment = context.term.next_segment();
+        let mut pending = PendingSegment::new(segment, context.limits);
+        pending.collect_placements(context.fleet);
+        if with_progress {
+            pending.collect_progress(context.jobs);
+        }
+        if pending.is_empty() {
+            self.may_have_unrecorded = false;
+            self.write_budget.give_back(1);
+            return None;
+        }
+        let most = (context.limits.operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
+        let deletes = self.take_affordable_dead(most, context.writes_per_s, now);
+        Some(self.open_commit(pending, deletes, context.term))
+    }
+
+    /// Takes dead segments off the list to delete them, if the budget has the writes for that.
+    fn take_affordable_dead(
+        &mut self,
+        most: usize,
+        writes_per_s: f64,
+        now: Time,
+    ) -> Vec<SegmentId> {
+        let count = self.dead.len().min(most);
+        if !(self.write_budget).take_for_segments(count, writes_per_s, now) {
+            return Vec::new();
+        }
+        self.dead.drain(..count).collect()
+    }
+
+    fn open_commit(
+        &mut self,
+        pending: PendingSegment,
+        deletes: Vec<SegmentId>,
+        term: &Term,
+    ) -> SegmentCommit {
+        let segment = pending.id();
+        let (record, progress) = pending.into_contents();
+        let uncommitted = UncommittedSegment {
+            record,
+            progress,
+            deletes,
+            retry_at: None,
+        };
+        let transaction = uncommitted.transaction(segment, term);
+        self.uncommitted.insert(segment, uncommitted);
+        SegmentCommit {
+            segment,
+            transaction,
+        }
+    }
+
+    /// Applies the answer to a segment's commit.
+    pub(crate) fn commit_answered(
+        &mut self,
+        segment: SegmentId,
+        answer: &StoreAnswer,
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
+        now: Time,
+    ) -> CommitResult {
+        if matches!(answer, StoreAnswer::Rejected) {
+            self.segment_rejected(segment, fleet, jobs);
+            return CommitResult::Rejected;
+        }
+        if !is_carried_out(segment, answer) {
+            if let Some(uncommitted) = self.uncommitted.get_mut(&segment) {
+                uncommitted.retry_at = Some(now + SEGMENT_RETRY_INTERVAL);
+            }
+            return CommitResult::WillRetry;
+        }
+        match self.uncommitted.remove(&segment) {
+            Some(committed) => {
+                CommitResult::Committed(self.segment_committed(segment, committed, fleet, jobs))
+            }
+            None => CommitResult::NotOpen,
+        }
+    }
+
+    /// A segment was not written and never will be: what it names waits to be recorded again.
+    fn segment_rejected(&mut self, segment: SegmentId, fleet: &mut Fleet, jobs: &mut JobTable) {
+        let Some(rejected) = self.uncommitted.remove(&segment) else {
+            return;
+        };
+        self.may_have_unrecorded = true;
+        for machine in fleet.machines.values_mut() {
+            machine.segment_rejected(segment);
+        }
+        for progress in rejected.progress {
+            if let Some(job) = jobs.get_mut(&progress.job) {
+                job.has_unrecorded_progress = true;
+            }
+        }
+        let segments = &self.segments;
+        self.dead.retain(|dead| segments.contains(dead));
+    }
+
+    /// Returns the machines with tasks that were recorded for the first time.
+    fn segment_committed(
+        &mut self,
+        segment: SegmentId,
+        committed: UncommittedSegment,
+        fleet: &mut Fleet,
+        jobs: &mut JobTable,
+    ) -> Vec<MachineId> {
+        for deleted in &committed.deletes {
+            self.segments.remove(deleted);
+        }
+        (self.dead).retain(|dead| !committed.deletes.contains(dead));
+        let mut startable = Vec::new();
+        if committed.is_deletion_only() {
+            return startable;
+        }
+        self.segments.insert(segment);
+        for machine in fleet.machines.values_mut() {
+            if machine.segment_committed(segment) {
+                startable.push(machine.id.clone());
+            }
+            let is_recorded = |task: &TaskId| committed.progress.iter().any(|p| p.includes(task));
+            machine.mark_recorded_outcomes(is_recorded);
+        }
+        for progress in committed.progress {
+            if let Some(job) = jobs.get_mut(&progress.job) {
+                job.segment = job.segment.max(segment);
+            }
+        }
+        startable
+    }
+}
+
+/// Whether an answer shows that a segment's commit was carried out, now or by an earlier try.
+pub(crate) fn is_carried_out(segment: SegmentId, answer: &StoreAnswer) -> bool {
+    match answer {
+        StoreAnswer::Committed(_) => true,
+        StoreAnswer::Conflict(keys) => keys.contains(&segment_key(segment)),
+        _ => false,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/placement_log/write_budget.rs
@@ -0,0 +1,82 @@
+//! The budget of the store's writes that segments and cascade cancellations share.
+//!
+//! A token bucket: the leader's part of the store's write rate fills it, up to one second's worth. When both
+//! writers wait they take turns, since whichever always went first could keep the other waiting for ever.
+
+use crate::units::Time;
+
+/// Tokens for puts and deletes, and whose turn it is to take some.
+#[derive(Default)]
+pub(super) struct WriteBudget {
+    tokens: f64,
+    refilled_at: Time,
+    next_writer: Writer,
+    /// Whether records of cascade cancellations wait for their turn.
+    cancellations_waiting: bool,
+}
+
+/// Who may make the next write when both wait.
+#[derive(Clone, Copy, Default, PartialEq, Eq)]
+enum Writer {
+    #[default]
+    Segments,
+    Cancellations,
+}
+
+impl WriteBudget {
+    /// Takes writes for segments, all or none; returns whether there were enough and it was their turn.
+    pub(super) fn take_for_segments(
+        &mut self,
+        writes: usize,
+        writes_per_s: f64,
+        now: Time,
+    ) -> bool {
+        self.refill(writes_per_s, now);
+        let writes = writes as f64;
+        let others_turn = self.cancellations_waiting && self.next_writer == Writer::Cancellations;
+        // A transaction of more than a second's worth waits for a full bucket, and is owed for afterwards.
+        let taken = !others_turn && self.tokens >= writes.min(writes_per_s);
+        if taken {
+            self.tokens -= writes;
+            self.next_writer = Writer::Cancellations;
+        }
+        taken
+    }
+
+    /// Takes writes for records of cascade cancellations, as many as there are; returns how many. They wait for no
+    /// more than one, or segments would take it each time. Without an open commit of a segment it is their turn in
+    /// any case.
+    pub(super) fn take_for_cancellations(
+        &mut self,
+        wanted: usize,
+        segments_in_flight: bool,
+        writes_per_s: f64,
+        now: Time,
+    ) -> usize {
+        self.refill(writes_per_s, now);
+        self.cancellations_waiting = wanted > 0;
+        if self.next_writer != Writer::Cancellations && segments_in_flight {
+            return 0;
+        }
+        let taken = wanted.min(self.tokens.max(0.0) as usize);
+        if taken > 0 {
+            self.tokens -= taken as f64;
+            self.next_writer = Writer::Segments;
+        }
+        taken
+    }
+
+    /// Gives back writes that were taken and not needed.
+    pub(super) fn give_back(&mut self, writes: usize) {
+        self.tokens += writes as f64;
+    }
+
+    fn refill(&mut self, writes_per_s: f64, now: Time) {
+        let earned = (now - self.refilled_at).as_secs() * writes_per_s;
+        self.tokens = (self.tokens + earned).min(writes_per_s);
+        self.refilled_at = now;
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -285,7 +285,9 @@
 
     pub(crate) fn apply_placements(&mut self, placements: Vec<Placement>, now: Time) {
         let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
-        self.placement_log.may_have_unrecorded |= !placements.is_empty();
+        if !placements.is_empty() {
+            self.placement_log.mark_unrecorded();
+        }
         for placement in placements {
             let id = placement.task.job.clone();
             let Some(spec) = self.jobs.get(&id).map(|j| j.spec.clone()) else {
@@ -399,7 +401,7 @@
 
     /// A machine that has become known in some other way than by a report.
     pub fn add_machine(&mut self, machine: Machine) {
-        self.placement_log.may_have_unrecorded = true;
+        self.placement_log.mark_unrecorded();
         if !self.fleet.returned.contains_key(&machine.id) {
             self.fleet
                 .machines
