--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,23 +1,35 @@
-//! Submissions: whether a job can ever run, and the commit that accepts it.
+//! Admission of submissions: whether a job can ever run, and the commit that accepts it.
 //!
-//! Any node accepts a job, by creating its record on the condition that there is none yet. A job that
-//! depends on others is accepted only if all of them were: acceptance is permanent, so that may be
-//! checked before. The same commit confirms that none of what it depends on, directly or through
-//! others, was cancelled meanwhile; a job that names a cancelled one is accepted as cancelled.
+//! Any node accepts a job, by creating its record on the condition that there is none yet. A job that depends on
+//! others is accepted only if all of them were: acceptance is permanent, so that may be checked before. The same
+//! commit confirms that none of what it depends on, directly or through others, was cancelled meanwhile; a job that
+//! names a cancelled one is accepted as cancelled.
+//!
+//! [`Admission`] decides by what the node knows and has no state of its own.
 
+use crate::cache::dependencies::Ancestry;
+use crate::cache::job_cache::JobCache;
 use crate::io::StoreCall;
+use crate::store::limits::StoreLimits;
 use crate::store::records::{job_key, JobRecord};
+use crate::teams::team_tree::{amounts, TeamTree};
+use crate::units::{Resources, Wall};
+use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::{JobId, Version};
+use rudderreel_wire::job::{JobSpec, JobState, Kind};
 use rudderreel_wire::state::{Change, Condition, Transaction};
 use std::collections::BTreeMap;
 
+/// How far a need may lie above a limit by rounding.
+const LIMIT_TOLERANCE: f64 = 1e-9;
+
 /// Why a job can never run. Its user is told so with 422 and does not try again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NeverRuns {
     /// No such team.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type suits one of its tasks.
+    /// No machine type that it allows holds one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachine,
     /// It needs more than its team may use.
@@ -34,12 +46,169 @@
     TooLarge,
 }
 
+/// Whether a job can ever run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Feasibility {
+    /// It can.
+    Runnable,
+    /// It never can.
+    Never(NeverRuns),
+    /// The machine types are not known yet.
+    Undecided,
+}
+
+/// What a node knows that decides about submissions.
+#[derive(Clone, Copy)]
+pub struct Admission<'a> {
+    /// The machine types, once they are known.
+    pub catalog: Option<&'a Catalog>,
+    /// The teams with their limits.
+    pub teams: &'a TeamTree,
+    /// The jobs that were accepted, as far as this node knows.
+    pub jobs: &'a JobCache,
+    /// What the state service takes.
+    pub limits: &'a StoreLimits,
+}
+
 /// A job that is being created.
 #[derive(Clone, Debug)]
 pub struct NewJob {
-    pub(crate) record: JobRecord,
-    /// Whether the commit confirms everything that the job depends on.
-    pub(crate) confirmed: bool,
+    /// Its record.
+    pub record: JobRecord,
+    /// Which of its dependencies the commit confirms.
+    pub confirms: ConfirmedDependencies,
+}
+
+/// Which dependencies of a new job its commit confirms.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConfirmedDependencies {
+    /// All that are not done, directly or through others.
+    All,
+    /// None: they are too many for one transaction, and are confirmed before the user is told.
+    None,
+}
+
+/// How a job can be created.
+#[derive(Clone, Debug)]
+pub enum Creation {
+    /// A dependency has to be read first: this node does not know it.
+    ReadDependency(JobId),
+    /// By this commit.
+    Commit(StoreCall, Box<NewJob>),
+}
+
+impl Admission<'_> {
+    /// Whether a job can ever run.
+    pub fn feasibility(&self, spec: &JobSpec) -> Feasibility {
+        let Some(catalog) = self.catalog else {
+            return Feasibility::Undecided;
+        };
+        let checked = (self.check_resources(spec, catalog))
+            .and_then(|()| check_own_dependency(spec))
+            .and_then(|()| self.check_service_dependencies(spec))
+            .and_then(|()| self.check_size(spec));
+        checked.map_or_else(Feasibility::Never, |()| Feasibility::Runnable)
+    }
+
+    fn check_resources(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), NeverRuns> {
+        let team = self.teams.find(&spec.team).ok_or(NeverRuns::UnknownTeam)?;
+        let task = Resources::of_task(spec);
+        if !fits_a_machine_type(spec, &task, catalog) {
+            return Err(NeverRuns::FitsNoMachine);
+        }
+        // Tasks of an array may run one after the other, those of other kinds run together.
+        let tasks_at_once = match spec.kind {
+            Kind::Array => 1,
+            _ => spec.tasks,
+        };
+        let need = amounts(&task.times(tasks_at_once));
+        let is_within_limit = |node: usize| {
+            let limit = &self.teams.nodes[node].limit;
+            (need.iter().zip(limit)).all(|(need, limit)| *need <= *limit + LIMIT_TOLERANCE)
+        };
+        if !self.teams.chain(team).all(is_within_limit) {
+            return Err(NeverRuns::OverLimit);
+        }
+        Ok(())
+    }
+
+    fn check_service_dependencies(&self, spec: &JobSpec) -> Result<(), NeverRuns> {
+        let is_service = |id: &JobId| {
+            let known = self.jobs.jobs.get(id);
+            let spec = known.and_then(|known| known.record.spec.as_ref());
+            spec.is_some_and(|spec| spec.kind == Kind::Service)
+        };
+        if spec.dependencies.iter().any(is_service) {
+            return Err(NeverRuns::DependsOnService);
+        }
+        Ok(())
+    }
+
+    fn check_size(&self, spec: &JobSpec) -> Result<(), NeverRuns> {
+        let record = JobRecord::queued(&self.without_done_dependencies(spec), Wall::default());
+        if !self.limits.fits(&record) {
+            return Err(NeverRuns::TooLarge);
+        }
+        Ok(())
+    }
+
+    /// A submission without the dependencies that are done: nothing waits for these.
+    fn without_done_dependencies(&self, spec: &JobSpec) -> JobSpec {
+        let is_done = |id: &JobId| {
+            let known = self.jobs.jobs.get(id);
+            known.is_some_and(|known| known.record.state == JobState::Done)
+        };
+        let mut spec = spec.clone();
+        spec.dependencies.retain(|id| !is_done(id));
+        spec
+    }
+
+    /// How a job is created that can run and is not known to be accepted.
+    pub fn creation_of(&self, spec: &JobSpec, now: Wall) -> Creation {
+        let is_unknown = |id: &&JobId| !self.jobs.jobs.contains_key(*id);
+        if let Some(unknown) = spec.dependencies.iter().find(is_unknown) {
+            return Creation::ReadDependency(unknown.clone());
+        }
+        let Ancestry {
+            cancelled,
+            mut unfinished,
+        } = self.jobs.ancestry(&spec.dependencies);
+        let mut record = JobRecord::queued(&self.without_done_dependencies(spec), now);
+        // Those that are done are not stored, but that there were some shows that dependencies are in use.
+        record.names_dependencies = !spec.dependencies.is_empty();
+        if let Some(dependency) = &cancelled {
+            record = record.cancelled(now, Some(dependency), self.limits);
+            unfinished.clear();
+        }
+        // The job's own key takes one of the transaction's conditions.
+        let confirms = if unfinished.len() < self.limits.conditions() {
+            ConfirmedDependencies::All
+        } else {
+            unfinished.clear();
+            ConfirmedDependencies::None
+        };
+        let call = put_job(&spec.id, Version(0), &record, &unfinished);
+        Creation::Commit(call, Box::new(NewJob { record, confirms }))
+    }
+}
+
+fn check_own_dependency(spec: &JobSpec) -> Result<(), NeverRuns> {
+    if spec.dependencies.contains(&spec.id) {
+        return Err(NeverRuns::DependsOnItself);
+    }
+    Ok(())
+}
+
+/// Whether a machine type that a job allows holds one of its tasks.
+fn fits_a_machine_type(spec: &JobSpec, task: &Resources, catalog: &Catalog) -> bool {
+    catalog.types.iter().any(|machine_type| {
+        let allows_type =
+            (spec.types.as_ref()).is_none_or(|types| types.contains(&machine_type.name));
+        let is_in_zone = |zone| machine_type.zones.is_empty() || machine_type.zones.contains(zone);
+        allows_type
+            && spec.zone.as_ref().is_none_or(is_in_zone)
+            && Resources::of_machine(machine_type).holds(task)
+    })
 }
 
 /// A commit of a job's record, on the condition of its version and of some other jobs'.
--- /dev/null
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -0,0 +1,289 @@
+use super::*;
+use crate::api::user_requests::RequestOrigin;
+use crate::io::{ReqId, UserRequest};
+use crate::store::records::JobRecord;
+use crate::testing::{job, leader, run, up, NOW};
+use rudderreel_wire::job::JobState;
+use rudderreel_wire::peer::CancelledJob;
+
+const CANCELLED_AT: Version = Version(20);
+
+fn id() -> JobId {
+    job(1, "sweep", "red", "normal").spec.id.clone()
+}
+
+/// The node n0 of three.
+fn replicator() -> CancellationReplicator {
+    let peers = ["n1", "n2"].map(NodeName::from);
+    let mut replicator = CancellationReplicator::new("n0".into(), peers, 2);
+    replicator.advance_watermark(CANCELLED_AT);
+    replicator
+}
+
+/// A cache that holds one cancelled job.
+fn cache() -> JobCache {
+    let mut record = JobRecord::queued(&job(1, "sweep", "red", "normal").spec, NOW.wall);
+    record.state = JobState::Cancelled;
+    let mut cache = JobCache::default();
+    cache.update_job(id(), CANCELLED_AT, record);
+    cache
+}
+
+fn request(n: u64) -> PendingRequest {
+    let request = UserRequest::Cancel(id());
+    PendingRequest::new(ReqId(n), request, RequestOrigin::Direct, NOW.time)
+}
+
+fn context(jobs: &JobCache, waited: Span) -> AcknowledgementContext<'_> {
+    AcknowledgementContext {
+        jobs,
+        leader: None,
+        reachable_leader: None,
+        now: Now {
+            time: NOW.time + waited,
+            ..NOW
+        },
+    }
+}
+
+/// A replicator with one request that waits.
+fn waiting_replicator(jobs: &JobCache) -> CancellationReplicator {
+    let mut replicator = replicator();
+    let decided = replicator.acknowledge_or_wait(request(1), CANCELLED_AT, &context(jobs, Span(0)));
+    assert!(decided.is_none());
+    replicator
+}
+
+fn peers_of(messages: &[OutgoingReplication]) -> Vec<&str> {
+    messages.iter().map(|m| m.peer.as_str()).collect()
+}
+
+fn reply(watermark: u64) -> ReplicateCancellationsReply {
+    ReplicateCancellationsReply {
+        cancellation_watermark: Version(watermark),
+    }
+}
+
+#[test]
+fn a_cancellation_is_acknowledged_once_a_majority_knows_it() {
+    let jobs = cache();
+    let mut replicator = waiting_replicator(&jobs);
+    let messages = replicator.messages_due(&jobs, NOW.time);
+    assert_eq!(peers_of(&messages), ["n1", "n2"]);
+    assert_eq!(messages[0].message.cancelled.len(), 1);
+    assert!(replicator
+        .decide_waiting(&context(&jobs, Span(1)))
+        .is_empty());
+    // The peer's watermark is far behind: the message itself is what it knows the cancellation by.
+    assert!(replicator.replication_acknowledged(&"n1".into(), &reply(3)));
+    let decided = replicator.decide_waiting(&context(&jobs, Span(1)));
+    assert!(matches!(decided[..], [Acknowledgement::Respond(_)]));
+}
+
+#[test]
+fn a_watermark_past_the_cancellation_acknowledges_it() {
+    let jobs = cache();
+    let mut replicator = replicator();
+    replicator.peer_watermark_received(&"n2".into(), CANCELLED_AT);
+    let decided =
+        replicator.acknowledge_or_wait(request(1), CANCELLED_AT, &context(&jobs, Span(0)));
+    assert!(matches!(decided, Some(Acknowledgement::Respond(_))));
+}
+
+#[test]
+fn others_than_peers_acknowledge_nothing() {
+    let jobs = cache();
+    let mut replicator = replicator();
+    replicator.peer_watermark_received(&"n9".into(), CANCELLED_AT);
+    replicator.replication_received(&ReplicateCancellations {
+        from: "n9".into(),
+        cancellation_watermark: CANCELLED_AT,
+        cancelled: Vec::new(),
+    });
+    let record = WatermarkRecord {
+        cancellation_watermark: CANCELLED_AT,
+        asks: Version(0),
+    };
+    replicator.watermark_records_read(&BTreeMap::from([("n0".into(), record)]));
+    let decided =
+        replicator.acknowledge_or_wait(request(1), CANCELLED_AT, &context(&jobs, Span(0)));
+    assert!(decided.is_none());
+}
+
+#[test]
+fn a_peer_that_makes_a_cancellation_known_knows_it() {
+    let jobs = cache();
+    let mut replicator = waiting_replicator(&jobs);
+    let cancelled = jobs.cancellation(&id(), CANCELLED_AT);
+    let answer = replicator.replication_received(&ReplicateCancellations {
+        from: "n1".into(),
+        cancellation_watermark: Version(1),
+        cancelled: cancelled.into_iter().collect::<Vec<CancelledJob>>(),
+    });
+    assert_eq!(answer.cancellation_watermark, CANCELLED_AT);
+    let decided = replicator.decide_waiting(&context(&jobs, Span(1)));
+    assert!(matches!(decided[..], [Acknowledgement::Respond(_)]));
+}
+
+#[test]
+fn the_leaders_own_acknowledgement_is_awaited_for_a_moment() {
+    let jobs = cache();
+    let mut replicator = waiting_replicator(&jobs);
+    replicator.peer_watermark_received(&"n1".into(), CANCELLED_AT);
+    let after = |waited| AcknowledgementContext {
+        reachable_leader: Some("n2".into()),
+        ..context(&jobs, waited)
+    };
+    assert!(replicator.decide_waiting(&after(Span(149))).is_empty());
+    let decided = replicator.decide_waiting(&after(LEADER_ACKNOWLEDGEMENT_TIMEOUT));
+    assert!(matches!(decided[..], [Acknowledgement::Respond(_)]));
+}
+
+#[test]
+fn a_leader_acknowledges_alone_only_if_no_task_is_left() {
+    let jobs = cache();
+    let mut leader = leader();
+    leader.term.lease_renewed(NOW.time);
+    let machine = up(&mut leader, "m1", "a");
+    let decide = |leader: &Leader| {
+        let context = AcknowledgementContext {
+            leader: Some(leader),
+            ..context(&jobs, Span(0))
+        };
+        replicator().acknowledge_or_wait(request(1), CANCELLED_AT, &context)
+    };
+    assert!(matches!(decide(&leader), Some(Acknowledgement::Respond(_))));
+    run(&mut leader, &job(1, "sweep", "red", "normal"), 0, &machine);
+    assert!(decide(&leader).is_none());
+}
+
+#[test]
+fn a_request_without_enough_acknowledgements_is_refused_and_watermarks_are_requested() {
+    let jobs = cache();
+    let mut replicator = waiting_replicator(&jobs);
+    let at_timeout = context(&jobs, ACKNOWLEDGEMENT_TIMEOUT);
+    assert!(replicator.decide_waiting(&at_timeout).is_empty());
+    assert_eq!(replicator.watermark_record_due(at_timeout.now.time), None);
+    let late = context(&jobs, ACKNOWLEDGEMENT_TIMEOUT + Span(1));
+    let decided = replicator.decide_waiting(&late);
+    let refusal = Refusal::CancellationNotReplicated;
+    assert!(matches!(&decided[..], [Acknowledgement::Refuse(_, why)] if *why == refusal));
+    let record = replicator.watermark_record_due(late.now.time);
+    assert_eq!(record.map(|record| record.asks), Some(CANCELLED_AT));
+    // It is written once, unless the write fails.
+    let later = late.now.time + Span(2_000);
+    replicator.watermark_record_written(WriteOutcome::Committed);
+    assert_eq!(replicator.watermark_record_due(later), None);
+}
+
+#[test]
+fn a_requested_watermark_is_published_once_it_is_reached() {
+    let mut replicator = replicator();
+    let asked = |asks| WatermarkRecord {
+        cancellation_watermark: Version(0),
+        asks: Version(asks),
+    };
+    replicator.watermark_records_read(&BTreeMap::from([("n1".into(), asked(30))]));
+    assert_eq!(replicator.watermark_record_due(NOW.time), None);
+    replicator.advance_watermark(Version(31));
+    let published = WatermarkRecord {
+        cancellation_watermark: Version(31),
+        asks: Version(0),
+    };
+    assert_eq!(replicator.watermark_record_due(NOW.time), Some(published));
+    assert_eq!(replicator.watermark_record_due(NOW.time), None);
+    replicator.watermark_record_written(WriteOutcome::Failed);
+    let next = NOW.time + Span(1_000);
+    assert_eq!(replicator.watermark_record_due(next), Some(published));
+}
+
+#[test]
+fn one_message_is_under_way_to_a_peer_and_an_unanswered_one_is_repeated_later() {
+    let jobs = cache();
+    let mut replicator = waiting_replicator(&jobs);
+    assert_eq!(replicator.messages_due(&jobs, NOW.time).len(), 2);
+    replicator.forget_replicated();
+    assert!(replicator.messages_due(&jobs, NOW.time).is_empty());
+    replicator.replication_unanswered(&"n1".into(), NOW.time);
+    replicator.forget_replicated();
+    assert!(replicator.messages_due(&jobs, NOW.time).is_empty());
+    replicator.forget_replicated();
+    let retry_at = NOW.time + REPLICATION_RETRY_INTERVAL;
+    let messages = replicator.messages_due(&jobs, retry_at);
+    assert_eq!(peers_of(&messages), ["n1"]);
+}
+
+#[test]
+fn waiting_requests_are_limited() {
+    let jobs = cache();
+    let mut replicator = replicator();
+    let now = context(&jobs, Span(0));
+    for n in 0..MAX_WAITING_REQUESTS as u64 {
+        let decided = replicator.acknowledge_or_wait(request(n), CANCELLED_AT, &now);
+        assert!(decided.is_none());
+    }
+    let decided = replicator.acknowledge_or_wait(request(1_000), CANCELLED_AT, &now);
+    assert!(matches!(decided, Some(Acknowledgement::Refuse(..))));
+}
+
+fn heartbeat(watermark: u64, requests_lease_vote: bool) -> Heartbeat {
+    Heartbeat {
+        from: "n1".into(),
+        epoch: rudderreel_wire::ids::Epoch(1),
+        leads: true,
+        store_reachable: false,
+        requests_lease_vote,
+        machines: 0,
+        workers: 0,
+        forwards_reports: false,
+        worker_silence_ms: 0,
+        partitioned_zones: Default::default(),
+        counts: None,
+        cancellation_watermark: Version(watermark),
+    }
+}
+
+#[test]
+fn a_lease_vote_comes_with_the_cancellations_that_the_candidate_lacks() {
+    let jobs = cache();
+    let replicator = replicator();
+    let offer = replicator.catch_up_for(&heartbeat(19, true), &jobs);
+    let offer = offer.expect("an offer");
+    assert!(offer.is_complete);
+    assert_eq!(offer.catchup.cancellation_watermark, CANCELLED_AT);
+    assert_eq!(offer.catchup.cancelled.len(), 1);
+    // Nobody catches up who asks for no vote, or has not read the jobs.
+    assert!(replicator
+        .catch_up_for(&heartbeat(19, false), &jobs)
+        .is_none());
+    assert!(replicator
+        .catch_up_for(&heartbeat(0, true), &jobs)
+        .is_none());
+}
+
+#[test]
+fn a_catch_up_covers_no_more_than_this_node_knows_completely() {
+    let mut jobs = cache();
+    let mut replicator = replicator();
+    // A single later cancellation that a peer made known is sent, but does not move the watermark.
+    let mut record = jobs.jobs[&id()].record.clone();
+    record.state = JobState::Cancelled;
+    let later = job(2, "sweep", "red", "normal").spec.id.clone();
+    jobs.update_job(later, Version(40), record);
+    let offer = replicator.catch_up_for(&heartbeat(19, true), &jobs);
+    let offer = offer.expect("an offer");
+    assert_eq!(offer.catchup.cancelled.len(), 2);
+    assert_eq!(offer.catchup.cancellation_watermark, CANCELLED_AT);
+    // What is cut off lies above the watermark that is sent, and there is no vote yet.
+    replicator.advance_watermark(Version(50_000));
+    let template = jobs.jobs[&id()].record.clone();
+    for n in 0..MAX_CANCELLATIONS_PER_MESSAGE as u32 {
+        let id = job(1_000 + n, "sweep", "red", "normal").spec.id.clone();
+        jobs.update_job(id, Version(u64::from(1_000 + n)), template.clone());
+    }
+    let offer = replicator.catch_up_for(&heartbeat(19, true), &jobs);
+    let offer = offer.expect("an offer");
+    assert!(!offer.is_complete);
+    assert_eq!(offer.catchup.cancelled.len(), MAX_CANCELLATIONS_PER_MESSAGE);
+    assert_eq!(offer.catchup.cancellation_watermark, Version(1_997));
+}
--- /dev/null
+++ b/crates/core/src/api/user_requests/tests.rs
@@ -0,0 +1,59 @@
+use super::*;
+use crate::testing::NOW;
+
+fn job_id() -> JobId {
+    "wk-000001".parse().expect("an id")
+}
+
+fn status_request(origin: RequestOrigin) -> PendingRequest {
+    PendingRequest::new(ReqId(1), UserRequest::Status(job_id()), origin, NOW.time)
+}
+
+#[test]
+fn a_request_is_forwarded_once_and_only_while_a_peer_has_time_for_it() {
+    let direct = status_request(RequestOrigin::Direct);
+    assert!(direct.may_be_forwarded(NOW.time + Span(999)));
+    assert!(!direct.may_be_forwarded(NOW.time + Span(1_000)));
+    let from_peer = status_request(RequestOrigin::Peer);
+    assert!(!from_peer.may_be_forwarded(NOW.time));
+}
+
+#[test]
+fn attempts_of_a_request_are_limited() {
+    let mut request = status_request(RequestOrigin::Direct);
+    for _ in 0..MAX_ATTEMPTS {
+        assert!(request.begin_attempt());
+    }
+    assert!(!request.begin_attempt());
+}
+
+#[test]
+fn a_request_is_overdue_after_its_timeout() {
+    let request = status_request(RequestOrigin::Direct);
+    assert!(!request.is_overdue(NOW.time + REQUEST_TIMEOUT));
+    assert!(request.is_overdue(NOW.time + REQUEST_TIMEOUT + Span(1)));
+}
+
+#[test]
+fn calls_under_way_are_limited_by_what_the_store_admits_in_time() {
+    let mut requests = UserRequests::default();
+    for _ in 0..MIN_CALL_LIMIT {
+        assert!(requests.has_room(1.0));
+        requests.call_begun();
+    }
+    assert!(!requests.has_room(1.0));
+    assert!(requests.has_room(1_000.0));
+    requests.call_ended();
+    assert!(requests.has_room(1.0));
+}
+
+#[test]
+fn only_an_answer_to_a_forwarded_request_counts() {
+    let mut requests = UserRequests::default();
+    requests.forwarded_to_peer(ReqId(1));
+    requests.forwarded_to_leader(ReqId(2));
+    assert!(requests.forward_ended(ReqId(1)));
+    assert!(!requests.forward_ended(ReqId(1)));
+    assert!(requests.forward_ended(ReqId(2)));
+    assert!(!requests.forward_ended(ReqId(3)));
+}
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -2,6 +2,7 @@
 
 use crate::api::admin::check;
 use crate::api::admin::views;
+use crate::api::refusal::Refusal;
 use crate::io::AdminRequest;
 use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
 use crate::leader::Leader;
@@ -32,7 +33,7 @@
             }
             request => match &self.leader {
                 Some(leader) if !self.leads_surely(leader, now) => {
-                    self.refuse(req, "leading is in doubt");
+                    self.refuse(req, Refusal::LeadershipUncertain);
                 }
                 Some(leader) => {
                     let (status, body) = match request {
@@ -46,7 +47,7 @@
                     };
                     self.answer(req, status, body.to_string());
                 }
-                None => self.ask_leader(req, &request, local, now),
+                None => self.ask_leader(req, &request, local),
             },
         }
     }
@@ -58,15 +59,15 @@
             .may_answer_agents(now.time, store_reachable, self.election.majority())
     }
 
-    fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool, now: Now) {
+    fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool) {
         let leader = self.job_cache.leader().map(|(_, r)| r.node.clone());
         match leader {
             Some(leader) if local && self.peers.contains_key(&leader) => {
                 let forward = Forward::Admin(request.path());
                 self.out.push(Output::Forward(leader, req, forward));
-                self.user_requests.admin_forwarded.insert(req, now.time);
+                self.user_requests.forwarded_to_leader(req);
             }
-            _ => self.refuse(req, "no leader is known"),
+            _ => self.refuse(req, Refusal::NoLeader),
         }
     }
 
@@ -79,7 +80,7 @@
             return self.answer(req, 400, error_body(text));
         }
         if !self.election.store_reachable(now.time) {
-            return self.refuse(req, "the state service does not answer");
+            return self.refuse(req, Refusal::StoreUnreachable);
         }
         let transaction = Transaction {
             conditions: vec![Condition {
@@ -114,8 +115,8 @@
                 let text = "the settings have changed meanwhile: read them again";
                 self.answer(req, 409, error_body(text));
             }
-            StoreAnswer::Unknown => self.refuse(req, "the outcome is unknown: read them again"),
-            _ => self.refuse(req, "the state service does not answer"),
+            StoreAnswer::Unknown => self.refuse(req, Refusal::SettingsOutcomeUnknown),
+            _ => self.refuse(req, Refusal::StoreUnreachable),
         }
     }
 
@@ -156,7 +157,7 @@
             "pages": leader.map(|l| l.placement_log.len()),
             "backlog": self.backlog.summary(now.time),
             "counters": leader.map(|l| &l.metrics.counters),
-            "answers_ms": self.user_requests.latency.summary(),
+            "answers_ms": self.user_requests.latency().summary(),
             "start_waits_ms": leader.map(|l| {
                 (l.metrics.start_waits.iter())
                     .map(|(class, waits)| (class.to_string(), waits.summary()))
--- a/crates/core/src/node/direct_calls.rs
+++ b/crates/core/src/node/direct_calls.rs
@@ -1,5 +1,6 @@
 //! Workers' reports, as a node answers them, and calls to workers.
 
+use crate::api::refusal::Refusal;
 use crate::dispatch::commands::TeamUsage;
 use crate::io::{json, DirectOutcome, Output, ReqId};
 use crate::node::Node;
@@ -32,7 +33,7 @@
             .term
             .may_answer_agents(now.time, store_reachable, majority)
         {
-            return self.refuse(req, "leading is in doubt");
+            return self.refuse(req, Refusal::LeadershipUncertain);
         }
         match leader.answer_report(&report, &self.job_cache, now) {
             Some(commands) => {
@@ -44,7 +45,7 @@
                 }
                 self.answer(req, 200, json(&StatusReportReply { token, commands }))
             }
-            None => self.refuse(req, "not entitled"),
+            None => self.refuse(req, Refusal::NotEntitled),
         }
     }
 
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,5 +1,6 @@
 //! What the nodes tell one another of themselves, and what the load balancer is told.
 
+use crate::api::refusal::Refusal;
 use crate::io::{Output, ReqId};
 use crate::leader::Leader;
 use crate::leadership::step_down_reason::StepDownReason;
@@ -55,7 +56,7 @@
                 .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
                 .collect(),
             counts,
-            cancellation_watermark: self.cancellations.cancellation_watermark,
+            cancellation_watermark: self.cancellations.watermark(),
         }));
         self.update_old_leaders_fenced_at(now.time);
     }
@@ -84,7 +85,7 @@
             self.election.observe_leader(now.time);
         }
         let catchup = self.catch_up_for(&heartbeat);
-        let whole = catchup.as_ref().is_some_and(|(_, whole)| *whole);
+        let whole = catchup.as_ref().is_some_and(|offer| offer.is_complete);
         let grants_lease_vote = whole
             && self
                 .election
@@ -113,8 +114,8 @@
             store_reachable: self.election.store_reachable(now.time),
             grants_lease_vote,
             worker_silence_ms: self.agent_silence(now.time).0,
-            cancellation_watermark: self.cancellations.cancellation_watermark,
-            catchup: catchup.map(|(catchup, _)| catchup),
+            cancellation_watermark: self.cancellations.watermark(),
+            catchup: catchup.map(|offer| offer.catchup),
         };
         self.out.push(Output::AnswerHeartbeat(req, reply));
     }
@@ -194,7 +195,7 @@
         if self.election.store_reachable(now.time) || peer {
             self.answer(req, 200, "{}".into());
         } else {
-            self.refuse(req, "the state service does not answer");
+            self.refuse(req, Refusal::StoreUnreachable);
         }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -24,8 +24,8 @@
 mod version_gate;
 
 use crate::agents::report_forwarding::ReportForwarding;
-use crate::api::cancellation_replication::Cancellations;
-use crate::api::user_requests::UserRequests;
+use crate::api::cancellation_replication::CancellationReplicator;
+use crate::api::user_requests::{RequestOrigin, UserRequests};
 use crate::cache::cache_sync::CacheSync;
 use crate::cache::job_cache::JobCache;
 use crate::cloud::calls::CloudCalls;
@@ -69,7 +69,7 @@
     /// How often costly things are done.
     pub(crate) processor_share: ProcessorShare,
     pub(crate) user_requests: UserRequests,
-    pub(crate) cancellations: Cancellations,
+    pub(crate) cancellations: CancellationReplicator,
     pub(crate) leader: Option<Leader>,
     pub(crate) forwarding: ReportForwarding,
     /// Machines that the leader said it knows.
@@ -104,9 +104,15 @@
         names.push(&settings.node);
         names.sort();
         let rank = names.iter().position(|n| **n == settings.node).unwrap_or(0) as u64;
-        let peers = (settings.peers.iter())
+        let peers: BTreeMap<NodeName, PeerStatus> = (settings.peers.iter())
             .map(|p| (p.node.clone(), PeerStatus::default()))
             .collect();
+        let election = Election::new(settings.node.clone(), nodes, rank);
+        let cancellations = CancellationReplicator::new(
+            settings.node.clone(),
+            peers.keys().cloned(),
+            election.majority(),
+        );
         Self {
             tree: TeamTree::from_limits(&settings.params.teams),
             platform_tree: TeamTree::from_limits(&settings.params.teams),
@@ -119,12 +125,12 @@
             store_calls: StoreCalls::new(store_call_rate(&settings, false)),
             list_lag: Span::secs(settings.params.cloud.list_lag_s),
             cloud: CloudCalls::new(settings.params.cloud.rps * 0.9),
-            election: Election::new(settings.node.clone(), nodes, rank),
+            election,
             limits: StoreLimits::of(&settings.params.state),
             fleet_limits: FleetLimits::of(&settings),
             processor_share: ProcessorShare::of(&settings),
             user_requests: UserRequests::default(),
-            cancellations: Cancellations::default(),
+            cancellations,
             leader: None,
             forwarding: ReportForwarding::default(),
             leader_machines: 0,
@@ -148,7 +154,9 @@
     pub fn step(&mut self, input: Input, now: Now) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
-            Input::User(req, request) => self.user(req, request, false, now),
+            Input::User(req, request) => {
+                self.user_request_received(req, request, RequestOrigin::Direct, now)
+            }
             Input::ForwardedRequest(req, request, sender) => {
                 self.forwarded(req, request, sender, now)
             }
@@ -165,7 +173,7 @@
             Input::ReplicateCancellationsReply(peer, reply) => {
                 self.replication_answered(peer, reply, now)
             }
-            Input::ForwardReply(req, answer) => self.forward_answer(req, answer),
+            Input::ForwardReply(req, answer) => self.forward_answered(req, answer),
             Input::State(id, sent, answer) => self.store_call_answered(id, sent, answer, now),
             Input::Watched(revision, events) => self.watch_events_received(revision, events, now),
             Input::WatchLost => self.watch_lost(),
--- a/crates/core/src/node/pending_call.rs
+++ b/crates/core/src/node/pending_call.rs
@@ -84,7 +84,7 @@
         match purpose {
             PendingCall::Election(call) => self.election_call_answered(call, sent, answer, now),
             PendingCall::CacheSync(listing) => self.cache_sync_page_answered(listing, answer, now),
-            PendingCall::User(call) => self.user_answer(call, answer, now),
+            PendingCall::User(call) => self.user_call_answered(call, answer, now),
             PendingCall::Leader(term, call) => {
                 if self.is_leading_in(term) {
                     self.leader_call_answered(call, answer, now);
@@ -93,9 +93,7 @@
             PendingCall::ReplaceAdminSettings(req, settings) => {
                 self.admin_settings_replaced(req, *settings, answer)
             }
-            PendingCall::WriteWatermark => {
-                self.watermark_written(matches!(answer, StoreAnswer::Committed(_)))
-            }
+            PendingCall::WriteWatermark => self.watermark_written(&answer),
         }
     }
 
--- a/crates/core/src/node/read_confirmation.rs
+++ b/crates/core/src/node/read_confirmation.rs
@@ -1,231 +1,155 @@
-//! Confirmations of reads.
+//! Carries out confirmations of reads: the transactions of their batches, and what follows from the answers.
 
-use crate::api::read_confirmation::{Confirmation, ReadResult};
-use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
+use crate::api::read_confirmation::{
+    BatchProgress, ConfirmationBatch, ConfirmationBudget, FreshVersions, QueueFull, ReadResult,
+    SettledRead, BATCHES_PER_ROUND,
+};
+use crate::api::refusal::Refusal;
+use crate::api::user_requests::{PendingRequest, UserCall};
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::Node;
-use crate::store::records::{job_key, JobRecord, JOB_PREFIX};
-use crate::units::{Now, Span};
-use rudderreel_wire::ids::{JobId, Version};
-use rudderreel_wire::state::{Condition, Transaction};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// How long requests are collected before they are confirmed together, at least.
-const COLLECT: Span = Span(15);
-/// Confirmations may use this part of a node's calls to the state service. So they cost more with
-/// the jobs asked about and with time, but not with how often users ask.
-const CONFIRM_PART: f64 = 0.3;
-/// Commits that confirm at one time; what does not fit waits for the next.
-const BATCHES: usize = 2;
-/// Requests that may wait to be confirmed at least, however few the state service lets be confirmed
-/// before they are given up. One more is refused.
-const LEAST_UNCONFIRMED: usize = 2_000;
+use crate::store::records::{job_key, JobRecord};
+use crate::units::Now;
+use rudderreel_wire::ids::JobId;
+use rudderreel_wire::state::Transaction;
+use std::collections::BTreeMap;
 
 impl Node {
-    /// Confirms a request soon, with others.
-    pub(crate) fn queue_confirmation(&mut self, waiting: Waiting, now: Now) {
-        let most = self.most_unconfirmed();
-        let unconfirmed = &mut self.user_requests.unconfirmed;
-        if unconfirmed.queue.len() >= most {
-            return self.refuse(waiting.req, "too many questions wait");
+    fn confirmation_budget(&self) -> ConfirmationBudget {
+        ConfirmationBudget {
+            calls_per_s: self.store_calls.rate(),
+            max_conditions: self.limits.conditions(),
         }
-        unconfirmed.collecting_since.get_or_insert(now.time);
-        unconfirmed.queue.push_back(waiting);
     }
 
-    /// How many requests may wait: as many as can be confirmed before they have waited too long.
-    fn most_unconfirmed(&self) -> usize {
-        let commits_per_s = self.store_calls.rate() * CONFIRM_PART * BATCHES as f64;
-        let jobs = commits_per_s * self.limits.conditions() as f64 * PATIENCE.as_secs();
-        LEAST_UNCONFIRMED.max(jobs as usize)
+    /// Confirms a read soon, with others.
+    pub(crate) fn queue_confirmation(&mut self, read: PendingRequest, now: Now) {
+        let budget = self.confirmation_budget();
+        let queue = &mut self.user_requests.confirmation_queue;
+        if let Err(QueueFull(read)) = queue.push(read, budget, now.time) {
+            self.refuse(read.id(), Refusal::TooManyUnconfirmedReads);
+        }
     }
 
-    /// Sends confirmations that are due.
+    /// Sends the batches that are due.
     pub(crate) fn send_due_confirmations(&mut self, now: Now) {
-        let unconfirmed = &self.user_requests.unconfirmed;
-        let due = (unconfirmed.collecting_since)
-            .is_some_and(|t| now.time >= unconfirmed.next.max(t + COLLECT));
-        if !due {
+        let budget = self.confirmation_budget();
+        let queue = &mut self.user_requests.confirmation_queue;
+        if !queue.begin_round(budget, now.time) {
             return;
         }
-        let pause = 1.0 / (self.store_calls.rate() * CONFIRM_PART).max(0.1);
-        self.user_requests.unconfirmed.next = now.time + Span::secs(pause);
-        for _ in 0..BATCHES {
-            self.send_confirmation_batch(now);
+        for _ in 0..BATCHES_PER_ROUND {
+            self.send_next_batch(now);
         }
-        let unconfirmed = &mut self.user_requests.unconfirmed;
-        let left = !unconfirmed.queue.is_empty();
-        unconfirmed.collecting_since = left.then_some(now.time);
+        self.user_requests.confirmation_queue.end_round(now.time);
     }
 
-    /// Confirms what fits into a commit, the longest waiting first.
-    fn send_confirmation_batch(&mut self, now: Now) {
-        let most = self.limits.conditions();
-        let mut batch = Confirmation::default();
-        let waiting_now = self.user_requests.unconfirmed.queue.len();
-        for _ in 0..waiting_now {
-            let Some(waiting) = self.user_requests.unconfirmed.queue.pop_front() else {
-                break;
-            };
-            if self.is_final(waiting.job()) {
-                self.respond(waiting, now);
-                continue;
-            }
-            if now.time > waiting.since + PATIENCE {
-                self.refuse(waiting.req, "too many questions wait");
-                continue;
-            }
-            let ancestry = self.job_cache.ancestry_of(waiting.job());
-            if let Some(by) = ancestry.cancelled {
-                self.cancel_with(waiting, &by, now);
-                continue;
-            }
-            let mut versions = ancestry.unfinished;
-            let known = self.job_cache.jobs.get(waiting.job());
-            let version = known.map_or(Version(0), |k| k.version);
-            versions.insert(waiting.job().clone(), version);
-            let is_new = |id: &&JobId| !batch.versions.contains_key(*id);
-            let more = versions.keys().filter(is_new).count();
-            if !batch.members.is_empty() && batch.versions.len() + more > most {
-                self.user_requests.unconfirmed.queue.push_front(waiting);
-                break;
+    fn send_next_batch(&mut self, now: Now) {
+        let max_conditions = self.limits.conditions();
+        let queue = &mut self.user_requests.confirmation_queue;
+        let next = queue.next_batch(&self.job_cache, max_conditions, now.time);
+        for settled in next.settled {
+            match settled {
+                SettledRead::Final(read) => self.respond(read, now),
+                SettledRead::Overdue(read) => {
+                    self.refuse(read.id(), Refusal::TooManyUnconfirmedReads);
+                }
+                SettledRead::CancelledBy(read, dependency) => {
+                    self.cancel_with_dependency(read, &dependency, now);
+                }
             }
-            batch.versions.extend(versions);
-            batch.members.push(waiting);
         }
-        if !batch.members.is_empty() {
+        if let Some(batch) = next.batch {
             self.send_confirmation(batch);
         }
     }
 
-    /// Sends the next transaction of a confirmation.
-    fn send_confirmation(&mut self, mut confirmation: Confirmation) {
-        let most = self.limits.conditions();
-        let left = confirmation.versions.len() - confirmation.confirmed;
-        confirmation.comparing = left.min(most);
-        let conditions = (confirmation.versions.iter())
-            .skip(confirmation.confirmed)
-            .take(confirmation.comparing)
-            .map(|(id, &version)| Condition {
-                key: job_key(id),
-                version,
-            })
-            .collect();
+    /// Sends the next transaction of a batch.
+    fn send_confirmation(&mut self, mut batch: ConfirmationBatch) {
         let call = StoreCall::Commit(Transaction {
-            conditions,
+            conditions: batch.next_conditions(self.limits.conditions()),
             changes: Vec::new(),
         });
-        self.user_call(call, UserCall::Confirm(confirmation));
+        self.user_call(call, UserCall::ConfirmReads(batch));
     }
 
-    /// The answer to a transaction of a confirmation.
-    pub(crate) fn was_confirmed(
+    /// The answer to a transaction of a batch.
+    pub(crate) fn confirmation_answered(
         &mut self,
-        mut confirmation: Confirmation,
+        batch: ConfirmationBatch,
         answer: StoreAnswer,
         now: Now,
     ) {
-        let failed = match answer {
-            StoreAnswer::Committed(_) => Vec::new(),
-            StoreAnswer::Conflict(failed) if !failed.is_empty() => failed,
+        let progress = match answer {
+            StoreAnswer::Committed(_) => batch.transaction_ended(&[]),
+            StoreAnswer::Conflict(failed) if !failed.is_empty() => batch.transaction_ended(&failed),
             _ => {
-                for waiting in confirmation.members {
-                    self.forward_or_refuse(waiting, now);
+                for read in batch.into_reads() {
+                    self.forward_or_refuse(read, now);
                 }
                 return;
             }
         };
-        confirmation.confirmed += confirmation.comparing;
-        if failed.is_empty() && confirmation.confirmed < confirmation.versions.len() {
-            return self.send_confirmation(confirmation);
+        match progress {
+            BatchProgress::Unfinished(batch) => self.send_confirmation(batch),
+            BatchProgress::Finished { reads, fresh } => {
+                self.respond_to_confirmed(reads, &fresh, now);
+            }
         }
-        let failed: BTreeSet<&str> = failed
-            .iter()
-            .filter_map(|k| k.strip_prefix(JOB_PREFIX))
-            .collect();
-        let fresh: BTreeMap<JobId, Version> = (confirmation.versions.into_iter())
-            .take(confirmation.confirmed)
-            .filter(|(id, _)| !failed.contains(id.as_str()))
-            .collect();
-        self.respond_to_confirmed(confirmation.members, &fresh, now);
     }
 
     fn respond_to_confirmed(
         &mut self,
-        members: Vec<Waiting>,
-        fresh: &BTreeMap<JobId, Version>,
+        reads: Vec<PendingRequest>,
+        fresh: &FreshVersions,
         now: Now,
     ) {
-        let mut stale: BTreeMap<JobId, Vec<Waiting>> = BTreeMap::new();
-        for waiting in members {
-            match self.standing(waiting.job(), fresh) {
-                ReadResult::Fresh | ReadResult::Final => self.respond(waiting, now),
-                ReadResult::Missing => self.no_such_job(waiting, now),
-                ReadResult::CancelledBy(by) => self.cancel_with(waiting, &by, now),
-                ReadResult::Stale(id) => stale.entry(id).or_default().push(waiting),
+        let mut stale: BTreeMap<JobId, Vec<PendingRequest>> = BTreeMap::new();
+        for read in reads {
+            match fresh.read(read.job(), &self.job_cache) {
+                ReadResult::Fresh | ReadResult::Final => self.respond(read, now),
+                ReadResult::Missing => self.no_such_job(read, now),
+                ReadResult::CancelledBy(dependency) => {
+                    self.cancel_with_dependency(read, &dependency, now);
+                }
+                ReadResult::Stale(id) => stale.entry(id).or_default().push(read),
             }
         }
-        for (id, members) in stale {
+        for (id, reads) in stale {
             let call = StoreCall::Get(job_key(&id));
-            self.user_call(call, UserCall::ReadFor(id, members));
-        }
-    }
-
-    /// What is known of a job by now, given which versions were confirmed. The cache may have learned
-    /// more meanwhile; what is told is the newest that is known.
-    fn standing(&self, id: &JobId, fresh: &BTreeMap<JobId, Version>) -> ReadResult {
-        if self.is_final(id) {
-            return ReadResult::Final;
-        }
-        let ancestry = self.job_cache.ancestry_of(id);
-        if let Some(by) = ancestry.cancelled {
-            return ReadResult::CancelledBy(by);
-        }
-        match fresh.get(id) {
-            None => return ReadResult::Stale(id.clone()),
-            Some(Version(0)) => return ReadResult::Missing,
-            Some(_) => {}
-        }
-        let mut unfinished = ancestry.unfinished.into_iter();
-        match unfinished.find(|(id, version)| fresh.get(id) != Some(version)) {
-            Some((id, _)) => ReadResult::Stale(id),
-            None => ReadResult::Fresh,
+            self.user_call(call, UserCall::RereadStaleJob(id, reads));
         }
     }
 
     /// The answer to a read of a job for all whose answers depend on it.
-    pub(crate) fn was_read_for(
+    pub(crate) fn stale_job_read(
         &mut self,
         id: JobId,
-        members: Vec<Waiting>,
+        reads: Vec<PendingRequest>,
         answer: StoreAnswer,
         now: Now,
     ) {
-        let read = match answer {
-            StoreAnswer::Found(item) => match serde_json::from_value::<JobRecord>(item.value) {
-                Ok(record) => {
+        match answer {
+            StoreAnswer::Found(item) => {
+                if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
                     self.job_cache.update_job(id, item.version, record);
-                    true
-                }
-                Err(_) => false,
-            },
-            StoreAnswer::Missing => {
-                for waiting in members {
-                    if *waiting.job() == id {
-                        self.no_such_job(waiting, now);
-                    } else {
-                        self.forward_or_refuse(waiting, now);
-                    }
+                    return (reads.into_iter()).for_each(|read| self.respond_to_read(read, now));
                 }
-                return;
             }
-            _ => false,
-        };
-        for waiting in members {
-            if read {
-                self.respond_to_read(waiting, now);
+            StoreAnswer::Missing => return self.stale_job_missing(&id, reads, now),
+            _ => {}
+        }
+        for read in reads {
+            self.forward_or_refuse(read, now);
+        }
+    }
+
+    fn stale_job_missing(&mut self, id: &JobId, reads: Vec<PendingRequest>, now: Now) {
+        for read in reads {
+            if read.job() == id {
+                self.no_such_job(read, now);
             } else {
-                self.forward_or_refuse(waiting, now);
+                self.forward_or_refuse(read, now);
             }
         }
     }
--- a/crates/core/src/node/read_confirmation/tests.rs
+++ b/crates/core/src/node/read_confirmation/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::api::user_requests::RequestOrigin;
 use crate::io::{Output, ReqId, UserRequest};
 use crate::testing::{settings, NOW};
 use rudderreel_wire::settings::StateLimits;
@@ -14,7 +15,12 @@
     let mut node = Node::new(settings);
     for n in 0..questions {
         let id = format!("wk-{n:06}").parse().expect("an id");
-        let waiting = Waiting::new(ReqId(n), UserRequest::Status(id), NOW.time);
+        let waiting = PendingRequest::new(
+            ReqId(n),
+            UserRequest::Status(id),
+            RequestOrigin::Direct,
+            NOW.time,
+        );
         node.queue_confirmation(waiting, NOW);
     }
     let refusal = |output: &Output| matches!(output, Output::Answer { status: 503, .. });
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -1,6 +1,7 @@
 //! Status reports that reach a node which does not lead.
 
 use crate::agents::report_forwarding::{HeldReport, SILENT};
+use crate::api::refusal::Refusal;
 use crate::io::{json, CallId, Output, ReqId};
 use crate::leadership::peers::PeerStatus;
 use crate::node::Node;
@@ -46,7 +47,7 @@
         }
         let oldest = self.forwarding.waiting.first();
         if oldest.is_some_and(|held| now.time > held.since + LONGEST_WAIT) {
-            self.refuse(req, "too many reports wait");
+            self.refuse(req, Refusal::TooManyReports);
             return None;
         }
         let me = (leader, self.election.epoch);
@@ -187,7 +188,7 @@
     fn forwarding_failed(&mut self, held: Vec<HeldReport>) {
         for held in held {
             self.forwarding.workers.remove(&held.report.machine);
-            self.refuse(held.req, "the leader does not answer");
+            self.refuse(held.req, Refusal::LeaderUnreachable);
         }
     }
 
@@ -220,7 +221,7 @@
                     self.forwarding.since.get_or_insert(now.time);
                     self.forwarding.waiting.push(held);
                 }
-                _ => self.refuse(held.req, "not entitled"),
+                _ => self.refuse(held.req, Refusal::NotEntitled),
             }
         }
     }
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -1,296 +1,282 @@
-//! Users' requests.
+//! Carries out users' requests: receives them, calls the state service for them, forwards, answers and refuses them.
 
-use crate::api::admission::put_job;
-use crate::api::user_requests::{UserCall, Waiting, PATIENCE};
+use crate::api::admission::{put_job, Feasibility};
+use crate::api::read_confirmation::is_final;
+use crate::api::refusal::Refusal;
+use crate::api::user_requests::{PendingRequest, RequestOrigin, TaskProgress, UserCall};
 use crate::cache::job_cache::KnownJob;
-use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall, UserRequest};
+use crate::io::{Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
 use crate::store::calls::CallPriority;
 use crate::store::records::{job_key, JobRecord};
 use crate::units::{Now, Span};
-use rudderreel_wire::ids::JobId;
-use rudderreel_wire::job::{JobAnswer, JobState, JobStatus};
-use rudderreel_wire::peer::{Forward, ForwardedSubmission};
+use rudderreel_wire::ids::{JobId, NodeName};
+use rudderreel_wire::job::JobState;
 use std::collections::BTreeMap;
 
-/// A job's key is read so often for one request at most.
-const MAX_TRIES: u32 = 4;
-/// When to come back after a 503.
-const RETRY_S: u32 = 1;
-/// Requests that may be open at once at least: more if the state service takes more in their time.
-const LEAST_OPEN: usize = 400;
+/// A peer whose last heartbeat is older is not asked to serve a request.
+const PEER_HEARTBEAT_TIMEOUT: Span = Span(1_500);
+/// HTTP statuses.
+const OK: u16 = 200;
+const UNAVAILABLE: u16 = 503;
 
 impl Node {
-    /// A user's request, from the user or from a peer.
-    pub(crate) fn user(&mut self, req: ReqId, request: UserRequest, from_peer: bool, now: Now) {
-        let waiting = Waiting {
-            from_peer,
-            ..Waiting::new(req, request, now.time)
-        };
-        let most = LEAST_OPEN.max((self.store_calls.rate() * PATIENCE.as_secs()) as usize);
-        if self.user_requests.open >= most || self.store_calls.is_behind() {
-            return self.refuse(waiting.req, "too many requests are open");
+    /// Receives a user's request, from the user or from a peer.
+    pub(crate) fn user_request_received(
+        &mut self,
+        req: ReqId,
+        request: UserRequest,
+        origin: RequestOrigin,
+        now: Now,
+    ) {
+        let request = PendingRequest::new(req, request, origin, now.time);
+        if !self.user_requests.has_room(self.store_calls.rate()) || self.store_calls.is_behind() {
+            return self.refuse(request.id(), Refusal::TooManyOpenRequests);
         }
-        if self.is_final(waiting.job()) {
-            return self.respond(waiting, now);
+        if is_final(&self.job_cache, request.job()) {
+            return self.respond(request, now);
         }
         if !self.election.store_reachable(now.time) {
-            return self.forward_or_refuse(waiting, now);
+            return self.forward_or_refuse(request, now);
         }
-        self.serve(waiting, now);
-    }
-
-    pub(crate) fn is_final(&self, id: &JobId) -> bool {
-        (self.job_cache.jobs.get(id)).is_some_and(|known| known.record.is_final())
+        self.serve(request, now);
     }
 
-    pub(crate) fn serve(&mut self, waiting: Waiting, now: Now) {
-        if self.is_final(waiting.job()) {
-            return self.respond(waiting, now);
+    /// Serves a request by what the cache says of its job.
+    pub(crate) fn serve(&mut self, request: PendingRequest, now: Now) {
+        if is_final(&self.job_cache, request.job()) {
+            return self.respond(request, now);
         }
-        let known = self.job_cache.jobs.get(waiting.job()).cloned();
-        match (&waiting.request, known) {
-            (UserRequest::Cancel(_), Some(known)) => self.cancel(waiting, known, None, now),
-            (_, Some(_)) => self.queue_confirmation(waiting, now),
+        let known = self.job_cache.jobs.get(request.job()).cloned();
+        match (request.request(), known) {
+            (UserRequest::Cancel(_), Some(known)) => self.cancel_job(request, known, None, now),
+            (_, Some(_)) => self.queue_confirmation(request, now),
             // That there is no such job is confirmed like anything else.
             (UserRequest::Status(_), None) if self.job_cache.is_complete => {
-                self.queue_confirmation(waiting, now)
+                self.queue_confirmation(request, now)
             }
-            (UserRequest::Submit(spec), None) => match self.check_runnable(spec) {
-                Some(Ok(())) => self.create(waiting, now),
-                Some(Err(_)) => self.read(waiting),
-                None => self.refuse(waiting.req, "the machine types are not known yet"),
+            (UserRequest::Submit(spec), None) => match self.feasibility(spec) {
+                Feasibility::Runnable => self.create_job(request, now),
+                // It may have been accepted when it could run.
+                Feasibility::Never(_) => self.read_job(request),
+                Feasibility::Undecided => self.refuse(request.id(), Refusal::MachineTypesUnknown),
             },
-            _ => self.read(waiting),
+            _ => self.read_job(request),
         }
     }
 
-    pub(crate) fn user_call(&mut self, call: StoreCall, step: UserCall) {
-        self.user_requests.open += 1;
+    pub(crate) fn user_call(&mut self, call: StoreCall, purpose: UserCall) {
+        self.user_requests.call_begun();
         self.store_calls
-            .enqueue(CallPriority::User, call, PendingCall::User(step));
+            .enqueue(CallPriority::User, call, PendingCall::User(purpose));
     }
 
     /// Cancels a job for its user, or with a dependency.
-    pub(crate) fn cancel(
+    fn cancel_job(
         &mut self,
-        waiting: Waiting,
+        request: PendingRequest,
         known: KnownJob,
-        by: Option<&JobId>,
+        dependency: Option<&JobId>,
         now: Now,
     ) {
-        let record = known.record.cancelled(now.wall, by, &self.limits);
-        let call = put_job(waiting.job(), known.version, &record, &BTreeMap::new());
-        self.user_call(call, UserCall::Cancel(waiting, Box::new(record)));
+        let record = known.record.cancelled(now.wall, dependency, &self.limits);
+        let call = put_job(request.job(), known.version, &record, &BTreeMap::new());
+        self.user_call(call, UserCall::CancelJob(request, Box::new(record)));
     }
 
-    /// Answers a request about a job that can't become ready any more: its record is written first.
-    pub(crate) fn cancel_with(&mut self, waiting: Waiting, by: &JobId, now: Now) {
-        let id = waiting.job().clone();
-        let Some(known) = self.job_cache.jobs.get(&id).cloned() else {
-            return self.refuse(waiting.req, "the job is not known here");
+    /// Answers a request about a job that can't become ready any more, since a dependency was cancelled: its own
+    /// record is written first.
+    pub(crate) fn cancel_with_dependency(
+        &mut self,
+        request: PendingRequest,
+        dependency: &JobId,
+        now: Now,
+    ) {
+        let Some(known) = self.job_cache.jobs.get(request.job()).cloned() else {
+            return self.refuse(request.id(), Refusal::JobNotCached);
         };
-        if !self.user_requests.cancelling.insert(id) {
+        if !self.user_requests.begin_cancelling(request.job()) {
             // Another request has it written at this moment.
-            return self.queue_confirmation(waiting, now);
+            return self.queue_confirmation(request, now);
         }
-        self.cancel(waiting, known, Some(by), now);
+        self.cancel_job(request, known, Some(dependency), now);
     }
 
-    fn read(&mut self, waiting: Waiting) {
-        let key = job_key(waiting.job());
-        self.user_call(StoreCall::Get(key), UserCall::Read(waiting));
+    fn read_job(&mut self, request: PendingRequest) {
+        let key = job_key(request.job());
+        self.user_call(StoreCall::Get(key), UserCall::ReadJob(request));
     }
 
     /// The answer to a call for users.
-    pub(crate) fn user_answer(&mut self, step: UserCall, answer: StoreAnswer, now: Now) {
-        self.user_requests.open = self.user_requests.open.saturating_sub(1);
-        match step {
-            UserCall::Read(waiting) => self.job_was_read(waiting, answer, now),
-            UserCall::Create(waiting, job) => self.was_created(waiting, *job, answer, now),
-            UserCall::ReadDependency(waiting, id) => {
-                self.dependency_was_read(waiting, id, answer, now)
+    pub(crate) fn user_call_answered(&mut self, purpose: UserCall, answer: StoreAnswer, now: Now) {
+        self.user_requests.call_ended();
+        match purpose {
+            UserCall::ReadJob(request) => self.job_read(request, answer, now),
+            UserCall::CreateJob(request, job) => self.job_created(request, *job, answer, now),
+            UserCall::ReadDependency(request, id) => self.dependency_read(request, id, answer, now),
+            UserCall::CancelJob(request, record) => {
+                self.job_cancelled(request, *record, answer, now)
             }
-            UserCall::Cancel(waiting, record) => self.was_cancelled(waiting, *record, answer, now),
-            UserCall::Confirm(confirmation) => self.was_confirmed(confirmation, answer, now),
-            UserCall::ReadFor(id, members) => self.was_read_for(id, members, answer, now),
+            UserCall::ConfirmReads(batch) => self.confirmation_answered(batch, answer, now),
+            UserCall::RereadStaleJob(id, reads) => self.stale_job_read(id, reads, answer, now),
         }
     }
 
-    fn job_was_read(&mut self, waiting: Waiting, answer: StoreAnswer, now: Now) {
+    fn job_read(&mut self, request: PendingRequest, answer: StoreAnswer, now: Now) {
         match answer {
             StoreAnswer::Found(item) => {
                 let Ok(record) = serde_json::from_value::<JobRecord>(item.value) else {
-                    return self.refuse(waiting.req, "unreadable record");
+                    return self.refuse(request.id(), Refusal::UnreadableRecord);
                 };
-                let id = waiting.job().clone();
+                let id = request.job().clone();
                 self.job_cache.update_job(id, item.version, record);
                 // What the cache has learned since is newer still.
-                let newest = self.job_cache.jobs.get(waiting.job()).cloned();
-                match (&waiting.request, newest) {
+                let newest = self.job_cache.jobs.get(request.job()).cloned();
+                match (request.request(), newest) {
                     (UserRequest::Cancel(_), Some(known)) if !known.record.is_final() => {
-                        self.cancel(waiting, known, None, now)
+                        self.cancel_job(request, known, None, now)
                     }
-                    _ => self.respond_to_read(waiting, now),
+                    _ => self.respond_to_read(request, now),
                 }
             }
             // It was read before what the cache has learned since.
-            StoreAnswer::Missing if self.job_cache.jobs.contains_key(waiting.job()) => {
-                self.retry(waiting, now)
+            StoreAnswer::Missing if self.job_cache.jobs.contains_key(request.job()) => {
+                self.retry(request, now)
             }
-            StoreAnswer::Missing => match &waiting.request {
-                UserRequest::Submit(spec) => match self.check_runnable(spec) {
-                    Some(Ok(())) => self.create(waiting, now),
-                    Some(Err(why)) => self.answer(waiting.req, 422, error_body(&why.to_string())),
-                    None => self.refuse(waiting.req, "the machine types are not known yet"),
-                },
-                _ => self.no_such_job(waiting, now),
-            },
-            _ => self.forward_or_refuse(waiting, now),
+            StoreAnswer::Missing => self.job_missing(request, now),
+            _ => self.forward_or_refuse(request, now),
+        }
+    }
+
+    /// There is no job of this id: a submission creates it.
+    fn job_missing(&mut self, request: PendingRequest, now: Now) {
+        let UserRequest::Submit(spec) = request.request() else {
+            return self.no_such_job(request, now);
+        };
+        match self.feasibility(spec) {
+            Feasibility::Runnable => self.create_job(request, now),
+            Feasibility::Never(reason) => self.refuse(request.id(), reason),
+            Feasibility::Undecided => self.refuse(request.id(), Refusal::MachineTypesUnknown),
         }
     }
 
-    pub(crate) fn retry(&mut self, mut waiting: Waiting, now: Now) {
-        waiting.tries += 1;
-        if waiting.tries > MAX_TRIES || now.time > waiting.since + PATIENCE {
-            return self.refuse(waiting.req, "the state service did not answer in time");
+    /// Reads the job again, if that is still allowed.
+    pub(crate) fn retry(&mut self, mut request: PendingRequest, now: Now) {
+        if !request.begin_attempt() || request.is_overdue(now.time) {
+            return self.refuse(request.id(), Refusal::StoreTimeout);
         }
-        self.read(waiting);
+        self.read_job(request);
     }
 
-    fn was_cancelled(
+    fn job_cancelled(
         &mut self,
-        waiting: Waiting,
+        request: PendingRequest,
         record: JobRecord,
         answer: StoreAnswer,
         now: Now,
     ) {
-        self.user_requests.cancelling.remove(waiting.job());
+        self.user_requests.cancelling_ended(request.job());
         match answer {
             StoreAnswer::Committed(version) => {
-                let id = waiting.job().clone();
+                let id = request.job().clone();
                 self.job_cache.update_job(id, version, record);
-                self.respond(waiting, now);
+                self.respond(request, now);
             }
-            StoreAnswer::Conflict(_) | StoreAnswer::Unknown => self.retry(waiting, now),
-            _ => self.forward_or_refuse(waiting, now),
+            StoreAnswer::Conflict(_) | StoreAnswer::Unknown => self.retry(request, now),
+            _ => self.forward_or_refuse(request, now),
         }
     }
 
     /// There was no such job when that was asked. If one was accepted since, an answer that says so may
     /// have been given by now.
-    pub(crate) fn no_such_job(&mut self, waiting: Waiting, now: Now) {
-        if self.job_cache.jobs.contains_key(waiting.job()) {
-            return self.retry(waiting, now);
+    pub(crate) fn no_such_job(&mut self, request: PendingRequest, now: Now) {
+        if self.job_cache.jobs.contains_key(request.job()) {
+            return self.retry(request, now);
         }
-        self.answer(waiting.req, 404, error_body("no such job"));
+        self.refuse(request.id(), Refusal::NoSuchJob);
     }
 
     /// Answers by a job's record that was just read. What it depends on has yet to be confirmed.
-    pub(crate) fn respond_to_read(&mut self, mut waiting: Waiting, now: Now) {
-        let unfinished = |known: &KnownJob| !known.record.is_final();
-        let known = self.job_cache.jobs.get(waiting.job());
-        if !known.is_some_and(|k| unfinished(k) && !k.dependencies().is_empty()) {
-            return self.respond(waiting, now);
+    pub(crate) fn respond_to_read(&mut self, mut request: PendingRequest, now: Now) {
+        let needs_confirmation =
+            |known: &KnownJob| !known.record.is_final() && !known.dependencies().is_empty();
+        let known = self.job_cache.jobs.get(request.job());
+        if !known.is_some_and(needs_confirmation) {
+            return self.respond(request, now);
         }
-        waiting.tries += 1;
-        if waiting.tries > MAX_TRIES {
-            return self.refuse(waiting.req, "the state service did not answer in time");
+        if !request.begin_attempt() {
+            return self.refuse(request.id(), Refusal::StoreTimeout);
         }
-        self.queue_confirmation(waiting, now);
+        self.queue_confirmation(request, now);
     }
 
-    /// Answers by what is known of a job, which is fresh, or final. That a job is cancelled is told only
+    /// Answers by what is known of a job, which is fresh, or final. That a job is cancelled is acknowledged only
     /// once enough nodes know it.
-    pub(crate) fn respond(&mut self, waiting: Waiting, now: Now) {
-        let cancelled = (self.job_cache.jobs.get(waiting.job()))
-            .filter(|known| known.record.state == JobState::Cancelled)
-            .map(|known| known.version);
-        if cancelled.is_some_and(|version| self.waits_for_replication(&waiting, version, now)) {
-            return;
+    pub(crate) fn respond(&mut self, request: PendingRequest, now: Now) {
+        match self.job_cache.jobs.get(request.job()) {
+            Some(known) if known.record.state == JobState::Cancelled => {
+                let version = known.version;
+                self.respond_cancelled(request, version, now);
+            }
+            _ => self.respond_now(&request, now),
         }
-        self.respond_now(&waiting, now);
     }
 
     /// The one place where a job's state is told: by the newest that is known at this moment.
-    pub(crate) fn respond_now(&mut self, waiting: &Waiting, now: Now) {
-        let id = waiting.job().clone();
-        let Some(record) = self
-            .job_cache
-            .jobs
-            .get(&id)
-            .map(|known| known.record.clone())
-        else {
-            return self.refuse(waiting.req, "the job is not known here");
-        };
-        self.user_requests.latency.record(now.time - waiting.since);
-        let tasks = record.tasks;
-        let (done, running) = self.task_counts(&id);
-        let state = match record.state {
-            JobState::Queued if running > 0 => JobState::Running,
-            state => state,
-        };
-        let body = match waiting.request {
-            UserRequest::Status(_) => {
-                let (done, running) = match state {
-                    JobState::Done => (tasks.max(done), 0),
-                    JobState::Cancelled => (done, 0),
-                    _ => (done, running),
-                };
-                json(&JobStatus {
-                    id,
-                    state,
-                    done,
-                    running,
-                })
-            }
-            _ => json(&JobAnswer { id, state }),
+    pub(crate) fn respond_now(&mut self, request: &PendingRequest, now: Now) {
+        let Some(known) = self.job_cache.jobs.get(request.job()) else {
+            return self.refuse(request.id(), Refusal::JobNotCached);
         };
-        self.answer(waiting.req, 200, body);
+        let (done, running) = self.task_counts(request.job());
+        let body = request.answer_body(&known.record, TaskProgress { done, running });
+        self.user_requests.record_latency(request.age(now.time));
+        self.answer(request.id(), OK, body);
     }
 
-    /// The state service does not serve this node: a peer may be luckier. If not, the user is
-    /// told at once when to come back.
-    pub(crate) fn forward_or_refuse(&mut self, waiting: Waiting, now: Now) {
-        let peer = (self.peers.iter())
-            .find(|(_, p)| p.store_reachable && now.time < p.last_heartbeat_at + Span(1_500))
-            .map(|(name, _)| name.clone());
-        let early = now.time < waiting.since + Span(1_000);
-        match peer {
-            Some(peer) if !waiting.from_peer && early => {
-                let forward = match &waiting.request {
-                    UserRequest::Submit(spec) => Forward::Submit(ForwardedSubmission::text(spec)),
-                    UserRequest::Status(id) => Forward::Status(id.to_string()),
-                    UserRequest::Cancel(id) => Forward::Cancel(id.to_string()),
-                };
-                self.out.push(Output::Forward(peer, waiting.req, forward));
-                self.user_requests.forwarded.insert(waiting.req, waiting);
+    /// The state service does not serve this node: a peer may be luckier. If not, the user is told at once when to
+    /// come back.
+    pub(crate) fn forward_or_refuse(&mut self, request: PendingRequest, now: Now) {
+        match self.peer_with_store(now) {
+            Some(peer) if request.may_be_forwarded(now.time) => {
+                let id = request.id();
+                self.out
+                    .push(Output::Forward(peer, id, request.to_forward()));
+                self.user_requests.forwarded_to_peer(id);
             }
-            _ => self.refuse(waiting.req, "the state service does not answer"),
+            _ => self.refuse(request.id(), Refusal::StoreUnreachable),
         }
     }
 
+    /// A peer that reaches the state service, by its heartbeats.
+    fn peer_with_store(&self, now: Now) -> Option<NodeName> {
+        let mut peers = self.peers.iter();
+        let found = peers.find(|(_, peer)| {
+            peer.store_reachable && now.time < peer.last_heartbeat_at + PEER_HEARTBEAT_TIMEOUT
+        });
+        found.map(|(name, _)| name.clone())
+    }
+
     /// A peer's answer to a forwarded request.
-    pub(crate) fn forward_answer(&mut self, req: ReqId, answer: Option<(u16, String)>) {
-        let admin = self.user_requests.admin_forwarded.remove(&req).is_some();
-        if self.user_requests.forwarded.remove(&req).is_none() && !admin {
+    pub(crate) fn forward_answered(&mut self, req: ReqId, answer: Option<(u16, String)>) {
+        if !self.user_requests.forward_ended(req) {
             return;
         }
         match answer {
-            Some((status, body)) if status != 503 => self.answer(req, status, body),
-            _ => self.refuse(req, "the state service does not answer"),
+            Some((status, body)) if status != UNAVAILABLE => self.answer(req, status, body),
+            _ => self.refuse(req, Refusal::StoreUnreachable),
         }
     }
 
-    /// Refuses at once and says when to come back.
-    pub(crate) fn refuse(&mut self, req: ReqId, why: &str) {
-        log::debug!("refused: {why}");
+    /// Refuses a request.
+    pub(crate) fn refuse(&mut self, req: ReqId, refusal: impl Into<Refusal>) {
+        let refusal = refusal.into();
+        log::debug!("request refused: reason={refusal:?}");
         self.out.push(Output::Answer {
             req,
-            status: 503,
-            body: error_body(why),
-            retry_after: Some(RETRY_S),
+            status: refusal.status(),
+            body: refusal.body(),
+            retry_after: refusal.retry_after_s(),
         });
     }
 
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -1,5 +1,7 @@
 //! The commits by which a leader closes the version gate.
 
+use crate::api::refusal::Refusal;
+use crate::api::user_requests::RequestOrigin;
 use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
 use crate::leadership::step_down_reason::StepDownReason;
 use crate::leadership::version_gate::VersionGateStep;
@@ -30,9 +32,9 @@
         let is_submission = matches!(request, UserRequest::Submit(_));
         let outdated = sender == SenderVersion::BeforeDependencies;
         if is_submission && outdated && self.job_cache.dependencies_in_use() {
-            return self.refuse(req, "the node that was asked knows no dependencies");
+            return self.refuse(req, Refusal::ForwarderOutdated);
         }
-        self.user(req, request, true, now);
+        self.user_request_received(req, request, RequestOrigin::Peer, now);
     }
 
     /// Has the leader close the gate once a job depends on others.
