--- a/crates/core/src/api/admin/views.rs
+++ b/crates/core/src/api/admin/views.rs
@@ -27,14 +27,15 @@
     let finite = |x: f64| x.is_finite().then_some(x);
     let rows: Vec<Value> = (leader.policy.teams.nodes.iter().enumerate().skip(1))
         .map(|(i, team)| {
+            let usage = snapshot.team_usage(i);
             json!({
                 "team": team.name,
                 "parent": team.parent.map(|p| &leader.policy.teams.nodes[p].name),
                 "priority": team.priority,
                 "weight": team.weight,
-                "cpus": {"used": snapshot.used[i][0], "of_share": snapshot.counted[i][0], "share": snapshot.share[i][0],
+                "cpus": {"used": usage.used[0], "of_share": usage.counted[0], "share": usage.fair_share[0],
                     "quota": finite(team.quota[0]), "limit": finite(team.limit[0])},
-                "gpus": {"used": snapshot.used[i][1], "of_share": snapshot.counted[i][1], "share": snapshot.share[i][1],
+                "gpus": {"used": usage.used[1], "of_share": usage.counted[1], "share": usage.fair_share[1],
                     "quota": finite(team.quota[1]), "limit": finite(team.limit[1])},
                 "saturation": finite(snapshot.saturation(i)),
             })
--- a/crates/core/src/scheduling/snapshot.rs
+++ b/crates/core/src/scheduling/snapshot.rs
@@ -463,6 +463,15 @@
         }
     }
 
+    /// What a node of the tree uses and its fair share.
+    pub fn team_usage(&self, node: usize) -> TeamUsage {
+        TeamUsage {
+            used: self.used[node],
+            counted: self.counted[node],
+            fair_share: self.share[node],
+        }
+    }
+
     /// How full a team is.
     pub fn saturation(&self, leaf: usize) -> f64 {
         crate::teams::fair_share::saturation(&self.counted[leaf], &self.share[leaf])
@@ -495,6 +504,17 @@
     }
 }
 
+/// What a node of the team tree uses and its fair share.
+#[derive(Clone, Copy, Debug)]
+pub struct TeamUsage {
+    /// Everything that is not surely gone.
+    pub used: Amounts,
+    /// What of that counts for fair shares.
+    pub counted: Amounts,
+    /// The fair share.
+    pub fair_share: Amounts,
+}
+
 /// What counts for taking room back for a job.
 pub struct Lending<'a> {
     /// By node of the tree: what is used.
