--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -6,8 +6,9 @@
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::actions::{allowed, fits};
-use crate::scheduling::snapshot::{is_bound, within, CandidateMachine, Snapshot};
-use crate::teams::team_tree::{amounts, Amounts};
+use crate::scheduling::snapshot::quota::QuotaUsage;
+use crate::scheduling::snapshot::{has_zone_rules, CandidateMachine, Snapshot};
+use crate::teams::team_tree::amounts;
 use crate::units::{Now, Resources, Span, Time};
 use rudderreel_wire::cloud::{MachineType, Rent, MACHINES_PER_RENTAL};
 use rudderreel_wire::ids::{TypeName, Zone};
@@ -57,8 +58,7 @@
     bins: Vec<Bin>,
     /// By offer: whether work that can't wait wants any, and how many.
     wanted: BTreeMap<InstanceOffer, (bool, u32)>,
-    used: Vec<Amounts>,
-    firm: Vec<Amounts>,
+    usage: QuotaUsage,
     /// Free machines that gangs which wait for more may count on.
     spare: Vec<bool>,
 }
@@ -73,8 +73,7 @@
         let mut plan = Plan {
             bins: self.coming(now),
             wanted: BTreeMap::new(),
-            used: snapshot.used.clone(),
-            firm: snapshot.firm.clone(),
+            usage: snapshot.quota.usage().clone(),
             spare: vec![true; snapshot.candidates.len()],
         };
         let mut jobs: Vec<&Job> = (self.jobs.values())
@@ -241,25 +240,17 @@
     /// How many more tasks of a job its team's limits allow, at most `most`; they are charged.
     fn allowance(&self, job: &Job, most: u32, plan: &mut Plan) -> u32 {
         let need = amounts(&job.need);
-        let Some(leaf) = self.policy.teams.find(&job.spec.team) else {
-            return 0;
-        };
         let mut n = 0;
-        while n < most && within(self, job, &need, &plan.used, &plan.firm) {
+        while n < most && plan.usage.within_limits(self, job, &need) {
             n += 1;
-            for node in self.policy.teams.chain(leaf) {
-                crate::scheduling::snapshot::add(&mut plan.used[node], &need);
-                if !job.is_preemptible() {
-                    crate::scheduling::snapshot::add(&mut plan.firm[node], &need);
-                }
-            }
+            plan.usage.charge(self, job, &need);
         }
         n
     }
 
     fn zones_of(&self, job: &Job) -> Zones {
         let mut zones = Zones::new();
-        if is_bound(&job.spec) {
+        if has_zone_rules(&job.spec) {
             for (id, _) in job.placements.values().flatten() {
                 if let Some(machine) = self.fleet.machines.get(id) {
                     *zones.entry(machine.zone.clone()).or_default() += 1;
@@ -486,9 +477,9 @@
         offer: InstanceOffer {
             machine_type: spot.machine_type.clone(),
             zone: spot.zone.clone(),
-            spot: spot.spot,
+            spot: spot.is_spot,
         },
-        gpus: spot.room.gpus > 0,
+        gpus: spot.capacity.gpus > 0,
         free: spot.free,
         sure: spot.free,
         machines: 1,
--- a/crates/core/src/scheduling/actions/allocate.rs
+++ b/crates/core/src/scheduling/actions/allocate.rs
@@ -1,169 +1,159 @@
-//! Places pending work on free room: teams below 1 on saturation first, and among them by priority
-//! what has waited too long for its first start, then by the least work left. Work that can't be evicted may use only quota, which is handed out first, so
-//! it is placed before work that can also borrow. Like tasks are decided as a class: one refusal
-//! holds for all of the same
-//! shape in this cycle.
+//! Allocate: waiting tasks go on free room.
+//!
+//! Teams that use less than their fair share go first, and among them jobs in the order of the queue (priority, then
+//! what is overdue, then the least work left). Work that can't be preempted runs only within quota, which is handed
+//! out first, so it is allocated before work that can also borrow. Like tasks are decided as a class: one refusal
+//! holds for all of the same class in this cycle.
 
-use super::{fit, gather};
+use super::gang_reservation::reserve_for_gangs;
+use super::scoring::{best_machine, rank_machines, task_slots, ImagePreference, RankedMachine};
+use super::task_class::TaskClass;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::snapshot::{is_bound, Snapshot};
+use crate::scheduling::snapshot::{has_zone_rules, Snapshot};
 use crate::scheduling::statement::{Placement, Statement};
-use crate::teams::team_tree::amounts;
-use crate::units::Time;
-use rudderreel_wire::ids::{JobId, Zone};
+use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::Kind;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// What makes tasks alike: if one does not fit, neither does another.
-#[derive(PartialEq, Eq, Hash)]
-pub(super) struct Shape {
-    need: (i64, i64, i64),
-    types: Option<Vec<String>>,
-    zone: Option<Zone>,
-    spot: bool,
-    kind: Kind,
-    tasks: u32,
-    together: bool,
-    job: Option<JobId>,
-}
+/// How many tasks of a job are placed before its team's saturation is considered again.
+const TASKS_PER_TURN: usize = 16;
 
-impl Shape {
-    pub(super) fn of(job: &Job, now: Time) -> Self {
-        let (spec, need) = (&job.spec, &job.need);
-        // Tasks bound to where others of their job are can't be judged by another job's.
-        // Nor can those of one that keeps off machines where it failed.
-        let bound = is_bound(spec) || job.failures.avoids_any_machine(now);
-        Self {
-            need: (need.cpus, need.gpus, need.memory),
-            types: (spec.types.as_ref())
-                .map(|t| t.iter().map(|n| n.as_str().to_string()).collect()),
-            zone: spec.zone.clone(),
-            spot: spec.spot,
-            kind: spec.kind,
-            tasks: if spec.kind == Kind::Gang {
-                spec.tasks
-            } else {
-                0
-            },
-            together: spec.one_zone,
-            job: bound.then(|| spec.id.clone()),
-        }
-    }
-}
-
-/// How many tasks of a job are placed before its team's saturation is looked at again.
-const CHUNK: usize = 16;
-
-/// Jobs waiting, by team, in order.
-fn queues<'a>(
-    leader: &Leader,
-    snapshot: &Snapshot,
-    waiting: &[&'a Job],
-    firm: bool,
-) -> BTreeMap<usize, VecDeque<&'a Job>> {
-    let mut queues: BTreeMap<usize, VecDeque<&Job>> = BTreeMap::new();
-    for &job in waiting {
-        let placed = snapshot.taken(&job.spec.id) >= job.startable_tasks() as usize;
-        if placed || job.is_preemptible() == firm {
-            continue;
-        }
-        if let Some(leaf) = leader.policy.teams.find(&job.spec.team) {
-            queues.entry(leaf).or_default().push_back(job);
-        }
-    }
-    queues
+/// Which work is allocated.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Tier {
+    NonPreemptible,
+    Preemptible,
 }
 
-/// Places work that can't be evicted. With `picky`, what can't wait for a fetch is left alone where its
-/// image is not at hand: room may yet be made for it where it is.
+/// Allocates work that can't be preempted.
 pub fn allocate_non_preemptible(
     leader: &Leader,
     snapshot: &mut Snapshot,
     waiting: &[&Job],
-    picky: bool,
+    images: ImagePreference,
 ) -> Vec<Placement> {
-    allocate_tier(leader, snapshot, waiting, true, picky)
+    let queues = TeamQueues::new(leader, snapshot, waiting, Tier::NonPreemptible);
+    allocate(leader, snapshot, queues, images)
 }
 
-/// Places what can be evicted, after all that can't: also after what went without its image, or on
-/// machines that have just come up it would find no room left.
+/// Allocates work that can be preempted, after all that can't: also after what went without its image, which would
+/// find no room left on machines that have just come up.
 pub fn allocate_preemptible(
     leader: &Leader,
     snapshot: &mut Snapshot,
     waiting: &[&Job],
 ) -> Vec<Placement> {
-    snapshot.hold_reserve(leader);
-    gather::keep_room(leader, snapshot, waiting);
-    allocate_tier(leader, snapshot, waiting, false, false)
+    snapshot.reserve_for_arrivals(leader);
+    reserve_for_gangs(leader, snapshot, waiting);
+    let queues = TeamQueues::new(leader, snapshot, waiting, Tier::Preemptible);
+    allocate(leader, snapshot, queues, ImagePreference::Any)
+}
+
+/// Waiting jobs by team, each team's in order.
+struct TeamQueues<'a> {
+    by_team: BTreeMap<usize, VecDeque<&'a Job>>,
+    /// The place of each job in the queue of all.
+    rank: HashMap<&'a JobId, usize>,
 }
 
-fn allocate_tier(
+impl<'a> TeamQueues<'a> {
+    fn new(leader: &Leader, snapshot: &Snapshot, waiting: &[&'a Job], tier: Tier) -> Self {
+        let mut by_team: BTreeMap<usize, VecDeque<&Job>> = BTreeMap::new();
+        for &job in waiting {
+            let is_placed = snapshot.placed_count(&job.spec.id) >= job.startable_tasks() as usize;
+            let in_tier = job.is_preemptible() == (tier == Tier::Preemptible);
+            if is_placed || !in_tier {
+                continue;
+            }
+            if let Some(team) = leader.policy.teams.find(&job.spec.team) {
+                by_team.entry(team).or_default().push_back(job);
+            }
+        }
+        let rank = (waiting.iter().enumerate())
+            .map(|(rank, job)| (&job.spec.id, rank))
+            .collect();
+        Self { by_team, rank }
+    }
+
+    /// The team whose turn it is, and its first job: teams below their fair share first, or whose job is overdue;
+    /// then by the place of the job in the queue of all.
+    fn next(&self, leader: &Leader, snapshot: &Snapshot) -> Option<(usize, &'a Job)> {
+        (self.by_team.iter())
+            .filter_map(|(&team, queue)| Some((team, *queue.front()?)))
+            .min_by_key(|(team, job)| {
+                let is_overdue = leader.is_overdue(job, snapshot.now.wall);
+                let is_over_share = snapshot.saturation(*team) >= 1.0;
+                let rank = self.rank.get(&job.spec.id).copied();
+                (is_over_share && !is_overdue, rank)
+            })
+    }
+
+    /// Removes the first job of a team.
+    fn pop(&mut self, team: usize) {
+        if let Some(queue) = self.by_team.get_mut(&team) {
+            queue.pop_front();
+        }
+    }
+}
+
+fn allocate(
     leader: &Leader,
     snapshot: &mut Snapshot,
-    waiting: &[&Job],
-    firm: bool,
-    picky: bool,
+    mut queues: TeamQueues,
+    images: ImagePreference,
 ) -> Vec<Placement> {
-    let mut queues = queues(leader, snapshot, waiting, firm);
-    let mut refused: HashSet<Shape> = HashSet::new();
+    let mut refused: HashSet<TaskClass> = HashSet::new();
     let mut placed = Vec::new();
-    let rank: HashMap<&JobId, usize> = (waiting.iter().enumerate())
-        .map(|(i, j)| (&j.spec.id, i))
-        .collect();
-    loop {
-        let next = (queues.iter())
-            .filter_map(|(&leaf, queue)| Some((leaf, *queue.front()?)))
-            .min_by_key(|(leaf, job)| {
-                let overdue = leader.is_overdue(job, snapshot.now.wall);
-                let over = snapshot.saturation(*leaf) >= 1.0;
-                (over && !overdue, rank.get(&job.spec.id).copied())
-            });
-        let Some((leaf, job)) = next else {
-            return placed;
-        };
-        let shape = Shape::of(job, snapshot.now.time);
-        let mut done = refused.contains(&shape);
-        if !done {
-            let got = place_some(leader, snapshot, job, picky);
-            let more = job.startable_tasks() as usize > snapshot.taken(&job.spec.id);
-            let full = got.is_empty() || (got.len() < CHUNK && more);
-            if full && limits_allow(leader, snapshot, job) {
-                refused.insert(shape);
-            }
-            placed.extend(got);
-            done = full || !more;
+    while let Some((team, job)) = queues.next(leader, snapshot) {
+        let class = TaskClass::of(job, snapshot.now.time);
+        if refused.contains(&class) {
+            queues.pop(team);
+            continue;
         }
-        if done {
-            if let Some(queue) = queues.get_mut(&leaf) {
-                queue.pop_front();
-            }
+        let placements = place_some(leader, snapshot, job, images);
+        let has_more = job.startable_tasks() as usize > snapshot.placed_count(&job.spec.id);
+        let found_no_more_room =
+            placements.is_empty() || (placements.len() < TASKS_PER_TURN && has_more);
+        if found_no_more_room && snapshot.allows_one_more(leader, job) {
+            refused.insert(class);
+        }
+        placed.extend(placements);
+        if found_no_more_room || !has_more {
+            queues.pop(team);
         }
     }
-}
-
-fn limits_allow(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
-    snapshot.within_limits(leader, job, &amounts(&job.need))
+    placed
 }
 
 /// Places some tasks of a job; a gang whole or not at all.
-fn place_some(leader: &Leader, snapshot: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
+fn place_some(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    job: &Job,
+    images: ImagePreference,
+) -> Vec<Placement> {
     match job.spec.kind {
         Kind::Gang => place_gang(leader, snapshot, job),
-        Kind::Array if !is_bound(&job.spec) => place_alike(leader, snapshot, job),
-        _ => place_each(leader, snapshot, job, picky),
+        Kind::Array if !has_zone_rules(&job.spec) => place_alike(leader, snapshot, job),
+        Kind::Array | Kind::Service => place_each(leader, snapshot, job, images),
     }
 }
 
-/// Tasks of which each changes where the next may go.
-fn place_each(leader: &Leader, snapshot: &mut Snapshot, job: &Job, picky: bool) -> Vec<Placement> {
-    let skip = snapshot.taken(&job.spec.id);
+/// Places tasks of which each changes where the next may go.
+fn place_each(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    job: &Job,
+    images: ImagePreference,
+) -> Vec<Placement> {
+    let already_placed = snapshot.placed_count(&job.spec.id);
     let mut statement = Statement::default();
-    for index in job.next_startable(skip, CHUNK) {
-        if !limits_allow(leader, snapshot, job) {
+    for index in job.next_startable(already_placed, TASKS_PER_TURN) {
+        if !snapshot.allows_one_more(leader, job) {
             break;
         }
-        let Some(at) = fit::best(leader, snapshot, job, picky) else {
+        let Some(at) = best_machine(leader, snapshot, job, images) else {
             break;
         };
         statement.place(leader, snapshot, job, index, at);
@@ -171,71 +161,55 @@
     statement.commit()
 }
 
-/// Tasks that are alike: the machines are ranked once and filled one after the other.
+/// Places tasks that are alike: machines are ranked once and filled one after the other.
 fn place_alike(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
-    let skip = snapshot.taken(&job.spec.id);
-    let mut indexes = job.next_startable(skip, CHUNK).into_iter().peekable();
+    let already_placed = snapshot.placed_count(&job.spec.id);
+    let indexes = job.next_startable(already_placed, TASKS_PER_TURN);
+    let slots = task_slots(rank_machines(leader, snapshot, job, None));
     let mut statement = Statement::default();
-    for (at, count) in fit::ranked(leader, snapshot, job, None) {
-        for _ in 0..count {
-            if !limits_allow(leader, snapshot, job) {
-                return statement.commit();
-            }
-            match indexes.next() {
-                Some(index) => statement.place(leader, snapshot, job, index, at),
-                None => return statement.commit(),
-            }
-        }
-        if indexes.peek().is_none() {
+    for (index, at) in indexes.into_iter().zip(slots) {
+        if !snapshot.allows_one_more(leader, job) {
             break;
         }
+        statement.place(leader, snapshot, job, index, at);
     }
     statement.commit()
 }
 
-/// A gang that must be in one zone is tried in each, the one where most of its machines have the
-/// image, and suit it, first.
-fn place_gang(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
-    let want = job.spec.tasks;
-    let zones: Vec<Option<usize>> = if job.spec.one_zone {
-        (0..snapshot.zone_names.len()).map(Some).collect()
-    } else {
-        vec![None]
-    };
-    let image = snapshot.image(&job.spec.image);
-    let mut best: Option<(usize, Vec<(usize, u32)>)> = None;
-    for zone in zones {
-        let ranked = fit::ranked(leader, snapshot, job, zone);
-        if ranked.iter().map(|(_, n)| u64::from(*n)).sum::<u64>() < u64::from(want) {
-            continue;
-        }
-        let cold = |&(i, _): &(usize, u32)| {
-            let images = &snapshot.candidates[i].images;
-            !image.is_some_and(|no| images.contains(&no))
-        };
-        let fetches = ranked
-            .iter()
-            .take(want as usize)
-            .filter(|r| cold(r))
-            .count();
-        if best.as_ref().is_none_or(|(least, _)| fetches < *least) {
-            best = Some((fetches, ranked));
-        }
-    }
-    let Some((_, ranked)) = best else {
+/// Places a gang whole. One that must be in one zone is tried in each, and goes to the zone where most of its
+/// machines have the image.
+fn place_gang(leader: &Leader, snapshot: &mut Snapshot, gang: &Job) -> Vec<Placement> {
+    let Some(ranked) = zone_with_fewest_fetches(leader, snapshot, gang) else {
         return Vec::new();
     };
     let mut statement = Statement::default();
-    let places = (ranked.into_iter()).flat_map(|(at, n)| std::iter::repeat_n(at, n as usize));
-    for (index, at) in (0..want).zip(places) {
-        if !limits_allow(leader, snapshot, job) {
+    for (index, at) in (0..gang.spec.tasks).zip(task_slots(ranked)) {
+        if !snapshot.allows_one_more(leader, gang) {
             break;
         }
-        statement.place(leader, snapshot, job, index, at);
-    }
-    if statement.len() == want as usize {
-        return statement.commit();
+        statement.place(leader, snapshot, gang, index, at);
     }
-    statement.discard(leader, snapshot, job);
-    Vec::new()
+    let placements = statement.commit_if_whole(leader, snapshot, gang, gang.spec.tasks);
+    placements.unwrap_or_default()
+}
+
+/// The ranked machines of the zone with room for a whole gang where the fewest fetch its image.
+fn zone_with_fewest_fetches(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    gang: &Job,
+) -> Option<Vec<RankedMachine>> {
+    let image = snapshot.image(&gang.spec.image);
+    let fetches = |ranked: &Vec<RankedMachine>| {
+        (ranked.iter().take(gang.spec.tasks as usize))
+            .filter(|machine| !snapshot.candidates[machine.at].has_image(image))
+            .count()
+    };
+    (snapshot.zone_choices(&gang.spec).into_iter())
+        .map(|zone| rank_machines(leader, snapshot, gang, zone))
+        .filter(|ranked| {
+            let slots: u64 = ranked.iter().map(|machine| u64::from(machine.tasks)).sum();
+            slots >= u64::from(gang.spec.tasks)
+        })
+        .min_by_key(fetches)
 }
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -1,30 +1,38 @@
-//! Consolidation: replicas are moved off a machine that holds few, if all of them have a home
-//! elsewhere, so that it empties and can be returned.
+//! Consolidation: replicas are moved off a machine that holds few, if all of them have room elsewhere, so that it
+//! empties and can be returned (article: "Consolidation: defragmenting without losing work").
 //!
-//! A replica can't run in two places, so a move costs a moment of its time. It goes only to a
-//! machine that has its image, the new start is recorded before the old task is stopped, and only
-//! a few are moved in a cycle.
+//! A replica can't run in two places, so a move costs a moment of its time. It goes only to a machine that has its
+//! image, the new start is recorded before the old task is stopped, and only a few are moved in a cycle.
 
-use super::evict::{Eviction, Scenario};
-use super::fit;
+use super::predicates::fits;
+use super::scenario::{Eviction, EvictionReason, Scenario};
 use crate::fleet::machine::{Phase, PlacedTask};
+use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::snapshot::Snapshot;
+use crate::scheduling::snapshot::{Snapshot, Victim};
 use crate::scheduling::statement::Statement;
 use crate::units::{Resources, Span};
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::worker::TaskState;
+use std::cmp::Reverse;
 
 /// Replicas moved in a cycle.
-const MOVES: usize = 2;
-/// Machines that are looked at in a cycle.
-const TRIES: usize = 8;
+const MAX_MOVES: usize = 2;
+/// Machines considered in a cycle.
+const MAX_MACHINES_CONSIDERED: usize = 8;
 /// A replica is left alone for so long after its start.
-const SETTLE: Span = Span(45_000);
+const MIN_RUNTIME: Span = Span(45_000);
 
-/// Moves replicas off the machine that is easiest to empty. Returns that machine, which gets
-/// nothing new meanwhile.
+/// A replica whose move is simulated.
+struct Move<'a> {
+    victim: Victim,
+    job: &'a Job,
+    /// Its new placement; empty if there is none.
+    statement: Statement,
+}
+
+/// Moves replicas off the machine that is easiest to empty. Returns that machine, which must get nothing new meanwhile.
 pub fn consolidate(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -32,97 +40,111 @@
 ) -> Option<MachineId> {
     // Only a machine that holds nothing but replicas can be emptied by moving them.
     let mut order: Vec<usize> = (0..snapshot.candidates.len())
-        .filter(|&i| {
-            let spot = &snapshot.candidates[i];
-            spot.replicas > 0 && spot.is_preemptible == Resources::default()
+        .filter(|&at| {
+            let candidate = &snapshot.candidates[at];
+            candidate.replica_count > 0 && candidate.preemptible == Resources::default()
         })
         .collect();
-    order.sort_by_key(|&i| {
-        let spot = &snapshot.candidates[i];
-        (
-            (spot.room - spot.free).cpus,
-            std::cmp::Reverse(spot.room.cpus),
-        )
+    order.sort_by_key(|&at| {
+        let candidate = &snapshot.candidates[at];
+        (candidate.used().cpus, Reverse(candidate.capacity.cpus))
     });
-    order
-        .into_iter()
-        .take(TRIES)
-        .find_map(|at| empty_out(leader, snapshot, scenario, at))
-}
-
-fn movable(leader: &Leader, snapshot: &Snapshot, entry: &PlacedTask) -> bool {
-    let job = leader.jobs.get(&entry.task.job);
-    let alone = |j: &crate::jobs::job::Job| {
-        j.placements
-            .get(&entry.task.index)
-            .is_some_and(|p| p.len() == 1)
-    };
-    job.is_some_and(|j| j.spec.kind == Kind::Service && j.is_active() && alone(j))
-        && entry.phase == Phase::On(TaskState::Running)
-        && entry.stop.is_none()
-        && (entry.running_since).is_some_and(|t| snapshot.now.time - t >= SETTLE)
+    (order.into_iter())
+        .take(MAX_MACHINES_CONSIDERED)
+        .find_map(|at| empty_machine(leader, snapshot, scenario, at))
 }
 
-fn empty_out(
+/// Simulates the move of every replica of a machine, and keeps the first few moves if all have room elsewhere.
+fn empty_machine(
     leader: &Leader,
     snapshot: &mut Snapshot,
     scenario: &mut Scenario,
     at: usize,
 ) -> Option<MachineId> {
     let id = snapshot.candidates[at].id.clone();
-    let machine = leader.fleet.machines.get(&id)?;
-    let here: Vec<&PlacedTask> = machine
-        .tasks
-        .iter()
-        .filter(|e| e.occupies_capacity())
-        .collect();
-    if here.is_empty() || !here.iter().all(|e| movable(leader, snapshot, e)) {
-        return None;
-    }
-    let used = snapshot.candidates[at].room - snapshot.candidates[at].free;
-    // Simulated whole: every replica needs a home, or none is moved.
-    let mut plan = Vec::new();
-    for entry in here {
-        let job = leader.jobs.get(&entry.task.job)?;
-        snapshot.evict(leader, at, &entry.task, entry.attempt, &entry.need);
-        let image = snapshot.image(&job.spec.image);
-        let cap = snapshot.replica_cap();
-        let home = (0..snapshot.candidates.len())
-            .filter(|&i| {
-                i != at && image.is_some_and(|no| snapshot.candidates[i].images.contains(&no))
-            })
-            .filter(|&i| fit::fits(leader, snapshot, job, &snapshot.candidates[i]))
-            .filter(|&i| snapshot.candidates[i].replicas < cap)
-            .filter(|&i| {
-                (snapshot.candidates[i].room - snapshot.candidates[i].free).cpus >= used.cpus
-            })
-            .min_by_key(|&i| {
-                let spot = &snapshot.candidates[i];
-                (spot.replicas_of(&job.spec.id), spot.free.cpus)
-            });
+    let replicas = movable_replicas(leader, snapshot, at)?;
+    let min_used = snapshot.candidates[at].used().cpus;
+    let mut moves = Vec::new();
+    for (placed, job) in replicas {
+        let victim = Victim::new(at, placed);
+        snapshot.evict(leader, &victim);
         let mut statement = Statement::default();
-        if let Some(home) = home {
-            statement.place(leader, snapshot, job, entry.task.index, home);
+        if let Some(target) = move_target(leader, snapshot, job, at, min_used) {
+            statement.place(leader, snapshot, job, placed.task.index, target);
         }
-        plan.push((entry, job, statement));
+        moves.push(Move {
+            victim,
+            job,
+            statement,
+        });
     }
-    let whole =
-        plan.iter().all(|(_, _, s)| s.len() == 1) && snapshot.keeps_reserve(leader, Some(at));
-    if !whole {
-        for (entry, job, statement) in plan.into_iter().rev() {
-            statement.discard(leader, snapshot, job);
-            snapshot.restore(leader, at, &entry.task, entry.attempt, &entry.need);
-        }
+    let all_have_room = moves.iter().all(|planned| planned.statement.len() == 1);
+    if !all_have_room || !snapshot.has_room_for_arrivals(leader, Some(at)) {
+        undo(leader, snapshot, moves);
         return None;
     }
-    for (entry, _, statement) in plan.into_iter().take(MOVES) {
-        scenario.evictions.push(Eviction {
-            task: entry.task.clone(),
-            attempt: entry.attempt,
-            machine: id.clone(),
-            why: "moved",
-        });
-        scenario.placements.extend(statement.commit());
+    for planned in moves.into_iter().take(MAX_MOVES) {
+        let eviction = Eviction::new(&planned.victim, snapshot, EvictionReason::Moved);
+        scenario.evictions.push(eviction);
+        scenario.placements.extend(planned.statement.commit());
     }
     Some(id)
 }
+
+/// What is on a machine, if there is something and all of it are replicas that can be moved.
+fn movable_replicas<'a>(
+    leader: &'a Leader,
+    snapshot: &Snapshot,
+    at: usize,
+) -> Option<Vec<(&'a PlacedTask, &'a Job)>> {
+    let machine = leader.fleet.machines.get(&snapshot.candidates[at].id)?;
+    let replicas: Option<Vec<(&PlacedTask, &Job)>> = (machine.tasks.iter())
+        .filter(|placed| placed.occupies_capacity())
+        .map(|placed| {
+            let job = leader.jobs.get(&placed.task.job)?;
+            is_movable(snapshot, placed, job).then_some((placed, job))
+        })
+        .collect();
+    replicas.filter(|replicas| !replicas.is_empty())
+}
+
+/// Whether a task is a replica that has run for a while and is in one place only.
+fn is_movable(snapshot: &Snapshot, placed: &PlacedTask, job: &Job) -> bool {
+    let places = job.placements.get(&placed.task.index);
+    let has_settled =
+        (placed.running_since).is_some_and(|since| snapshot.now.time - since >= MIN_RUNTIME);
+    job.spec.kind == Kind::Service
+        && job.is_active()
+        && places.is_some_and(|places| places.len() == 1)
+        && placed.phase == Phase::On(TaskState::Running)
+        && placed.stop.is_none()
+        && has_settled
+}
+
+/// Where a replica could go: to a machine with its image and at least as much in use, where fewest replicas of its
+/// service are, and then the fullest.
+fn move_target(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    job: &Job,
+    from: usize,
+    min_used_cpus: i64,
+) -> Option<usize> {
+    let image = snapshot.image(&job.spec.image);
+    let replica_cap = snapshot.replica_cap();
+    (snapshot.candidates.iter().enumerate())
+        .filter(|(at, candidate)| *at != from && candidate.has_image(image))
+        .filter(|(_, candidate)| fits(leader, snapshot, job, candidate))
+        .filter(|(_, candidate)| candidate.replica_count < replica_cap)
+        .filter(|(_, candidate)| candidate.used().cpus >= min_used_cpus)
+        .min_by_key(|(_, candidate)| (candidate.replicas_of(&job.spec.id), candidate.free.cpus))
+        .map(|(at, _)| at)
+}
+
+/// Takes simulated moves back, the last one first.
+fn undo(leader: &Leader, snapshot: &mut Snapshot, moves: Vec<Move>) {
+    for planned in moves.into_iter().rev() {
+        planned.statement.discard(leader, snapshot, planned.job);
+        snapshot.restore(leader, &planned.victim);
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduling/actions/predicates.rs
@@ -0,0 +1,77 @@
+//! Filters: which machines a task may go on.
+
+use crate::jobs::job::Job;
+use crate::leader::Leader;
+use crate::scheduling::snapshot::{has_zone_rules, CandidateMachine, Snapshot};
+use rudderreel_wire::ids::{TypeName, Zone};
+use rudderreel_wire::job::{JobSpec, Kind};
+
+/// Owners' estimates are often too short: a task is expected to take so many times its estimate.
+const ESTIMATE_FACTOR: f64 = 1.4;
+/// What a start takes besides, mostly for its image, in seconds.
+const START_DELAY_S: f64 = 8.0;
+
+/// Node affinity: whether a job may use machines of a type and zone, and spot instances.
+pub fn allowed(spec: &JobSpec, machine_type: &TypeName, zone: &Zone, is_spot: bool) -> bool {
+    (spec.spot || !is_spot)
+        && (spec.types.as_ref()).is_none_or(|types| types.contains(machine_type))
+        && (spec.zone.as_ref()).is_none_or(|wanted| wanted == zone)
+}
+
+/// Whether one more task of the job fits on a machine: it has room, and nothing else speaks against it.
+pub fn fits(leader: &Leader, snapshot: &Snapshot, job: &Job, candidate: &CandidateMachine) -> bool {
+    candidate.free_for(job).holds(&job.need) && is_eligible(leader, snapshot, job, candidate)
+}
+
+/// Whether one more task of the job may go on a machine if there is room.
+pub(super) fn is_eligible(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    job: &Job,
+    candidate: &CandidateMachine,
+) -> bool {
+    let is_allowed = allowed(
+        &job.spec,
+        &candidate.machine_type,
+        &candidate.zone,
+        candidate.is_spot,
+    );
+    is_allowed
+        && !is_reserved_for_other_gang(job, candidate)
+        && !job
+            .failures
+            .avoids_machine(&candidate.id, snapshot.now.time)
+        && !wastes_gpus(leader, job, candidate)
+        && keeps_zone_rules(snapshot, &job.spec, candidate.zone_index)
+}
+
+/// Whether a machine is reserved for another gang. Work that can't be preempted goes before that, and work that
+/// will have ended when the gang has room enough is let in meanwhile.
+fn is_reserved_for_other_gang(job: &Job, candidate: &CandidateMachine) -> bool {
+    let Some(reservation) = &candidate.gang_reservation else {
+        return false;
+    };
+    let ends_in_s = job.spec.estimate_s * ESTIMATE_FACTOR + START_DELAY_S;
+    job.is_preemptible() && reservation.gang != job.spec.id && ends_in_s > reservation.ready_in_s
+}
+
+/// Anti-affinity to GPUs: work without GPUs stays off machines with free GPUs if it could ever run elsewhere, and
+/// replicas off all machines with GPUs, which they would hold long after the work on the GPUs is done.
+fn wastes_gpus(leader: &Leader, job: &Job, candidate: &CandidateMachine) -> bool {
+    let outlasts_gpu_work = job.spec.kind == Kind::Service && candidate.capacity.gpus > 0;
+    job.need.gpus == 0
+        && (candidate.free.gpus > 0 || outlasts_gpu_work)
+        && leader.policy.fits_without_gpus(&job.spec, &job.need)
+}
+
+/// Affinity between the tasks of a job: whether one more may be in a zone, given where the others may be.
+fn keeps_zone_rules(snapshot: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
+    if !has_zone_rules(spec) {
+        return true;
+    }
+    let tasks_by_zone = snapshot.tasks_by_zone(&spec.id);
+    let tasks_here = tasks_by_zone.get(zone).copied().unwrap_or(0);
+    let has_tasks_elsewhere =
+        (tasks_by_zone.iter().enumerate()).any(|(other, tasks)| other != zone && *tasks > 0);
+    tasks_here < spec.zone_cap() && !(spec.one_zone && has_tasks_elsewhere)
+}
--- /dev/null
+++ b/crates/core/src/scheduling/actions/preempt.rs
@@ -0,0 +1,36 @@
+//! Preempt: within a team, work of strictly lower priority makes room for a waiting job (article: "Two eviction paths,
+//! never mixed").
+
+use super::evict::{evict_for, EvictionPolicy};
+use super::scenario::{EvictionReason, Scenario};
+use crate::jobs::job::Job;
+use crate::leader::Leader;
+use crate::scheduling::snapshot::Snapshot;
+use crate::teams::team_tree::Amounts;
+
+/// Makes room within teams for waiting jobs of higher priority.
+pub fn preempt(
+    leader: &Leader,
+    snapshot: &mut Snapshot,
+    waiting: &[&Job],
+    scenario: &mut Scenario,
+) {
+    // Only what some other work yields to can preempt.
+    let lowest = leader.jobs.values().map(|job| job.urgency.priority).min();
+    let may_find_victims: Vec<&Job> = (waiting.iter().copied())
+        .filter(|job| Some(job.spec.priority) > lowest)
+        .collect();
+    let policy = EvictionPolicy {
+        reason: EvictionReason::Preempted,
+        min_runtime: leader.policy.preempt_min_runtime,
+        allows: may_preempt,
+    };
+    evict_for(leader, snapshot, &may_find_victims, scenario, &policy);
+}
+
+/// An inherited priority protects a job from being stopped, and goes first where room is free; no work is stopped for
+/// it. (Stages of pipelines stopped some three hundred tasks that can't save on one day of a large deployment, and
+/// deadlines were missed for it; the pipelines were in time without.)
+fn may_preempt(_: &Leader, _: &Snapshot, job: &Job, victim: &Job, _: &Amounts) -> bool {
+    job.spec.team == victim.spec.team && job.spec.priority > victim.urgency.priority
+}
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -1,343 +1,378 @@
-//! Takes lent room back for gangs of several tasks: in one statement, simulated whole and kept whole.
+//! Reclaim for gangs of several tasks: in one statement, simulated whole and kept whole.
 //!
-//! A gang needs several machines at once, in one zone mostly. What is lent there is stopped, in the
-//! order of what is lost by it, until the gang fits; what turns out not to be needed is let go on; and
-//! if the gang does not fit after all, nothing is stopped. Gangs are victims as a whole, wherever
-//! their tasks are, and save what they have. Every victim's team stays at or above its share, and the
-//! gang's own within its share, so that neither can take the room back from the other.
+//! A gang needs several machines at once, in one zone mostly. What other teams borrowed there is stopped, in the order
+//! of what is lost by it, until the gang fits; victims that turn out not to be needed are spared; and if the gang does
+//! not fit after all, nothing is stopped. Gangs are victims as a whole, wherever their tasks are, and save what they
+//! have.
+//!
+//! Invariant: every victim's team stays at or above its fair share, and the gang's own within its share, so that
+//! neither can take the room back from the other.
 
-use super::evict::{over_share_after, Eviction, Scenario, RESTART};
-use super::fit;
-use crate::fleet::machine::{Phase, PlacedTask};
+use super::predicates::{fits, is_eligible};
+use super::scenario::{Eviction, EvictionReason, Scenario};
+use super::scoring::{rank_machines, task_slots};
+use super::victims::{eviction_loss, is_evictable};
+use crate::fleet::machine::{Machine, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::snapshot::Snapshot;
+use crate::scheduling::snapshot::{Snapshot, Victim};
 use crate::scheduling::statement::{Placement, Statement};
-use crate::teams::team_tree::{amounts, KINDS};
-use crate::units::{Resources, Span};
-use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
+use crate::teams::team_tree::{add_amounts, amounts, NO_AMOUNTS};
+use crate::units::Span;
+use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 use rudderreel_wire::job::Kind;
 use std::collections::{BTreeSet, HashMap};
 
-/// So many waiting gangs are looked at in a cycle: each means a look at all that is lent.
-const GANGS: usize = 2;
-
-/// What is stopped together: a task, or a gang with all its tasks.
-struct Unit {
-    tasks: Vec<Victim>,
-    loss: u64,
-}
-
-struct Victim {
-    at: usize,
-    task: TaskId,
-    attempt: Attempt,
-    need: Resources,
-}
+/// So many waiting gangs are considered in a cycle: each means a search through all that is borrowed.
+const MAX_GANGS_CONSIDERED: usize = 2;
 
-/// Takes lent room back for gangs of teams that stay within their share with it.
+/// Reclaims borrowed room for gangs of teams that stay within their fair share with them.
 pub fn reclaim_gangs(
     leader: &Leader,
     snapshot: &mut Snapshot,
     waiting: &[&Job],
     scenario: &mut Scenario,
 ) {
-    let lent = (1..leader.policy.teams.nodes.len()).any(|n| snapshot.saturation(n) > 1.0);
-    if !lent {
+    if !snapshot.quota.is_any_over_share() {
         return;
     }
     let gangs: Vec<&Job> = (waiting.iter().copied())
-        .filter(|j| j.spec.kind == Kind::Gang && j.spec.tasks > 1 && !j.is_suspected())
-        .filter(|j| snapshot.taken(&j.spec.id) == 0 && stays_within(leader, snapshot, j))
-        .take(GANGS)
+        .filter(|job| job.spec.kind == Kind::Gang && job.spec.tasks > 1 && !job.is_suspected())
+        .filter(|job| snapshot.placed_count(&job.spec.id) == 0)
+        .filter(|job| stays_within_share(leader, snapshot, job))
+        .take(MAX_GANGS_CONSIDERED)
         .collect();
     if gangs.is_empty() {
         return;
     }
-    let candidates: HashMap<MachineId, usize> = (snapshot.candidates.iter().enumerate())
-        .map(|(i, s)| (s.id.clone(), i))
+    let positions: HashMap<MachineId, usize> = (snapshot.candidates.iter().enumerate())
+        .map(|(at, candidate)| (candidate.id.clone(), at))
         .collect();
-    for job in gangs {
-        let zones: Vec<Option<usize>> = if job.spec.one_zone {
-            (0..snapshot.zone_names.len()).map(Some).collect()
-        } else {
-            vec![None]
+    for gang in gangs {
+        let search = GangSearch {
+            leader,
+            positions: &positions,
+            gang,
         };
-        if zones
-            .iter()
-            .any(|z| room(leader, snapshot, job, *z) >= job.spec.tasks)
-        {
-            // It fits as it is.
-            continue;
-        }
-        let mut best: Option<(u64, Vec<Unit>, Option<usize>)> = None;
-        for zone in zones {
-            let Some(units) = make_room(leader, snapshot, &candidates, job, zone) else {
-                continue;
-            };
-            units.iter().for_each(|u| u.restore(leader, snapshot));
-            let loss = units.iter().map(|u| u.loss).sum();
-            if best.as_ref().is_none_or(|(least, ..)| loss < *least) {
-                best = Some((loss, units, zone));
-            }
-        }
-        if let Some((_, units, zone)) = best {
-            units.iter().for_each(|u| u.evict(leader, snapshot));
-            match place(leader, snapshot, job, zone) {
-                Some(placements) => {
-                    scenario.placements.extend(placements);
-                    scenario
-                        .evictions
-                        .extend(units.iter().flat_map(|u| u.evictions(snapshot)));
-                }
-                None => units.iter().for_each(|u| u.restore(leader, snapshot)),
-            }
-        }
+        search.reclaim(snapshot, scenario);
     }
 }
 
-/// Whether a gang's team stays within its share, and all above it within their limits, with it.
-fn stays_within(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
-    let need = amounts(&job.need.times(job.spec.tasks));
-    let Some(mine) = leader.policy.teams.find(&job.spec.team) else {
+/// Whether a gang's team stays within its fair share, and all nodes above it within their limits, with it.
+fn stays_within_share(leader: &Leader, snapshot: &Snapshot, gang: &Job) -> bool {
+    let need = gang.need.times(gang.spec.tasks);
+    let Some(team) = leader.policy.teams.find(&gang.spec.team) else {
         return false;
     };
-    let lending = snapshot.lending(job);
-    let counted = lending.counts(&job.need.times(job.spec.tasks));
-    let within = (0..KINDS).all(|k| {
-        let with = (lending.used[mine][k] + counted[k]) * leader.policy.reclaim_multiplier;
-        counted[k] <= 0.0 || with <= lending.share[mine][k] + 1e-6
-    });
-    within && snapshot.within_limits(leader, job, &need)
+    let basis = snapshot.quota.reclaim_basis(gang);
+    basis.stays_within_share(team, &need, leader.policy.reclaim_multiplier)
+        && snapshot.within_limits(leader, gang, &amounts(&need))
 }
 
-/// How many tasks of a gang find room.
-fn room(leader: &Leader, snapshot: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
-    let counts = fit::ranked(leader, snapshot, job, zone).into_iter();
-    counts.map(|(_, n)| n).fold(0, u32::saturating_add)
+/// What is stopped together: a task, or a gang with all its tasks.
+struct VictimGroup {
+    tasks: Vec<Victim>,
+    loss: u64,
 }
 
-/// What must be stopped for a gang to fit into a zone; it is simulated in the picture.
-fn make_room(
-    leader: &Leader,
-    snapshot: &mut Snapshot,
-    candidates: &HashMap<MachineId, usize>,
-    job: &Job,
+/// A group that is stopped in the simulation, and how many tasks of the gang find room by that.
+struct StoppedGroup {
+    group: VictimGroup,
+    gained: u32,
+}
+
+/// Groups whose stop makes room for a gang in a zone, or in several if none is given.
+struct ReclaimPlan {
+    groups: Vec<VictimGroup>,
     zone: Option<usize>,
-) -> Option<Vec<Unit>> {
-    let want = job.spec.tasks;
-    let mut have = room(leader, snapshot, job, zone);
-    let mut stopped: Vec<(Unit, u32)> = Vec::new();
-    for unit in units(leader, snapshot, candidates, job, zone) {
-        if have >= want {
-            break;
+}
+
+/// The search for room for one gang.
+struct GangSearch<'a> {
+    leader: &'a Leader,
+    /// Places of machines among the candidates.
+    positions: &'a HashMap<MachineId, usize>,
+    gang: &'a Job,
+}
+
+impl GangSearch<'_> {
+    /// Reclaims room where that loses the least, and places the gang there, unless it fits as it is.
+    fn reclaim(&self, snapshot: &mut Snapshot, scenario: &mut Scenario) {
+        let zones = snapshot.zone_choices(&self.gang.spec);
+        if (zones.iter()).any(|zone| self.room_in(snapshot, *zone) >= self.gang.spec.tasks) {
+            return;
         }
-        if !unit.is_lent(leader, snapshot, job) {
-            continue;
+        let Some(plan) = self.cheapest_plan(snapshot, zones) else {
+            return;
+        };
+        for group in &plan.groups {
+            group.evict(self.leader, snapshot);
         }
-        let before = unit.room(leader, snapshot, job, zone);
-        unit.evict(leader, snapshot);
-        let gain = unit
-            .room(leader, snapshot, job, zone)
-            .saturating_sub(before);
-        if gain == 0 {
-            unit.restore(leader, snapshot);
-            continue;
+        match self.place(snapshot, plan.zone) {
+            Some(placements) => {
+                let victims = plan.groups.iter().flat_map(|group| &group.tasks);
+                scenario.evictions.extend(
+                    victims
+                        .map(|victim| Eviction::new(victim, snapshot, EvictionReason::Reclaimed)),
+                );
+                scenario.placements.extend(placements);
+            }
+            None => plan.restore(self.leader, snapshot),
         }
-        have += gain;
-        stopped.push((unit, gain));
     }
-    if have < want {
-        stopped
-            .iter()
-            .for_each(|(u, _)| u.restore(leader, snapshot));
-        return None;
+
+    /// Of the plans for each zone the one that loses the least; the snapshot is left as it was.
+    fn cheapest_plan(
+        &self,
+        snapshot: &mut Snapshot,
+        zones: Vec<Option<usize>>,
+    ) -> Option<ReclaimPlan> {
+        let mut plans = Vec::new();
+        for zone in zones {
+            if let Some(groups) = self.make_room(snapshot, zone) {
+                let plan = ReclaimPlan { groups, zone };
+                plan.restore(self.leader, snapshot);
+                plans.push(plan);
+            }
+        }
+        plans.into_iter().min_by_key(ReclaimPlan::loss)
     }
-    // What was stopped first may not be needed any more.
-    let mut needed = Vec::new();
-    for (unit, gain) in stopped {
-        if have - gain >= want {
-            unit.restore(leader, snapshot);
-            have -= gain;
-        } else {
-            needed.push(unit);
+
+    /// How many tasks of the gang find room in a zone.
+    fn room_in(&self, snapshot: &Snapshot, zone: Option<usize>) -> u32 {
+        (rank_machines(self.leader, snapshot, self.gang, zone).iter())
+            .map(|machine| machine.tasks)
+            .fold(0, u32::saturating_add)
+    }
+
+    /// What must be stopped for the gang to fit into a zone; it is simulated in the snapshot, which is left as it was
+    /// if there is not enough.
+    fn make_room(&self, snapshot: &mut Snapshot, zone: Option<usize>) -> Option<Vec<VictimGroup>> {
+        let want = self.gang.spec.tasks;
+        let mut room = self.room_in(snapshot, zone);
+        let mut stopped: Vec<StoppedGroup> = Vec::new();
+        for group in self.victim_groups(snapshot, zone) {
+            if room >= want {
+                break;
+            }
+            if !group.is_borrowed(self.leader, snapshot, self.gang) {
+                continue;
+            }
+            let gained = self.evict_if_useful(snapshot, zone, &group);
+            if gained > 0 {
+                room += gained;
+                stopped.push(StoppedGroup { group, gained });
+            }
         }
+        if room < want {
+            for stopped in &stopped {
+                stopped.group.restore(self.leader, snapshot);
+            }
+            return None;
+        }
+        Some(self.spare_unneeded(snapshot, stopped, room))
     }
-    Some(needed)
-}
 
-/// What could be stopped in a zone, by what is lost for the room that comes free.
-fn units(
-    leader: &Leader,
-    snapshot: &Snapshot,
-    candidates: &HashMap<MachineId, usize>,
-    job: &Job,
-    zone: Option<usize>,
-) -> Vec<Unit> {
-    let mut gangs: BTreeSet<(&JobId, Attempt)> = BTreeSet::new();
-    let mut found = Vec::new();
-    for (at, spot) in snapshot.candidates.iter().enumerate() {
-        let here = zone.is_none_or(|z| z == spot.zone_no);
-        let Some(machine) = leader.fleet.machines.get(&spot.id) else {
-            continue;
-        };
-        if !here || !machine.capacity.holds(&job.need) || !fit::suits(leader, snapshot, job, spot) {
-            continue;
+    /// Simulates the stop of a group, and takes it back if no task of the gang gains room by it. Returns how many do.
+    fn evict_if_useful(
+        &self,
+        snapshot: &mut Snapshot,
+        zone: Option<usize>,
+        group: &VictimGroup,
+    ) -> u32 {
+        let before = self.room_on_machines_of(snapshot, zone, group);
+        group.evict(self.leader, snapshot);
+        let after = self.room_on_machines_of(snapshot, zone, group);
+        let gained = after.saturating_sub(before);
+        if gained == 0 {
+            group.restore(self.leader, snapshot);
         }
-        for entry in &machine.tasks {
-            let Some(theirs) = leader.jobs.get(&entry.task.job) else {
-                continue;
-            };
-            if theirs.spec.team == job.spec.team || !may_stop(leader, snapshot, theirs, entry) {
-                continue;
+        gained
+    }
+
+    /// Spares groups that are not needed any more after later ones were stopped, too.
+    fn spare_unneeded(
+        &self,
+        snapshot: &mut Snapshot,
+        stopped: Vec<StoppedGroup>,
+        mut room: u32,
+    ) -> Vec<VictimGroup> {
+        let mut needed = Vec::new();
+        for StoppedGroup { group, gained } in stopped {
+            if room - gained >= self.gang.spec.tasks {
+                group.restore(self.leader, snapshot);
+                room -= gained;
+            } else {
+                needed.push(group);
             }
-            if theirs.spec.kind != Kind::Gang || theirs.spec.tasks == 1 {
-                found.push(Unit::of(leader, snapshot, vec![victim(at, entry)]));
-            } else if gangs.insert((&theirs.spec.id, entry.attempt)) {
-                found.extend(whole_gang(
-                    leader,
-                    snapshot,
-                    candidates,
-                    theirs,
-                    entry.attempt,
-                ));
+        }
+        needed
+    }
+
+    /// How many tasks of the gang find room on the machines of a group.
+    fn room_on_machines_of(
+        &self,
+        snapshot: &Snapshot,
+        zone: Option<usize>,
+        group: &VictimGroup,
+    ) -> u32 {
+        let machines: BTreeSet<usize> = group.tasks.iter().map(|victim| victim.at).collect();
+        (machines.into_iter())
+            .map(|at| &snapshot.candidates[at])
+            .filter(|candidate| zone.is_none_or(|zone| zone == candidate.zone_index))
+            .filter(|candidate| fits(self.leader, snapshot, self.gang, candidate))
+            .map(|candidate| candidate.unreserved().count(&self.gang.need))
+            .sum()
+    }
+
+    /// What could be stopped in a zone, in the order of what is lost for the room that comes free.
+    fn victim_groups(&self, snapshot: &Snapshot, zone: Option<usize>) -> Vec<VictimGroup> {
+        let mut gangs_seen: BTreeSet<(&JobId, Attempt)> = BTreeSet::new();
+        let mut groups = Vec::new();
+        for (at, machine) in self.machines_in(snapshot, zone) {
+            for placed in &machine.tasks {
+                let Some(owner) = self.leader.jobs.get(&placed.task.job) else {
+                    continue;
+                };
+                if owner.spec.team == self.gang.spec.team || !self.may_stop(snapshot, owner, placed)
+                {
+                    continue;
+                }
+                if owner.spec.kind != Kind::Gang || owner.spec.tasks == 1 {
+                    let tasks = vec![Victim::new(at, placed)];
+                    groups.push(VictimGroup::new(self.leader, snapshot, tasks));
+                } else if gangs_seen.insert((&owner.spec.id, placed.attempt)) {
+                    groups.extend(self.whole_gang(snapshot, owner, placed.attempt));
+                }
             }
         }
+        groups.sort_by_cached_key(VictimGroup::loss_per_cpu);
+        groups
     }
-    found.sort_by_cached_key(|u| {
-        let cpus: i64 = u.tasks.iter().map(|v| v.need.cpus).sum();
-        u.loss / cpus.max(1) as u64
-    });
-    found
-}
 
-fn victim(at: usize, entry: &PlacedTask) -> Victim {
-    Victim {
-        at,
-        task: entry.task.clone(),
-        attempt: entry.attempt,
-        need: entry.need,
+    /// Machines of a zone that could hold a task of the gang, with their places among the candidates.
+    fn machines_in<'s>(
+        &'s self,
+        snapshot: &'s Snapshot,
+        zone: Option<usize>,
+    ) -> impl Iterator<Item = (usize, &'s Machine)> {
+        (snapshot.candidates.iter().enumerate())
+            .filter(move |(_, candidate)| zone.is_none_or(|zone| zone == candidate.zone_index))
+            .filter(|(_, candidate)| is_eligible(self.leader, snapshot, self.gang, candidate))
+            .filter_map(|(at, candidate)| {
+                Some((at, self.leader.fleet.machines.get(&candidate.id)?))
+            })
+            .filter(|(_, machine)| machine.capacity.holds(&self.gang.need))
     }
-}
 
-fn may_stop(leader: &Leader, snapshot: &Snapshot, theirs: &Job, entry: &PlacedTask) -> bool {
-    matches!(entry.phase, Phase::On(_))
-        && entry.stop.is_none()
-        && theirs.is_active()
-        && theirs.is_preemptible()
-        && snapshot.now.time - entry.placed_at >= leader.policy.reclaim_min_runtime
-        && !snapshot.is_evicted(&entry.task, entry.attempt)
-}
+    fn may_stop(&self, snapshot: &Snapshot, owner: &Job, placed: &PlacedTask) -> bool {
+        let min_runtime = self.leader.policy.reclaim_min_runtime;
+        owner.is_active() && is_evictable(snapshot, placed, owner, min_runtime)
+    }
 
-/// A gang with all its tasks, if all of them are there and may be stopped.
-fn whole_gang(
-    leader: &Leader,
-    snapshot: &Snapshot,
-    candidates: &HashMap<MachineId, usize>,
-    theirs: &Job,
-    attempt: Attempt,
-) -> Option<Unit> {
-    let mut tasks = Vec::new();
-    for (index, places) in &theirs.placements {
-        let [(id, a)] = places.as_slice() else {
-            return None;
-        };
-        let at = *candidates.get(id)?;
-        let task = theirs.spec.id.task(*index);
-        let entries = &leader.fleet.machines.get(id)?.tasks;
-        let entry = entries.iter().find(|e| e.attempt == *a && e.task == task)?;
-        if *a != attempt || !may_stop(leader, snapshot, theirs, entry) {
-            return None;
+    /// A gang with all its tasks, if all of them are there and may be stopped.
+    fn whole_gang(
+        &self,
+        snapshot: &Snapshot,
+        owner: &Job,
+        attempt: Attempt,
+    ) -> Option<VictimGroup> {
+        let mut tasks = Vec::new();
+        for (index, places) in &owner.placements {
+            let [(machine, placed_attempt)] = places.as_slice() else {
+                return None;
+            };
+            let at = *self.positions.get(machine)?;
+            let task = owner.spec.id.task(*index);
+            let on_machine = &self.leader.fleet.machines.get(machine)?.tasks;
+            let placed = (on_machine.iter())
+                .find(|placed| placed.attempt == *placed_attempt && placed.task == task)?;
+            if *placed_attempt != attempt || !self.may_stop(snapshot, owner, placed) {
+                return None;
+            }
+            tasks.push(Victim::new(at, placed));
         }
-        tasks.push(victim(at, entry));
+        let is_whole = tasks.len() as u32 == owner.spec.tasks;
+        is_whole.then(|| VictimGroup::new(self.leader, snapshot, tasks))
+    }
+
+    /// Places the gang whole.
+    fn place(&self, snapshot: &mut Snapshot, zone: Option<usize>) -> Option<Vec<Placement>> {
+        let slots = task_slots(rank_machines(self.leader, snapshot, self.gang, zone));
+        let mut statement = Statement::default();
+        for (index, at) in (0..self.gang.spec.tasks).zip(slots) {
+            statement.place(self.leader, snapshot, self.gang, index, at);
+        }
+        statement.commit_if_whole(self.leader, snapshot, self.gang, self.gang.spec.tasks)
     }
-    (tasks.len() as u32 == theirs.spec.tasks).then(|| Unit::of(leader, snapshot, tasks))
 }
 
-/// Places a gang whole.
-fn place(
-    leader: &Leader,
-    snapshot: &mut Snapshot,
-    job: &Job,
-    zone: Option<usize>,
-) -> Option<Vec<Placement>> {
-    let ranked = fit::ranked(leader, snapshot, job, zone).into_iter();
-    let places = ranked.flat_map(|(at, n)| std::iter::repeat_n(at, n as usize));
-    let mut statement = Statement::default();
-    for (index, at) in (0..job.spec.tasks).zip(places) {
-        statement.place(leader, snapshot, job, index, at);
+impl ReclaimPlan {
+    fn loss(&self) -> u64 {
+        self.groups.iter().map(|group| group.loss).sum()
     }
-    if statement.len() == job.spec.tasks as usize {
-        return Some(statement.commit());
+
+    fn restore(&self, leader: &Leader, snapshot: &mut Snapshot) {
+        for group in &self.groups {
+            group.restore(leader, snapshot);
+        }
     }
-    statement.discard(leader, snapshot, job);
-    None
 }
 
-impl Unit {
-    fn of(leader: &Leader, snapshot: &Snapshot, tasks: Vec<Victim>) -> Self {
+impl VictimGroup {
+    fn new(leader: &Leader, snapshot: &Snapshot, tasks: Vec<Victim>) -> Self {
         let loss = (tasks.iter())
-            .map(|v| {
-                let ran = (leader.fleet.machines.get(&snapshot.candidates[v.at].id))
-                    .and_then(|m| m.tasks.iter().find(|e| e.task == v.task))
-                    .and_then(|e| e.running_since)
-                    .map_or(Span(0), |since| snapshot.now.time - since);
-                let spec = leader.jobs.get(&v.task.job).map(|j| j.spec.clone());
-                // What can save loses the time to save.
-                let lost = match spec.filter(|s| s.checkpoint_s > 0.0) {
-                    Some(spec) => ran.min(Span::secs(spec.save_s)),
-                    None => ran,
-                };
-                (lost.0 + RESTART.0) * v.need.cpus.max(1) as u64
-            })
+            .map(|victim| loss_of(leader, snapshot, victim))
             .sum();
         Self { tasks, loss }
     }
 
-    /// Whether its team stays at or above its share without it.
-    fn is_lent(&self, leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
-        let lending = snapshot.lending(job);
-        let team = (self.tasks.first()).and_then(|v| leader.jobs.get(&v.task.job));
-        let Some(theirs) = team.and_then(|j| leader.policy.teams.find(&j.spec.team)) else {
+    /// Whether its team stays at or above its fair share without it.
+    fn is_borrowed(&self, leader: &Leader, snapshot: &Snapshot, gang: &Job) -> bool {
+        let basis = snapshot.quota.reclaim_basis(gang);
+        let owner = (self.tasks.first()).and_then(|victim| leader.jobs.get(&victim.task.job));
+        let Some(team) = owner.and_then(|job| leader.policy.teams.find(&job.spec.team)) else {
             return false;
         };
-        let mut taken = [0.0; KINDS];
+        let mut given = NO_AMOUNTS;
         for victim in &self.tasks {
-            crate::scheduling::snapshot::add(&mut taken, &lending.counts(&victim.need));
+            add_amounts(&mut given, &basis.counted(&victim.need));
         }
-        over_share_after(&lending.used[theirs], &lending.share[theirs], &taken)
+        basis.stays_at_share_without(team, &given)
     }
 
-    /// How many tasks of a gang find room on its machines.
-    fn room(&self, leader: &Leader, snapshot: &Snapshot, job: &Job, zone: Option<usize>) -> u32 {
-        let candidates: BTreeSet<usize> = self.tasks.iter().map(|v| v.at).collect();
-        (candidates.into_iter())
-            .map(|at| &snapshot.candidates[at])
-            .filter(|s| zone.is_none_or(|z| z == s.zone_no) && fit::fits(leader, snapshot, job, s))
-            .map(|s| (s.free - s.held).count(&job.need))
-            .sum()
+    fn loss_per_cpu(&self) -> u64 {
+        let cpus: i64 = self.tasks.iter().map(|victim| victim.need.cpus).sum();
+        self.loss / cpus.max(1) as u64
     }
 
     fn evict(&self, leader: &Leader, snapshot: &mut Snapshot) {
-        for v in &self.tasks {
-            snapshot.evict(leader, v.at, &v.task, v.attempt, &v.need);
+        for victim in &self.tasks {
+            snapshot.evict(leader, victim);
         }
     }
 
     fn restore(&self, leader: &Leader, snapshot: &mut Snapshot) {
-        for v in &self.tasks {
-            snapshot.restore(leader, v.at, &v.task, v.attempt, &v.need);
+        for victim in &self.tasks {
+            snapshot.restore(leader, victim);
         }
     }
+}
 
-    fn evictions<'a>(&'a self, snapshot: &'a Snapshot) -> impl Iterator<Item = Eviction> + 'a {
-        self.tasks.iter().map(|v| Eviction {
-            task: v.task.clone(),
-            attempt: v.attempt,
-            machine: snapshot.candidates[v.at].id.clone(),
-            why: "reclaimed",
+/// What is lost if a task is stopped.
+fn loss_of(leader: &Leader, snapshot: &Snapshot, victim: &Victim) -> u64 {
+    let machine = &snapshot.candidates[victim.at].id;
+    let ran = (leader.fleet.machines.get(machine))
+        .and_then(|machine| {
+            machine
+                .tasks
+                .iter()
+                .find(|placed| placed.task == victim.task)
         })
-    }
+        .and_then(|placed| placed.running_since)
+        .map_or(Span(0), |since| snapshot.now.time - since);
+    let job = leader.jobs.get(&victim.task.job);
+    eviction_loss(job.map(|job| &*job.spec), ran, &victim.need)
 }
 
 #[cfg(test)]
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -2,6 +2,7 @@
 use crate::testing::{job_of, leader, run, up, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use rudderreel_wire::ids::TaskId;
 use std::collections::BTreeMap;
 
 /// A crowded fleet: one team runs much of it, in gangs and single tasks, and the other waits with
@@ -70,7 +71,11 @@
 /// then the gang fits whole into one zone.
 fn check(leader: &Leader, job: &Job) -> bool {
     let mut snapshot = Snapshot::take(leader, NOW);
-    let share = snapshot.share.clone();
+    let share_of = |team: &str| {
+        let team = leader.policy.teams.find(&team.into()).expect("a team");
+        snapshot.team_usage(team).fair_share[0]
+    };
+    let (share_of_red, share_of_blue) = (share_of("red"), share_of("blue"));
     let mut scenario = Scenario::default();
     reclaim_gangs(leader, &mut snapshot, &[job], &mut scenario);
     let nobody = BTreeSet::new();
@@ -106,19 +111,15 @@
             "{id} is needed"
         );
     }
-    let share_of = |team: &str| {
-        let leaf = leader.policy.teams.find(&team.into()).expect("a team");
-        share[leaf][0]
-    };
     let cpus =
         |milli: i64| milli as f64 * 4.0 / leader.policy.capacity_of(&"m4".into()).cpus as f64;
     let need = job.need.times(job.spec.tasks).cpus;
     assert!(
-        cpus(used(leader, "red", &stopped)) >= share_of("red") - 1e-6,
+        cpus(used(leader, "red", &stopped)) >= share_of_red - 1e-6,
         "lent"
     );
     let mine = used(leader, "blue", &nobody) + need;
-    assert!(cpus(mine) <= share_of("blue") + 1e-6, "within its share");
+    assert!(cpus(mine) <= share_of_blue + 1e-6, "within its share");
     true
 }
 
--- /dev/null
+++ b/crates/core/src/scheduling/actions/scenario.rs
@@ -0,0 +1,60 @@
+//! What reclaiming, preempting and consolidating come to.
+
+use crate::scheduling::snapshot::{Snapshot, Victim};
+use crate::scheduling::statement::Placement;
+use rudderreel_wire::ids::{Attempt, MachineId, TaskId};
+
+/// Why a task is evicted; administrators see the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EvictionReason {
+    /// Its team borrowed room that another team takes back.
+    Reclaimed,
+    /// Work of higher priority in its team needs its room.
+    Preempted,
+    /// It is moved so that its machine can be returned.
+    Moved,
+}
+
+impl EvictionReason {
+    fn as_str(self) -> &'static str {
+        match self {
+            Self::Reclaimed => "reclaimed",
+            Self::Preempted => "preempted",
+            Self::Moved => "moved",
+        }
+    }
+}
+
+/// A task to be stopped.
+#[derive(Clone, Debug)]
+pub struct Eviction {
+    /// The task.
+    pub task: TaskId,
+    /// Its attempt.
+    pub attempt: Attempt,
+    /// Its machine.
+    pub machine: MachineId,
+    /// Why, for people.
+    pub reason: &'static str,
+}
+
+impl Eviction {
+    /// The eviction of a victim.
+    pub(super) fn new(victim: &Victim, snapshot: &Snapshot, reason: EvictionReason) -> Self {
+        Self {
+            task: victim.task.clone(),
+            attempt: victim.attempt,
+            machine: snapshot.candidates[victim.at].id.clone(),
+            reason: reason.as_str(),
+        }
+    }
+}
+
+/// Tasks that are stopped, and tasks that go on the room which that frees.
+#[derive(Default)]
+pub struct Scenario {
+    /// Tasks to be stopped.
+    pub evictions: Vec<Eviction>,
+    /// Tasks that go on their room. Their starts are sent once it is surely free.
+    pub placements: Vec<Placement>,
+}
--- /dev/null
+++ b/crates/core/src/scheduling/job_queue.rs
@@ -0,0 +1,43 @@
+//! Waiting jobs and their order: by priority, then what is overdue for its first start, then the least work left
+//! (see [`Job::queue_order`]).
+
+use crate::jobs::job::Job;
+use crate::leader::Leader;
+use crate::units::{Now, Span, Wall};
+use rudderreel_wire::job::Kind;
+
+/// A job that has waited so long for its first start goes before others of its priority, whatever its size.
+/// Users take a job that does not begin within four minutes for not served, and room for a large one takes a
+/// while to come free.
+const OVERDUE_AFTER: Span = Span(80_000);
+
+impl Leader {
+    /// Jobs with tasks to start, in order.
+    pub fn waiting_jobs(&self, now: Now) -> Vec<&Job> {
+        let mut jobs: Vec<&Job> = (self.jobs.values())
+            .filter(|job| job.is_active() && job.retry_at <= now.time && job.startable_tasks() > 0)
+            .filter(|job| job.spec.kind != Kind::Gang || job.placements.is_empty())
+            .collect();
+        jobs.sort_by_cached_key(|job| job.queue_order(self.is_overdue(job, now.wall)));
+        jobs
+    }
+
+    /// Whether a job has waited too long for its first start: then it goes before others. A gang of several tasks
+    /// does once room is reserved for it, which begins in time for it to be done in time.
+    pub fn is_overdue(&self, job: &Job, now: Wall) -> bool {
+        match job.spec.kind {
+            Kind::Gang if job.spec.tasks > 1 => {
+                self.schedule.gang_reservations.contains(&job.spec.id)
+            }
+            _ => job.is_overdue(now, OVERDUE_AFTER),
+        }
+    }
+
+    /// Whether a job must start on a machine that has its image cached: its users' objective for the start is
+    /// shorter than the slowest fetch of the image.
+    pub fn needs_cached_image(&self, job: &Job) -> bool {
+        let fetch = Span::secs(self.policy.catalog.slowest_fetch_s(job.spec.image_gb));
+        let objective = self.policy.start_objectives.get(&job.spec.class);
+        !job.is_preemptible() && objective.is_some_and(|within| *within < fetch)
+    }
+}
--- /dev/null
+++ b/crates/core/src/scheduling/snapshot/reservations.rs
@@ -0,0 +1,110 @@
+//! Room of a snapshot that is reserved: for urgent arrivals, and for gangs.
+
+use super::Snapshot;
+use crate::leader::Leader;
+use crate::scheduling::arrival_reserve::ArrivalReserve;
+use crate::units::Resources;
+use rudderreel_wire::ids::JobId;
+use std::collections::BTreeSet;
+
+/// The root and one team.
+const NODES_OF_SINGLE_TEAM: usize = 2;
+
+/// A machine is reserved for a gang.
+#[derive(Clone, Debug)]
+pub struct GangReservation {
+    /// The gang.
+    pub gang: JobId,
+    /// In how many seconds it will probably have room enough on all its machines.
+    pub ready_in_s: f64,
+}
+
+impl Snapshot {
+    /// Whether there is room for urgent services that may arrive before a machine could be had, also without one
+    /// of the machines. Work that would be preempted for them counts as room.
+    pub fn has_room_for_arrivals(&self, leader: &Leader, without: Option<usize>) -> bool {
+        let reserves = leader.reserve_for_arrivals(self.now);
+        reserves.iter().all(|reserve| {
+            // Room on a machine without the image would mean a fetch, so each image has its part.
+            let part = reserve.tasks.div_ceil(reserve.images.len().max(1) as u32);
+            (reserve.images.iter()).all(|image| {
+                self.room_with_image(&reserve.need, self.image(image), without) >= part
+            })
+        })
+    }
+
+    /// How many tasks have room on machines that have their image.
+    fn room_with_image(&self, need: &Resources, image: Option<u32>, without: Option<usize>) -> u32 {
+        (self.candidates.iter().enumerate())
+            .filter(|(at, candidate)| Some(*at) != without && candidate.has_image(image))
+            .map(|(_, candidate)| (candidate.free + candidate.preemptible).count(need))
+            .sum()
+    }
+
+    /// Reserves free room for urgent services that may arrive before a machine could be had, where their images
+    /// are. A single team needs none: its own work yields by priority.
+    pub fn reserve_for_arrivals(&mut self, leader: &Leader) {
+        if leader.policy.teams.nodes.len() <= NODES_OF_SINGLE_TEAM {
+            return;
+        }
+        for candidate in &mut self.candidates {
+            candidate.reserved_for_arrivals = Resources::default();
+        }
+        for reserve in leader.reserve_for_arrivals(self.now) {
+            let mut left = reserve.tasks;
+            for at in self.machines_for_reserve(&reserve) {
+                let candidate = &mut self.candidates[at];
+                let tasks = candidate.unreserved().count(&reserve.need).min(left);
+                candidate.reserved_for_arrivals += reserve.need.times(tasks);
+                left -= tasks;
+            }
+        }
+    }
+
+    /// Machines with room for a reserve: those that have most of its images first, then the fullest.
+    fn machines_for_reserve(&self, reserve: &ArrivalReserve) -> Vec<usize> {
+        let images: Vec<u32> = (reserve.images.iter())
+            .filter_map(|image| self.image(image))
+            .collect();
+        let mut order: Vec<(usize, i64, usize)> = (self.candidates.iter().enumerate())
+            .filter(|(_, candidate)| candidate.capacity.gpus == 0 && !candidate.is_spot)
+            .filter(|(_, candidate)| candidate.unreserved().holds(&reserve.need))
+            .map(|(at, candidate)| {
+                let is_missing = |image: &&u32| !candidate.cached_images.contains(image);
+                let missing = images.iter().filter(is_missing).count();
+                (missing, candidate.unreserved().cpus, at)
+            })
+            .collect();
+        order.sort_unstable();
+        order.into_iter().map(|(.., at)| at).collect()
+    }
+
+    /// Gives up all reservations for gangs.
+    pub fn clear_gang_reservations(&mut self) {
+        for candidate in &mut self.candidates {
+            candidate.gang_reservation = None;
+        }
+        self.gang_reservations.clear();
+    }
+
+    /// Reserves machines for a gang, which will have room enough on them in so many seconds.
+    pub fn reserve_for_gang(&mut self, gang: &JobId, machines: &[usize], ready_in_s: f64) {
+        for &at in machines {
+            self.candidates[at].gang_reservation = Some(GangReservation {
+                gang: gang.clone(),
+                ready_in_s,
+            });
+        }
+        self.gang_reservations.insert(gang.clone());
+    }
+
+    /// How many gangs room is reserved for.
+    pub fn gang_reservation_count(&self) -> usize {
+        self.gang_reservations.len()
+    }
+
+    /// Hands out the gangs that room is reserved for.
+    pub fn take_gang_reservations(&mut self) -> BTreeSet<JobId> {
+        std::mem::take(&mut self.gang_reservations)
+    }
+}
--- a/crates/core/src/scheduling/statement.rs
+++ b/crates/core/src/scheduling/statement.rs
@@ -1,13 +1,12 @@
-//! Simulate first, commit later: a log of decisions over the snapshot, kept whole or dropped whole.
+//! Statements: logs of simulated placements, kept whole or dropped whole (article: "Simulate first, commit later").
 
+use super::snapshot::simulation::FetchCounted;
+use super::snapshot::Snapshot;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::snapshot::{is_bound, Snapshot};
-use crate::teams::team_tree::amounts;
 use rudderreel_wire::ids::{MachineId, TaskId};
-use rudderreel_wire::job::Kind;
 
-/// A task and the machine it is to go on.
+/// A task and the machine that it is to go on.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The task.
@@ -16,10 +15,18 @@
     pub machine: MachineId,
 }
 
-/// A log of placements of one job, each already noted in the snapshot.
+/// A placement that the snapshot already shows.
+struct LogEntry {
+    placement: Placement,
+    /// The machine's place among the candidates.
+    at: usize,
+    fetch: FetchCounted,
+}
+
+/// A log of placements of one job, each already simulated in the snapshot.
 #[derive(Default)]
 pub struct Statement {
-    log: Vec<(Placement, usize, bool)>,
+    log: Vec<LogEntry>,
 }
 
 impl Statement {
@@ -32,55 +39,47 @@
         index: u32,
         at: usize,
     ) {
-        snapshot.charge(leader, job, &amounts(&job.need));
-        snapshot.note_taken(&job.spec.id, 1);
-        let image = snapshot.image(&job.spec.image);
-        let spot = &mut snapshot.candidates[at];
-        spot.free -= job.need;
-        if job.spec.kind == Kind::Service {
-            spot.shift_service(&job.spec.id, 1);
-        }
-        let fetches = image.is_some();
-        spot.fetching.extend(image);
-        let zone = spot.zone_no;
+        let fetch = snapshot.place(leader, job, at);
         let placement = Placement {
             task: job.spec.id.task(index),
-            machine: spot.id.clone(),
+            machine: snapshot.candidates[at].id.clone(),
         };
-        if is_bound(&job.spec) {
-            snapshot.note_zone(&job.spec.id, zone, 1);
-        }
-        self.log.push((placement, at, fetches));
+        self.log.push(LogEntry {
+            placement,
+            at,
+            fetch,
+        });
     }
 
-    /// How much has been placed.
+    /// How many tasks were placed.
     pub fn len(&self) -> usize {
         self.log.len()
     }
 
     /// Keeps everything.
     pub fn commit(self) -> Vec<Placement> {
-        self.log.into_iter().map(|(p, ..)| p).collect()
+        self.log.into_iter().map(|entry| entry.placement).collect()
+    }
+
+    /// Keeps everything if it is so much, and otherwise takes everything back.
+    pub fn commit_if_whole(
+        self,
+        leader: &Leader,
+        snapshot: &mut Snapshot,
+        job: &Job,
+        tasks: u32,
+    ) -> Option<Vec<Placement>> {
+        if self.len() == tasks as usize {
+            return Some(self.commit());
+        }
+        self.discard(leader, snapshot, job);
+        None
     }
 
     /// Takes everything back.
     pub fn discard(self, leader: &Leader, snapshot: &mut Snapshot, job: &Job) {
-        let back = amounts(&job.need).map(|x| -x);
-        for (placement, at, fetches) in self.log.into_iter().rev() {
-            snapshot.charge(leader, job, &back);
-            snapshot.note_taken(&job.spec.id, -1);
-            let spot = &mut snapshot.candidates[at];
-            spot.free += job.need;
-            if job.spec.kind == Kind::Service {
-                spot.shift_service(&placement.task.job, -1);
-            }
-            if fetches {
-                spot.fetching.pop();
-            }
-            let zone = spot.zone_no;
-            if is_bound(&job.spec) {
-                snapshot.note_zone(&job.spec.id, zone, -1);
-            }
+        for entry in self.log.into_iter().rev() {
+            snapshot.withdraw(leader, job, entry.at, entry.fetch);
         }
     }
 }
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -6,19 +6,34 @@
 use rudderreel_wire::settings::TeamLimits;
 use std::collections::BTreeMap;
 
-/// Number of resources that shares are computed for: CPUs, GPUs, memory.
+/// Number of resources that shares are computed for.
 pub const KINDS: usize = 3;
+/// The place of CPUs among [`Amounts`].
+pub const CPUS: usize = 0;
+/// The place of GPUs among [`Amounts`].
+pub const GPUS: usize = 1;
+/// The place of memory among [`Amounts`].
+pub const MEMORY: usize = 2;
 
-/// An amount of each resource, in whole units.
+/// An amount of each resource, in whole units: CPUs, GPUs, GB of memory.
 pub type Amounts = [f64; KINDS];
 
+/// Nothing of any resource.
+pub const NO_AMOUNTS: Amounts = [0.0; KINDS];
+
+/// Thousandths in a whole unit.
+const THOUSANDTHS: f64 = 1000.0;
+
 /// Resources as amounts.
-pub fn amounts(r: &Resources) -> Amounts {
-    [
-        r.cpus as f64 / 1000.0,
-        r.gpus as f64 / 1000.0,
-        r.memory as f64 / 1000.0,
-    ]
+pub fn amounts(resources: &Resources) -> Amounts {
+    [resources.cpus, resources.gpus, resources.memory].map(|amount| amount as f64 / THOUSANDTHS)
+}
+
+/// Adds amounts.
+pub fn add_amounts(sum: &mut Amounts, more: &Amounts) {
+    for (sum, amount) in sum.iter_mut().zip(more) {
+        *sum += amount;
+    }
 }
 
 /// A node of the tree.
@@ -169,8 +184,8 @@
         }
     }
     for (kind, field, value) in [
-        (0, "limit_cpus", own.limit_cpus),
-        (1, "limit_gpus", own.limit_gpus),
+        (CPUS, "limit_cpus", own.limit_cpus),
+        (GPUS, "limit_gpus", own.limit_gpus),
     ] {
         if let Some(value) = value {
             if value > node.limit[kind] {
@@ -179,7 +194,7 @@
             node.limit[kind] = value;
         }
     }
-    for (kind, value) in [(0, own.quota_cpus), (1, own.quota_gpus)] {
+    for (kind, value) in [(CPUS, own.quota_cpus), (GPUS, own.quota_gpus)] {
         node.quota[kind] = value.unwrap_or(node.quota[kind]);
     }
     node.weight = own.weight.unwrap_or(node.weight);
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -77,7 +77,7 @@
 }
 
 /// An amount of each resource, in thousandths, so that sums are exact.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// CPUs.
     pub cpus: i64,
