--- a/crates/core/src/capacity/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -1,50 +1,51 @@
 //! Jobs that will be ready by the time a machine could be up.
 //!
-//! A machine takes about as long to boot as a stage of a pipeline takes to run. So room for a job is
-//! planned while what it depends on still runs, but not before all of that runs: until then nothing
-//! is known of when it ends, and a machine that waits for it would cost money for nothing.
+//! A machine takes about as long to boot as a stage of a pipeline takes to run. So room for a job is planned while what
+//! it depends on still runs, but not before all of that runs: until then nothing is known of when it ends, and a machine
+//! that waits for it would cost money for nothing.
 
 use crate::fleet::machine::PlacedTask;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 
-/// What has run longer than its owner thought will run for this part of that time more.
-const OVERRUN: f64 = 0.3;
+/// What has run longer than its owner's estimate is expected to run for this part of that time more.
+const OVERRUN_FRACTION: f64 = 0.3;
 
 impl Leader {
     /// Jobs that wait for others, and will probably be ready within a span.
     pub fn nearly_ready(&self, within: Span, now: Now) -> impl Iterator<Item = &Job> {
-        let soon = move |job: &&Job| {
-            let ready_in = self.ready_in(job, now.time);
+        let is_ready_soon = move |job: &&Job| {
+            let ready_in = self.expected_ready_in(job, now.time);
             ready_in.is_some_and(|span| span <= within)
         };
         (self.jobs.values())
-            .filter(|j| j.is_active() && !j.is_ready())
-            .filter(soon)
+            .filter(|job| job.is_active() && !job.is_ready())
+            .filter(is_ready_soon)
     }
 
-    /// In what time all that a job depends on will probably be done; none if some of that has yet to
-    /// be started.
-    fn ready_in(&self, job: &Job, now: Time) -> Option<Span> {
+    /// In what time all that a job depends on will probably be done; none if some of that has yet to be started.
+    fn expected_ready_in(&self, job: &Job, now: Time) -> Option<Span> {
         let spans = job.unmet_dependencies.iter().map(|id| {
             let dependency = self.jobs.get(id)?;
-            self.done_in(dependency, now)
+            self.expected_done_in(dependency, now)
         });
         spans.collect::<Option<Vec<Span>>>()?.into_iter().max()
     }
 
-    fn done_in(&self, job: &Job, now: Time) -> Option<Span> {
+    /// In what time a job will probably be done; none if a task has yet to be started, or is not where it should be.
+    fn expected_done_in(&self, job: &Job, now: Time) -> Option<Span> {
         if !job.is_ready() || job.startable_tasks() > 0 {
             return None;
         }
         let mut longest = Span(0);
         for (index, places) in &job.placements {
+            let task = job.spec.id.task(*index);
             for (machine, attempt) in places {
-                let task = job.spec.id.task(*index);
-                let entry = (self.fleet.machines.get(machine)?.tasks.iter())
-                    .find(|e| e.task == task && e.attempt == *attempt)?;
-                longest = longest.max(ends_in(job, entry, now));
+                let on_machine = &self.fleet.machines.get(machine)?.tasks;
+                let placed = (on_machine.iter())
+                    .find(|placed| placed.task == task && placed.attempt == *attempt)?;
+                longest = longest.max(expected_end_in(job, placed, now));
             }
         }
         Some(longest)
@@ -52,12 +53,10 @@
 }
 
 /// In what time a task will probably end.
-fn ends_in(job: &Job, entry: &PlacedTask, now: Time) -> Span {
-    let estimate = job.spec.estimate_s;
-    let ran = entry
-        .running_since
-        .map_or(0.0, |since| (now - since).as_secs());
-    Span::secs((estimate - ran).max(ran * OVERRUN))
+fn expected_end_in(job: &Job, placed: &PlacedTask, now: Time) -> Span {
+    let ran_s = (placed.running_since).map_or(0.0, |since| (now - since).as_secs());
+    let remaining_s = job.spec.estimate_s - ran_s;
+    Span::secs(remaining_s.max(ran_s * OVERRUN_FRACTION))
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/core/src/capacity/machine_list.rs
@@ -0,0 +1,44 @@
+//! Applying the cloud's list of machines, whose pages may be older than what is known.
+
+use crate::fleet::machine::Machine;
+use crate::leader::Leader;
+use crate::units::{Now, Wall};
+use rudderreel_wire::cloud::{ListedMachine, ListedState};
+
+const MS_PER_S: f64 = 1000.0;
+
+impl Leader {
+    /// Applies a page of the machine list: adds machines that were not known, unless they were returned, and retires
+    /// those that failed.
+    pub(crate) fn apply_cloud_list(&mut self, listed: &[ListedMachine], now: Now) {
+        for found in listed {
+            if self.fleet.returned.contains_key(&found.id) {
+                continue;
+            }
+            let capacity = self.policy.capacity_of(&found.machine_type);
+            let machine = (self.fleet.machines.entry(found.id.clone())).or_insert_with(|| {
+                Machine::new(
+                    found.id.clone(),
+                    found.machine_type.clone(),
+                    found.zone.clone(),
+                    found.spot,
+                    capacity,
+                    requested_at(found, now),
+                )
+            });
+            machine.in_cloud_list = true;
+            if machine.addr.is_none() {
+                machine.addr = found.addr.clone();
+            }
+            if found.state == ListedState::Failed {
+                machine.retire_reason.get_or_insert("failed");
+            }
+        }
+    }
+}
+
+/// When a listed machine was requested.
+fn requested_at(found: &ListedMachine, now: Now) -> Wall {
+    let age_ms = (found.age_s.max(0.0) * MS_PER_S) as u64;
+    Wall(now.wall.0.saturating_sub(age_ms))
+}
--- /dev/null
+++ b/crates/core/src/capacity/offers.rs
@@ -0,0 +1,130 @@
+//! What the cloud offers, at what price, and the cheapest offer for a job.
+
+use super::bin_packing::{Bins, TasksByZone};
+use crate::cloud::scale_out_requests::InstanceOffer;
+use crate::jobs::job::Job;
+use crate::leader::Leader;
+use crate::scheduling::actions::{allowed, should_avoid_gpus};
+use crate::units::{Resources, Time};
+use rudderreel_wire::cloud::MachineType;
+use rudderreel_wire::ids::Zone;
+
+/// An offer counts as dearer by this part for each machine that is coming in its zone, so that equal prices are
+/// spread over the zones.
+const PRICE_PER_COMING_MACHINE: f64 = 0.001;
+/// A machine that costs so many times less than the dearest is cheap.
+const CHEAP_RATIO: f64 = 32.0;
+
+/// An offer with its price for each task of a job that a machine holds.
+pub(super) struct PricedOffer {
+    pub(super) offer: InstanceOffer,
+    pub(super) price_per_task: f64,
+}
+
+impl Leader {
+    /// All zones of the catalog.
+    pub(crate) fn zones(&self) -> Vec<Zone> {
+        let mut zones: Vec<Zone> = (self.policy.catalog.types.iter())
+            .flat_map(|machine_type| machine_type.zones.iter().cloned())
+            .collect();
+        zones.sort();
+        zones.dedup();
+        zones
+    }
+
+    /// The cheapest offer for a job in a zone.
+    pub(super) fn cheapest_offer_in(
+        &self,
+        job: &Job,
+        zone: &Zone,
+        now: Time,
+    ) -> Option<PricedOffer> {
+        (self.priced_offers(job, now).into_iter())
+            .filter(|priced| priced.offer.zone == *zone)
+            .min_by(|one, other| one.price_per_task.total_cmp(&other.price_per_task))
+    }
+
+    /// The cheapest offer for a job in any zone that may hold more of its tasks.
+    pub(super) fn cheapest_offer(
+        &self,
+        job: &Job,
+        coming: &Bins,
+        zones: &TasksByZone,
+        now: Time,
+    ) -> Option<InstanceOffer> {
+        let spread_price = |priced: &PricedOffer| {
+            let machines = f64::from(coming.machines_in(&priced.offer.zone));
+            priced.price_per_task * (1.0 + PRICE_PER_COMING_MACHINE * machines)
+        };
+        (self.priced_offers(job, now).into_iter())
+            .filter(|priced| zones.in_zone(&priced.offer.zone) < job.spec.zone_cap())
+            .map(|priced| (spread_price(&priced), priced.offer))
+            .min_by(|(one, _), (other, _)| one.total_cmp(other))
+            .map(|(_, offer)| offer)
+    }
+
+    /// Offers that a job may use and that may be requested, with their prices.
+    fn priced_offers(&self, job: &Job, now: Time) -> Vec<PricedOffer> {
+        let avoids_gpus = should_avoid_gpus(self, job);
+        let mut found = Vec::new();
+        for machine_type in &self.policy.catalog.types {
+            let capacity = Resources::of_machine(machine_type);
+            let tasks = capacity.count(&job.need);
+            if tasks == 0 || (avoids_gpus && capacity.gpus > 0) {
+                continue;
+            }
+            for offer in offers_of(machine_type) {
+                let Some(price) = price(machine_type, offer.spot) else {
+                    continue;
+                };
+                if self.may_request(job, &offer, now) {
+                    found.push(PricedOffer {
+                        offer,
+                        price_per_task: price / f64::from(tasks),
+                    });
+                }
+            }
+        }
+        found
+    }
+
+    /// Whether an offer may be requested for a job. What comes up in a partitioned zone can't report.
+    fn may_request(&self, job: &Job, offer: &InstanceOffer, now: Time) -> bool {
+        self.scale_out.may_request(offer, now)
+            && !self.fleet.partitioned_zones.contains_key(&offer.zone)
+            && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
+    }
+
+    /// Whether a machine for a job costs so little beside the dearest ones that there is nothing to weigh: then all
+    /// its tasks may run at once.
+    pub(super) fn runs_cheaply(&self, job: &Job) -> bool {
+        let lowest_price = (self.policy.catalog.types.iter())
+            .filter(|machine_type| Resources::of_machine(machine_type).holds(&job.need))
+            .filter(|machine_type| {
+                (job.spec.types.as_ref()).is_none_or(|types| types.contains(&machine_type.name))
+            })
+            .map(|machine_type| machine_type.price)
+            .fold(f64::INFINITY, f64::min);
+        lowest_price * CHEAP_RATIO <= self.policy.catalog.most_dear()
+    }
+}
+
+/// The offers of a machine type: in each zone as a spot instance and on demand.
+fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = InstanceOffer> + '_ {
+    machine_type.zones.iter().flat_map(|zone| {
+        [true, false].map(|spot| InstanceOffer {
+            machine_type: machine_type.name.clone(),
+            zone: zone.clone(),
+            spot,
+        })
+    })
+}
+
+/// The price of a machine type; none if it is not offered so.
+pub(super) fn price(machine_type: &MachineType, spot: bool) -> Option<f64> {
+    if spot {
+        machine_type.spot_price
+    } else {
+        Some(machine_type.price)
+    }
+}
--- /dev/null
+++ b/crates/core/src/capacity/scale_out/tests.rs
@@ -0,0 +1,27 @@
+use super::*;
+use crate::testing::{leader, NOW};
+use rudderreel_wire::cloud::MACHINES_PER_RENTAL;
+
+/// Five requests of fifty machines were open at a time, whatever the cloud takes: a fleet of thousands was
+/// requested at that rate.
+#[test]
+fn as_many_requests_are_open_as_the_cloud_takes_calls_a_second() {
+    let offer = InstanceOffer {
+        machine_type: "m4".into(),
+        zone: "a".into(),
+        spot: false,
+    };
+    let wanted = WantedMachines {
+        is_urgent: false,
+        count: 4_000,
+    };
+    for (calls_per_s, open) in [(2.0, 5), (6.0, 6), (17.0, 17)] {
+        let mut leader = leader();
+        leader.cloud_calls_per_s = calls_per_s;
+        leader.request_machines(BTreeMap::from([(offer.clone(), wanted)]));
+        assert_eq!(leader.scale_out.open.len(), open);
+        let mut counts = leader.scale_out.open.iter().map(|request| request.count);
+        assert!(counts.all(|count| count == MACHINES_PER_RENTAL));
+        assert!(leader.scale_out.may_request(&offer, NOW.time));
+    }
+}
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -1,175 +1,206 @@
-//! Calls to the cloud.
+//! Handlers for the cloud: calls that are due, and the cloud's answers.
 
-use crate::capacity::scale_in::IDLE;
+use crate::capacity::scale_in::{MachinesToReturn, Urgency};
 use crate::cloud::calls::PendingCloudCall;
-use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::fleet::machine::Machine;
-use crate::io::{CallId, CloudAnswer, CloudCall};
+use crate::io::{CallId, CloudAnswer};
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::cloud::{MachineNames, Rent};
+use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
+use rudderreel_wire::ids::MachineId;
 
-/// Idle machines are returned together, so often.
-const RETURNS: Span = Span(2_000);
-/// So long a follower waits for the stored machine types before it asks for them.
-const CATALOG_WAIT: Span = Span(10_000);
+/// Idle machines are returned together, at this interval: calls are few.
+const RETURN_INTERVAL: Span = Span(2_000);
+/// So long a follower waits for the stored machine types before it asks the cloud for them.
+const FOLLOWER_CATALOG_INTERVAL: Span = Span(10_000);
+/// How soon the machine types are read again if a call for them has no answer.
+const CATALOG_RETRY_INTERVAL: Span = Span(5_000);
+/// How often the machine types are read.
+const CATALOG_INTERVAL: Span = Span(60_000);
+/// The shortest time between two readings of the machine list.
+const MIN_LIST_INTERVAL: Span = Span(4_000);
+/// No calls are made for so long after one was refused or had no answer.
+const REFUSED_CALL_PAUSE: Span = Span(700);
 
 impl Node {
-    /// Lets out calls to the cloud that wait.
+    /// Sends calls to the cloud that wait, while this node leads.
     pub(crate) fn cloud_pump(&mut self, now: Now) {
         if self.leader.is_some() {
-            self.cloud.pump(now.time, &mut self.out);
+            self.cloud.send_queued(now.time, &mut self.out);
         }
     }
 
-    /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may
-    /// be too large to be stored.
+    /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may be too large
+    /// to be stored.
     pub(crate) fn fetch_catalog(&mut self, now: Now) {
         if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.is_complete {
             return;
         }
         let cloud = &mut self.cloud;
         if cloud.next_catalog == Time(0) {
-            cloud.next_catalog = now.time + CATALOG_WAIT;
+            cloud.next_catalog = now.time + FOLLOWER_CATALOG_INTERVAL;
         }
         if now.time >= cloud.next_catalog {
-            cloud.next_catalog = now.time + CATALOG_WAIT;
-            cloud.call(CloudCall::Catalog, PendingCloudCall::Catalog);
+            cloud.next_catalog = now.time + FOLLOWER_CATALOG_INTERVAL;
+            cloud.enqueue(PendingCloudCall::Catalog);
         }
-        cloud.pump(now.time, &mut self.out);
+        cloud.send_queued(now.time, &mut self.out);
     }
 
-    /// Calls to the cloud that are due.
+    /// Makes the calls of the leader that are due.
     pub(crate) fn cloud_tick(&mut self, now: Now) {
+        let Some(leader) = &self.leader else {
+            return;
+        };
+        let may_change_fleet = leader.recovery.is_complete && leader.term.is_lease_valid(now.time);
+        self.read_catalog_if_due(now);
+        if may_change_fleet {
+            self.return_machines(now);
+            self.repeat_scale_out_requests();
+            self.list_machines_if_due(now);
+        }
+        self.cloud.send_queued(now.time, &mut self.out);
+    }
+
+    fn read_catalog_if_due(&mut self, now: Now) {
+        let is_pending = (self.cloud).has_pending(|call| matches!(call, PendingCloudCall::Catalog));
+        if now.time >= self.cloud.next_catalog && !is_pending {
+            self.cloud.next_catalog = now.time + CATALOG_RETRY_INTERVAL;
+            self.cloud.enqueue(PendingCloudCall::Catalog);
+        }
+    }
+
+    /// Returns machines: urgent ones at once, idle ones together.
+    fn return_machines(&mut self, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let cloud = &mut self.cloud;
-        let catalog_due = now.time >= cloud.next_catalog;
-        if catalog_due && !cloud.has(|s| matches!(s, PendingCloudCall::Catalog)) {
-            cloud.next_catalog = now.time + Span(5_000);
-            cloud.call(CloudCall::Catalog, PendingCloudCall::Catalog);
-        }
-        if !leader.recovery.is_complete || !leader.term.is_lease_valid(now.time) {
-            return cloud.pump(now.time, &mut self.out);
-        }
-        let names = leader.machines_to_return(now);
-        let urgent = (names.iter()).any(|id| {
-            leader
-                .fleet
-                .machines
-                .get(id)
-                .is_some_and(|m| m.retire_reason != Some(IDLE))
-        });
-        if urgent || (!names.is_empty() && now.time >= cloud.next_return) {
-            cloud.next_return = now.time + RETURNS;
-            leader.record_return_request(&names, now);
-            let call = CloudCall::Return(MachineNames {
-                machines: names.clone(),
+        let MachinesToReturn { machines, urgency } = leader.machines_to_return(now);
+        let is_due = match urgency {
+            Urgency::Now => true,
+            Urgency::CanWait => !machines.is_empty() && now.time >= self.cloud.next_return,
+        };
+        if is_due {
+            self.cloud.next_return = now.time + RETURN_INTERVAL;
+            leader.record_return_request(&machines, now);
+            self.cloud.enqueue(PendingCloudCall::ScaleIn(machines));
+        }
+    }
+
+    /// Sends scale-out requests that are open and of which no call is under way.
+    fn repeat_scale_out_requests(&mut self) {
+        let Some(leader) = &self.leader else {
+            return;
+        };
+        for request in &leader.scale_out.open {
+            let is_pending = self.cloud.has_pending(|call| {
+                matches!(call, PendingCloudCall::ScaleOut(other) if other.request == request.request)
             });
-            cloud.call(call, PendingCloudCall::Return(names));
-        }
-        for rent in &leader.scale_out.open {
-            let open =
-                cloud.has(|s| matches!(s, PendingCloudCall::Rent(r) if r.request == rent.request));
-            if !open {
-                cloud.call(
-                    CloudCall::Rent(rent.clone()),
-                    PendingCloudCall::Rent(rent.clone()),
-                );
+            if !is_pending {
+                let call = PendingCloudCall::ScaleOut(request.clone());
+                self.cloud.enqueue(call);
             }
         }
-        let list_due = now.time >= cloud.next_list;
-        if list_due && !cloud.has(|s| matches!(s, PendingCloudCall::List(_))) {
-            let pause = Span(4_000).max(self.list_lag);
-            cloud.next_list = now.time + pause.max(cloud.listing_span(leader.fleet.machines.len()));
-            cloud.call(CloudCall::List(None), PendingCloudCall::List(None));
+    }
+
+    fn list_machines_if_due(&mut self, now: Now) {
+        let Some(leader) = &self.leader else {
+            return;
+        };
+        let is_pending = (self.cloud).has_pending(|call| matches!(call, PendingCloudCall::List(_)));
+        if now.time >= self.cloud.next_list && !is_pending {
+            let listing_span = self.cloud.listing_span(leader.fleet.machines.len());
+            let interval = MIN_LIST_INTERVAL.max(self.list_lag).max(listing_span);
+            self.cloud.next_list = now.time + interval;
+            self.cloud.enqueue(PendingCloudCall::List(None));
         }
-        cloud.pump(now.time, &mut self.out);
     }
 
-    /// The cloud's answer.
+    /// Handles an answer of the cloud.
     pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer, now: Now) {
-        let Some(step) = self.cloud.finish(id) else {
+        let Some(call) = self.cloud.take_answered(id) else {
             return;
         };
         if matches!(answer, CloudAnswer::Refused | CloudAnswer::Unknown) {
-            self.cloud.after = self.cloud.after.max(now.time + Span(700));
+            self.cloud.pause_until(now.time + REFUSED_CALL_PAUSE);
         }
-        match (step, answer) {
+        match (call, answer) {
             (PendingCloudCall::Catalog, CloudAnswer::Catalog(catalog)) => {
-                self.cloud.next_catalog = now.time + Span(60_000);
-                if let Some(leader) = self.leader.as_mut() {
-                    leader.set_catalog(catalog.clone());
-                    leader.request_cycle(now.time);
-                }
-                if self.catalog.is_none() {
-                    self.keep_catalog(&catalog);
-                }
-                self.catalog = Some(catalog);
+                self.catalog_read(catalog, now);
             }
-            (PendingCloudCall::Rent(rent), answer) => self.rented(rent, answer, now),
-            (PendingCloudCall::Return(names), CloudAnswer::Returned) => {
-                for id in names {
-                    if let Some(leader) = self.leader.as_mut() {
-                        leader.record_return(&id);
-                    }
-                    if let Some(leader) = self.leader.as_mut() {
-                        leader.forget_machine(&id, now);
-                    }
-                }
+            (PendingCloudCall::ScaleOut(request), answer) => {
+                self.scale_out_answered(&request, answer, now);
             }
-            // What is missing of a list that takes many pages would not be read for long if it was begun
-            // anew each time.
-            (PendingCloudCall::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
-                let call = CloudCall::List(after.clone());
-                self.cloud.call(call, PendingCloudCall::List(after));
+            (PendingCloudCall::ScaleIn(machines), CloudAnswer::Returned) => {
+                self.machines_returned(&machines, now);
             }
-            (PendingCloudCall::List(_), CloudAnswer::Page(page)) => {
-                if let Some(leader) = self.leader.as_mut() {
-                    leader.apply_cloud_list(&page.machines, now);
-                }
-                if page.more {
-                    let last = page.machines.last().map(|m| m.id.clone());
-                    let call = CloudCall::List(last.clone());
-                    self.cloud.call(call, PendingCloudCall::List(last));
-                }
+            // A list takes many pages. What is missing of it would not be read for long if it was begun anew each
+            // time that a page is refused.
+            (PendingCloudCall::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
+                self.cloud.enqueue(PendingCloudCall::List(after));
             }
+            (PendingCloudCall::List(_), CloudAnswer::Page(page)) => self.page_read(&page, now),
             _ => {}
         }
     }
 
-    fn rented(&mut self, rent: Rent, answer: CloudAnswer, now: Now) {
+    fn catalog_read(&mut self, catalog: Catalog, now: Now) {
+        self.cloud.next_catalog = now.time + CATALOG_INTERVAL;
+        if let Some(leader) = self.leader.as_mut() {
+            leader.set_catalog(catalog.clone());
+            leader.request_cycle(now.time);
+        }
+        if self.catalog.is_none() {
+            self.keep_catalog(&catalog);
+        }
+        self.catalog = Some(catalog);
+    }
+
+    fn machines_returned(&mut self, machines: &[MachineId], now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let offer = InstanceOffer {
-            machine_type: rent.machine_type.clone(),
-            zone: rent.zone.clone(),
-            spot: rent.spot,
+        for id in machines {
+            leader.record_return(id);
+            leader.forget_machine(id, now);
+        }
+    }
+
+    fn page_read(&mut self, page: &MachinePage, now: Now) {
+        if let Some(leader) = self.leader.as_mut() {
+            leader.apply_cloud_list(&page.machines, now);
+        }
+        if page.more {
+            let last = page.machines.last().map(|machine| machine.id.clone());
+            self.cloud.enqueue(PendingCloudCall::List(last));
+        }
+    }
+
+    fn scale_out_answered(&mut self, request: &Rent, answer: CloudAnswer, now: Now) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
         };
         match answer {
-            CloudAnswer::Rented(names) => {
-                leader.scale_out.open.retain(|r| r.request != rent.request);
-                if (names.machines.len() as u32) < rent.count {
-                    leader.scale_out.refuse(offer, now.time);
-                } else {
-                    leader.scale_out.refused.remove(&offer);
-                }
-                for id in names.machines {
-                    let room = leader.policy.capacity_of(&rent.machine_type);
-                    let (t, z) = (rent.machine_type.clone(), rent.zone.clone());
-                    let machine = Machine::new(id, t, z, rent.spot, room, now.wall);
+            CloudAnswer::Rented(MachineNames { machines }) => {
+                leader.scale_out.fulfil(request, machines.len(), now.time);
+                for id in machines {
+                    let machine = Machine::new(
+                        id,
+                        request.machine_type.clone(),
+                        request.zone.clone(),
+                        request.spot,
+                        leader.policy.capacity_of(&request.machine_type),
+                        now.wall,
+                    );
                     leader.add_machine(machine);
                 }
                 leader.request_cycle(now.time);
             }
             CloudAnswer::NoCapacity | CloudAnswer::Rejected => {
-                leader.scale_out.open.retain(|r| r.request != rent.request);
-                leader.scale_out.refuse(offer, now.time);
+                leader.scale_out.refuse(request, now.time);
                 leader.request_cycle(now.time);
             }
-            // It may have been carried out: the same request is repeated, by the same name.
+            // It may have been carried out: the same request is repeated, under the same name.
             _ => {}
         }
     }
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::cloud::calls::CloudCalls;
-use crate::io::Output;
+use crate::io::{CloudCall, Output};
 use crate::testing::{leader, node, up, NOW};
 use rudderreel_wire::cloud::MachinePage;
 use rudderreel_wire::cloud::{ListedMachine, ListedState, MACHINES_PER_PAGE};
 
 /// Lets calls out and returns them.
 fn calls(node: &mut Node, at: Now) -> Vec<(CallId, CloudCall)> {
-    node.cloud.pump(at.time, &mut node.out);
+    node.cloud.send_queued(at.time, &mut node.out);
     let call = |output| match output {
         Output::Cloud(id, call) => Some((id, call)),
         _ => None,
@@ -18,7 +18,7 @@
 /// When a page of the list was refused, the rest of the list was not read, and the next time it began
 /// anew: a list of eight or twelve pages was never read whole beside a busy cloud.
 #[test]
-fn a_list_of_many_pages_goes_on_after_a_refusal() {
+fn list_of_many_pages_is_continued_after_a_refusal() {
     for machines in [4_000, 6_000] {
         let mut node = node();
         node.leader = Some(leader());
@@ -66,7 +66,7 @@
 
 /// The pages of a large fleet's list take a part of the calls and no more.
 #[test]
-fn a_large_fleet_is_listed_less_often() {
+fn large_fleet_is_listed_less_often() {
     let cloud = CloudCalls::new(1.0);
     assert!(cloud.listing_span(100) <= Span(4_000));
     assert_eq!(cloud.listing_span(4_000), Span(32_000));
--- a/crates/core/src/scheduling/actions/predicates.rs
+++ b/crates/core/src/scheduling/actions/predicates.rs
@@ -59,9 +59,12 @@
 /// replicas off all machines with GPUs, which they would hold long after the work on the GPUs is done.
 fn wastes_gpus(leader: &Leader, job: &Job, candidate: &CandidateMachine) -> bool {
     let outlasts_gpu_work = job.spec.kind == Kind::Service && candidate.capacity.gpus > 0;
-    job.need.gpus == 0
-        && (candidate.free.gpus > 0 || outlasts_gpu_work)
-        && leader.policy.fits_without_gpus(&job.spec, &job.need)
+    (candidate.free.gpus > 0 || outlasts_gpu_work) && should_avoid_gpus(leader, job)
+}
+
+/// Whether a job needs no GPUs and could run on some machine type without them.
+pub fn should_avoid_gpus(leader: &Leader, job: &Job) -> bool {
+    job.need.gpus == 0 && leader.policy.fits_without_gpus(&job.spec, &job.need)
 }
 
 /// Affinity between the tasks of a job: whether one more may be in a zone, given where the others may be.
--- a/crates/core/src/scheduling/actions/victims.rs
+++ b/crates/core/src/scheduling/actions/victims.rs
@@ -1,6 +1,7 @@
 //! Victims: which tasks of a machine would be stopped to make room for a waiting one.
 
 use super::evict::EvictionPolicy;
+use super::predicates::should_avoid_gpus;
 use crate::fleet::machine::{Machine, Phase, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -74,9 +75,7 @@
             return false;
         }
         // Work that only needs CPUs does not end work on GPUs for the CPUs beside them.
-        let wants_cpus_only =
-            job.need.gpus == 0 && leader.policy.fits_without_gpus(&job.spec, &job.need);
-        !wants_cpus_only || self.victim.need.gpus == 0
+        !should_avoid_gpus(leader, job) || self.victim.need.gpus == 0
     }
 }
 
