--- a/crates/core/src/api/admin.rs
+++ b/crates/core/src/api/admin.rs
@@ -42,5 +42,5 @@
             return Err(format!("{name}: must be from {least} to {most}"));
         }
     }
-    platform.with(&settings.teams)
+    (platform.with(&settings.teams)).map_err(|error| error.to_string())
 }
--- a/crates/core/src/teams/fair_share.rs
+++ b/crates/core/src/teams/fair_share.rs
@@ -1,34 +1,37 @@
-//! Fair shares, top down: quota first, then what is left by priority and weight.
+//! Fair shares, top down (article: "How fair share is computed"): quotas first, then what is left by priority and weight.
 //!
-//! The article's phase one hands out `min(quota, requested)` and assumes that quotas are backed.
-//! Where they add up to more than there is, they are scaled down evenly here, so that the shares
-//! never promise room that does not exist.
+//! The article's phase one hands out `min(quota, requested)` and assumes that quotas are backed. Where they add up to
+//! more than there is, they are scaled down evenly here, so that the shares never guarantee room that does not exist.
 //!
-//! A team without any quota may run work of priority 100 or above (its quota counts as unlimited
-//! there), but is promised nothing: beside teams that have a guarantee it would otherwise claim all it
-//! asks for in phase one. Once guarantees are met it gets what such work takes, and then its part of
-//! what is left, by priority and weight.
+//! A team without any quota may run work of priority 100 or above (its quota counts as unlimited there), but nothing is
+//! guaranteed to it: beside teams that have a guarantee it would otherwise claim all it requests in phase one. Once
+//! guarantees are met it gets what such work takes, and then its part of what is left, by priority and weight.
 
-use crate::teams::team_tree::{Amounts, TeamTree, KINDS};
+use crate::teams::team_tree::{Amounts, TeamTree, KINDS, NO_AMOUNTS};
+use std::cmp::Reverse;
 
 /// Below this, an amount counts as nothing.
 const NOTHING: f64 = 1e-9;
 
-/// Each node's fair share of `total`, given what the leaves request, and what of that is work of
-/// priority 100 or above.
+/// Each node's fair share of `total`, given what the leaves request, and what of that can't be preempted.
 pub fn fair_shares(
     tree: &TeamTree,
     total: Amounts,
     requested: &[Amounts],
-    firm: &[Amounts],
+    non_preemptible: &[Amounts],
 ) -> Vec<Amounts> {
-    let mut shares = vec![[0.0; KINDS]; tree.nodes.len()];
+    let mut shares = vec![NO_AMOUNTS; tree.nodes.len()];
     for kind in 0..KINDS {
-        let wanted = wanted(tree, requested, kind);
-        shares[0][kind] = total[kind].min(wanted[0]);
+        let division = Division {
+            tree,
+            kind,
+            requests: effective_requests(tree, requested, kind),
+            non_preemptible,
+        };
+        shares[0][kind] = total[kind].min(division.requests[0]);
         for parent in 0..tree.nodes.len() {
             let children = tree.children(parent);
-            let given = divide(tree, &children, &wanted, firm, shares[parent][kind], kind);
+            let given = division.divide(&children, shares[parent][kind]);
             for (child, amount) in children.iter().zip(given) {
                 shares[*child][kind] = amount;
             }
@@ -37,119 +40,139 @@
     shares
 }
 
-/// What each node wants of a resource: a leaf its request, a parent its children's, both capped
-/// by the limit.
-fn wanted(tree: &TeamTree, requested: &[Amounts], kind: usize) -> Vec<f64> {
-    let mut sums: Vec<f64> = requested.iter().map(|r| r[kind]).collect();
+/// What each node requests of a resource: a leaf its own, a parent its children's, both capped by the limit.
+fn effective_requests(tree: &TeamTree, requested: &[Amounts], kind: usize) -> Vec<f64> {
+    let mut requests: Vec<f64> = requested.iter().map(|amounts| amounts[kind]).collect();
     for node in (0..tree.nodes.len()).rev() {
-        sums[node] = sums[node].min(tree.nodes[node].limit[kind]);
+        requests[node] = requests[node].min(tree.nodes[node].limit[kind]);
         if let Some(parent) = tree.nodes[node].parent {
-            sums[parent] += sums[node];
+            requests[parent] += requests[node];
         }
     }
-    sums
+    requests
 }
 
-fn divide(
-    tree: &TeamTree,
-    children: &[usize],
-    wanted: &[f64],
-    firm: &[Amounts],
-    amount: f64,
+/// The division of one resource.
+struct Division<'a> {
+    tree: &'a TeamTree,
     kind: usize,
-) -> Vec<f64> {
-    let mut given: Vec<f64> = (children.iter())
-        .map(|&c| promised(tree, c, wanted, kind))
-        .collect();
-    let promised: f64 = given.iter().sum();
-    if promised > amount {
-        let scale = if promised > 0.0 {
-            amount / promised
+    /// What each node requests, within its limit.
+    requests: Vec<f64>,
+    /// What leaves request that can't be preempted.
+    non_preemptible: &'a [Amounts],
+}
+
+impl Division<'_> {
+    /// Divides an amount among siblings.
+    fn divide(&self, children: &[usize], amount: f64) -> Vec<f64> {
+        let mut given: Vec<f64> = (children.iter())
+            .map(|&child| self.guaranteed(child))
+            .collect();
+        let guaranteed: f64 = given.iter().sum();
+        if guaranteed > amount {
+            let scale = if guaranteed > 0.0 {
+                amount / guaranteed
+            } else {
+                0.0
+            };
+            given.iter_mut().for_each(|share| *share *= scale);
+            return given;
+        }
+        let mut left = amount - guaranteed;
+        left -= self.give_non_preemptible_without_quota(children, &mut given, left);
+        let mut priorities: Vec<i32> = (children.iter())
+            .map(|&child| self.tree.nodes[child].priority)
+            .collect();
+        priorities.sort_unstable_by_key(|&priority| Reverse(priority));
+        priorities.dedup();
+        for priority in priorities {
+            left = self.give_surplus(children, &mut given, left, priority);
+        }
+        given
+    }
+
+    /// What is guaranteed to a node of what it requests: its quota. One without has what is guaranteed below it.
+    fn guaranteed(&self, node: usize) -> f64 {
+        let quota = self.tree.nodes[node].quota[self.kind];
+        let guarantee = if quota.is_finite() {
+            quota
         } else {
-            0.0
+            let children = self.tree.children(node).into_iter();
+            children.map(|child| self.guaranteed(child)).sum()
         };
-        given.iter_mut().for_each(|g| *g *= scale);
-        return given;
+        guarantee.min(self.requests[node])
     }
-    let mut left = amount - promised;
-    let unbounded: Vec<f64> = (children.iter())
-        .map(|&c| firm_without_quota(tree, c, firm, kind).min(wanted[c]))
-        .collect();
-    let all: f64 = unbounded.iter().sum();
-    if all > NOTHING {
-        let scale = (left / all).min(1.0);
-        for (given, more) in given.iter_mut().zip(&unbounded) {
-            *given += more * scale;
+
+    /// Gives siblings what they request that only an unlimited quota lets run; returns how much.
+    fn give_non_preemptible_without_quota(
+        &self,
+        children: &[usize],
+        given: &mut [f64],
+        left: f64,
+    ) -> f64 {
+        let requests: Vec<f64> = (children.iter())
+            .map(|&child| (self.non_preemptible_without_quota(child)).min(self.requests[child]))
+            .collect();
+        let total: f64 = requests.iter().sum();
+        if total <= NOTHING {
+            return 0.0;
         }
-        left -= all * scale;
-    }
-    let mut priorities: Vec<i32> = children.iter().map(|c| tree.nodes[*c].priority).collect();
-    priorities.sort_unstable_by(|a, b| b.cmp(a));
-    priorities.dedup();
-    for priority in priorities {
-        left = surplus(tree, children, wanted, &mut given, left, priority);
+        let scale = (left / total).min(1.0);
+        for (share, request) in given.iter_mut().zip(&requests) {
+            *share += request * scale;
+        }
+        total * scale
     }
-    given
-}
 
-/// What a node is promised of what it wants: its quota. One without is promised what those below it
-/// are.
-fn promised(tree: &TeamTree, node: usize, wanted: &[f64], kind: usize) -> f64 {
-    let quota = tree.nodes[node].quota[kind];
-    let below = || -> f64 {
-        let children = tree.children(node).into_iter();
-        children.map(|c| promised(tree, c, wanted, kind)).sum()
-    };
-    let due = if quota.is_finite() { quota } else { below() };
-    due.min(wanted[node])
-}
-
-/// What a node asks for that only an unlimited quota lets run.
-fn firm_without_quota(tree: &TeamTree, node: usize, firm: &[Amounts], kind: usize) -> f64 {
-    let children = tree.children(node);
-    if tree.nodes[node].quota[kind].is_finite() {
-        0.0
-    } else if children.is_empty() {
-        firm[node][kind]
-    } else {
-        let below = children.into_iter();
-        below.map(|c| firm_without_quota(tree, c, firm, kind)).sum()
+    /// What a node requests that only an unlimited quota lets run.
+    fn non_preemptible_without_quota(&self, node: usize) -> f64 {
+        let children = self.tree.children(node);
+        if self.tree.nodes[node].quota[self.kind].is_finite() {
+            0.0
+        } else if children.is_empty() {
+            self.non_preemptible[node][self.kind]
+        } else {
+            (children.into_iter())
+                .map(|child| self.non_preemptible_without_quota(child))
+                .sum()
+        }
     }
-}
 
-/// Gives what is left to one priority, by weight, until it is used up or nobody wants more.
-fn surplus(
-    tree: &TeamTree,
-    children: &[usize],
-    wanted: &[f64],
-    given: &mut [f64],
-    mut left: f64,
-    priority: i32,
-) -> f64 {
-    loop {
-        let open: Vec<usize> = (0..children.len())
-            .filter(|&i| {
-                let node = &tree.nodes[children[i]];
-                node.priority == priority
-                    && node.weight > 0.0
-                    && wanted[children[i]] - given[i] > NOTHING
-            })
-            .collect();
-        let weights: f64 = open.iter().map(|&i| tree.nodes[children[i]].weight).sum();
-        if open.is_empty() || left <= NOTHING {
-            return left;
-        }
-        let round = left;
-        for i in open {
-            let part = round * tree.nodes[children[i]].weight / weights;
-            let give = part.min(wanted[children[i]] - given[i]);
-            given[i] += give;
-            left -= give;
+    /// Gives what is left to siblings of one priority, by weight, until it is used up or none requests more. Returns
+    /// what is still left.
+    fn give_surplus(
+        &self,
+        children: &[usize],
+        given: &mut [f64],
+        mut left: f64,
+        priority: i32,
+    ) -> f64 {
+        loop {
+            let open: Vec<usize> = (0..children.len())
+                .filter(|&position| {
+                    let node = &self.tree.nodes[children[position]];
+                    let lacking = self.requests[children[position]] - given[position];
+                    node.priority == priority && node.weight > 0.0 && lacking > NOTHING
+                })
+                .collect();
+            if open.is_empty() || left <= NOTHING {
+                return left;
+            }
+            let weight = |position: usize| self.tree.nodes[children[position]].weight;
+            let total_weight: f64 = open.iter().map(|&position| weight(position)).sum();
+            let round = left;
+            for position in open {
+                let part = round * weight(position) / total_weight;
+                let lacking = self.requests[children[position]] - given[position];
+                let share = part.min(lacking);
+                given[position] += share;
+                left -= share;
+            }
         }
     }
 }
 
-/// Allocated room over fair share, for the resource where that is highest.
+/// Allocated amounts over the fair share, for the resource where that is highest.
 pub fn saturation(allocated: &Amounts, share: &Amounts) -> f64 {
     let ratio = |kind: usize| {
         if allocated[kind] <= NOTHING {
--- a/crates/core/src/teams/team_tree/tests.rs
+++ b/crates/core/src/teams/team_tree/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn operators_settings_are_laid_over_the_platforms() {
+fn operators_settings_are_laid_over_those_of_the_platform() {
     let text = r#"{"all":{"quota_cpus":6,"priority":2},
         "red":{"parent":"all","limit_cpus":7.5,"weight":3}}"#;
     let tree = platform().with(&settings(text)).expect("a tree");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn settings_that_cannot_be_are_named() {
+fn impossible_setting_is_refused_with_its_name() {
     let cases = [
         (r#"{"red":{"limit_cpus":11}}"#, "teams.red.limit_cpus"),
         (r#"{"red":{"weight":-1}}"#, "teams.red.weight"),
@@ -40,7 +40,9 @@
         (r#"{"a":{"parent":"b"},"b":{"parent":"a"}}"#, "parent"),
     ];
     for (text, named) in cases {
-        let message = platform().with(&settings(text)).expect_err(text);
+        let message = (platform().with(&settings(text)))
+            .expect_err(text)
+            .to_string();
         assert!(
             message.starts_with("teams.") && message.contains(named),
             "{message}"
@@ -50,7 +52,7 @@
 
 /// Otherwise its work at priority 100 or above, which runs only within quota, never could.
 #[test]
-fn a_team_without_any_quota_has_an_unlimited_one() {
+fn team_without_any_quota_has_an_unlimited_one() {
     let none = TeamLimits {
         name: "partners".into(),
         cpus: 0.0,
