--- a/crates/core/src/overload/backlog.rs
+++ b/crates/core/src/overload/backlog.rs
@@ -1,26 +1,29 @@
 //! Whether this node keeps up, judged by how long its inputs wait.
 //!
-//! A node may be slow for many reasons: too many workers, a busy machine, a processor that is shared. Whatever
-//! the reason, it shows in what waits. A node that is behind puts off what can wait, asks for fewer workers by
-//! naming a higher load to its peers, and, if it leads and stays far behind, makes way.
+//! A node may be slow for many reasons: too many agents, a busy machine, a processor that is shared. Whatever the reason,
+//! it shows in what waits. A node that is behind puts off what can wait, asks for fewer agents by naming a higher load to
+//! its peers, and, if it leads and stays far behind, transfers leadership.
 
 use crate::metrics::Latency;
 use crate::units::{Span, Time};
 use serde_json::{json, Value};
 
-/// A node with an input that has waited for so long is behind, and for so long after that.
-const BEHIND: Span = Span(300);
-const BEHIND_FOR: Span = Span(300);
-/// One with an input that has waited for so long is far behind: workers wait for 4 s in all.
-const FAR_BEHIND: Span = Span(1_000);
-const FAR_BEHIND_FOR: Span = Span(500);
-/// How often the load is estimated anew.
-const ESTIMATE: Span = Span(500);
-/// The load of a node that is behind is taken to be so much higher each time, at most so many times as high as
-/// its workers make it; of one that keeps up it falls back more slowly.
-const RISE: f64 = 1.25;
-const FALL: f64 = 0.97;
-const HIGHEST: f64 = 8.0;
+/// A node with an input that has waited for so long is behind.
+const BEHIND_WAIT: Span = Span(300);
+/// It counts as behind for so long after such an input.
+const BEHIND_HOLD: Span = Span(300);
+/// A node with an input that has waited for so long is far behind: agents wait 4 s for an answer in all.
+const FAR_BEHIND_WAIT: Span = Span(1_000);
+/// It counts as far behind for so long after such an input.
+const FAR_BEHIND_HOLD: Span = Span(500);
+/// How often the load is estimated.
+const LOAD_ESTIMATE_INTERVAL: Span = Span(500);
+/// By this factor the load of a node that is behind rises with each estimate.
+const LOAD_RISE: f64 = 1.25;
+/// By this factor the load of a node that keeps up falls with each estimate: more slowly.
+const LOAD_FALL: f64 = 0.97;
+/// The load is so many times what the node's agents make it, at most.
+const MAX_LOAD_FACTOR: f64 = 8.0;
 
 /// What is known of inputs that wait.
 pub(crate) struct Backlog {
@@ -28,7 +31,7 @@
     far_behind_since: Time,
     far_behind_until: Time,
     load_factor: f64,
-    next_estimate: Time,
+    next_estimate_at: Time,
     /// How long inputs waited, for administrators.
     waits: Latency,
 }
@@ -40,28 +43,28 @@
             far_behind_since: Time(0),
             far_behind_until: Time(0),
             load_factor: 1.0,
-            next_estimate: Time(0),
+            next_estimate_at: Time(0),
             waits: Latency::default(),
         }
     }
 }
 
 impl Backlog {
-    /// Notes how long an input has waited.
+    /// Records how long an input has waited.
     pub fn note_wait(&mut self, now: Time, waited: Span) {
         self.waits.record(waited);
-        if waited >= BEHIND {
-            self.behind_until = now + BEHIND_FOR;
+        if waited >= BEHIND_WAIT {
+            self.behind_until = now + BEHIND_HOLD;
         }
-        if waited >= FAR_BEHIND {
+        if waited >= FAR_BEHIND_WAIT {
             if now >= self.far_behind_until {
                 self.far_behind_since = now;
             }
-            self.far_behind_until = now + FAR_BEHIND_FOR;
+            self.far_behind_until = now + FAR_BEHIND_HOLD;
         }
     }
 
-    /// Whether inputs wait too long, so that only what can't wait is to be done.
+    /// Whether inputs wait too long, so that only what can't wait should be done.
     pub fn is_behind(&self, now: Time) -> bool {
         now < self.behind_until
     }
@@ -75,17 +78,21 @@
         }
     }
 
-    /// Estimates the load anew if that is due.
+    /// Estimates the load if that is due.
     pub fn tick(&mut self, now: Time) {
-        if now < self.next_estimate {
+        if now < self.next_estimate_at {
             return;
         }
-        self.next_estimate = now + ESTIMATE;
-        let change = if self.is_behind(now) { RISE } else { FALL };
-        self.load_factor = (self.load_factor * change).clamp(1.0, HIGHEST);
+        self.next_estimate_at = now + LOAD_ESTIMATE_INTERVAL;
+        let change = if self.is_behind(now) {
+            LOAD_RISE
+        } else {
+            LOAD_FALL
+        };
+        self.load_factor = (self.load_factor * change).clamp(1.0, MAX_LOAD_FACTOR);
     }
 
-    /// What administrators are told.
+    /// What administrators see.
     pub fn summary(&self, now: Time) -> Value {
         json!({
             "behind": self.is_behind(now),
@@ -94,9 +101,9 @@
         })
     }
 
-    /// The load that so many workers are for this node, in workers of one that keeps up.
-    pub fn load_of(&self, workers: u32) -> u32 {
-        (f64::from(workers) * self.load_factor).round() as u32
+    /// The load that so many agents are for this node, in agents of a node that keeps up.
+    pub fn load_of(&self, agents: u32) -> u32 {
+        (f64::from(agents) * self.load_factor).round() as u32
     }
 }
 
--- a/crates/core/src/overload/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -1,41 +1,41 @@
-//! How large a fleet the limits of the outside carry.
+//! How large a fleet the process limits carry.
 //!
-//! Nothing in the program bounds the number of machines. What the platform allows a process does: each
-//! worker keeps a connection to the node that it reports to. A fleet beyond that is served as far as the
-//! connections go, and it is said at start-up, in the log and in the overview.
+//! Nothing in the program bounds the number of machines. What the platform allows a process does: each agent keeps a
+//! connection to the node that it reports to. A fleet beyond that is served as far as the connections go, and that is
+//! shown at start-up, in the log and in the administrators' overview.
 
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
 use std::fmt;
 
-/// Connections that a node takes, by the sockets that it may have.
+/// Connections that a node accepts, by the sockets that it may open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Of users, workers and health checks.
+    /// At the public API listener: of users, agents and health checks.
     pub front: usize,
-    /// Of these, of workers.
+    /// Of these, how many of agents.
     pub workers: usize,
     /// Of peers and administrators.
     pub peers: usize,
 }
 
-/// Fewer connections are never taken.
-const LEAST_CONNECTIONS: usize = 16;
+/// So many connections are accepted in any case.
+const MIN_CONNECTIONS: usize = 16;
 
 impl ConnectionLimits {
-    /// Three quarters of the sockets are for the front, of these three quarters for workers, and an
-    /// eighth is for peers. The last eighth is left for this node's own calls.
+    /// Three quarters of the sockets are for the public API listener, of these three quarters for agents, and an eighth
+    /// is for peers. The last eighth is left for this node's own calls.
     pub fn of_sockets(sockets: usize) -> Self {
-        let front = (sockets * 3 / 4).max(LEAST_CONNECTIONS);
+        let front = (sockets * 3 / 4).max(MIN_CONNECTIONS);
         Self {
             front,
             workers: front * 3 / 4,
-            peers: (sockets / 8).max(LEAST_CONNECTIONS),
+            peers: (sockets / 8).max(MIN_CONNECTIONS),
         }
     }
 }
 
-/// How many workers can report at a time.
+/// How many agents can report at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetLimits {
     /// To one node alone.
@@ -45,18 +45,18 @@
 }
 
 impl FleetLimits {
-    /// By the settings; none if they name no limit of sockets.
+    /// By the settings; none if they have no limit of sockets.
     pub fn of(settings: &Settings) -> Option<Self> {
         let limits = settings.params.limits.as_ref()?;
         let sockets = usize::try_from(limits.fd_limit).ok().filter(|n| *n > 0)?;
-        let one = ConnectionLimits::of_sockets(sockets).workers;
+        let per_node = ConnectionLimits::of_sockets(sockets).workers;
         Some(Self {
-            workers_of_one_node: one,
-            workers_of_all_nodes: one * settings.params.nodes.max(1) as usize,
+            workers_of_one_node: per_node,
+            workers_of_all_nodes: per_node * settings.params.nodes.max(1) as usize,
         })
     }
 
-    /// How many machines of a fleet can't report at the same time as the others.
+    /// How many machines of a fleet find no connection while the others report.
     pub fn beyond(&self, machines: usize) -> usize {
         machines.saturating_sub(self.workers_of_all_nodes)
     }
--- a/crates/core/src/overload/fleet_limits/tests.rs
+++ b/crates/core/src/overload/fleet_limits/tests.rs
@@ -14,7 +14,7 @@
 
 /// The limit is that of the platform, whatever it is: more sockets carry more machines.
 #[test]
-fn the_fleet_that_is_carried_follows_from_the_sockets() {
+fn fleet_size_follows_from_the_socket_limit() {
     assert_eq!(with_sockets(0), None, "no limit is named");
     let limits = with_sockets(8_000).expect("limits");
     assert_eq!(limits.workers_of_one_node, 4_500);
--- a/crates/core/src/overload/pacing.rs
+++ b/crates/core/src/overload/pacing.rs
@@ -1,61 +1,78 @@
 //! Keeps the leader's long steps to a part of the time.
 //!
-//! A look through all machines and a cycle take a few milliseconds of a whole core in a large fleet. On a node
-//! with a small part of a core that is a tenth of a second and more, and something always calls for the next
-//! one. Reports, heartbeats and users wait behind them, so each is followed by a pause in proportion to the
-//! time that the last one took. On a node that is fast enough the pause is over before the next is due.
+//! A reconcile pass over all machines and a scheduling cycle take a few milliseconds of a whole core in a large fleet.
+//! On a node with a small part of a core that is a tenth of a second and more, and something always calls for the next
+//! one. Status reports, heartbeats and users wait behind them, so each is followed by a pause in proportion to the time
+//! that the last one took. On a node that is fast enough the pause is over before the next is due.
 
 use crate::units::{Span, Time};
 
 /// Steps of the leader that take long in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongStep {
-    /// A look through machines and jobs.
+    /// A reconcile pass over machines and jobs.
     Review,
-    /// A look with a cycle.
+    /// A reconcile pass with a scheduling cycle.
     Cycle,
 }
 
-/// A pause after a look lasts as long as the look did: half of the time is left for what waits.
-const REVIEW_PAUSE: u64 = 1;
-/// After a cycle it lasts twice as long.
-const CYCLE_PAUSE: u64 = 2;
+/// The pause after a reconcile pass, in times of what it took: half of the time is left for what waits.
+const RECONCILE_PAUSE_FACTOR: u64 = 1;
+/// The pause after a cycle, in times of what it took.
+const CYCLE_PAUSE_FACTOR: u64 = 2;
 /// No pause is longer, or a slow node would stop deciding.
-const LONGEST_PAUSE: Span = Span(1_000);
+const MAX_PAUSE: Span = Span(1_000);
 
-/// A node that is behind (see `backlog`) answers first, and looks and decides only so often.
-const REVIEW_BEHIND: Span = Span(500);
-const CYCLE_BEHIND: Span = Span(2_000);
+/// A node that is behind (see [`backlog`](super::backlog)) answers first, and begins reconcile passes only so often.
+const RECONCILE_INTERVAL_BEHIND: Span = Span(500);
+/// How often a node that is behind begins cycles.
+const CYCLE_INTERVAL_BEHIND: Span = Span(2_000);
 
 /// When the leader's long steps may follow.
 #[derive(Default)]
 pub(crate) struct Pacing {
-    /// What the current step did.
+    /// What the current step did, if it is long.
     current: Option<LongStep>,
-    review_after: Time,
-    cycle_after: Time,
-    /// When the last ones began.
-    reviewed: Time,
-    decided: Time,
+    reconcile: StepPacing,
+    cycle: StepPacing,
+}
+
+/// When one kind of long step may follow.
+#[derive(Default)]
+struct StepPacing {
+    last_begun_at: Time,
+    paused_until: Time,
+}
+
+impl StepPacing {
+    fn may_begin(&self, now: Time, behind: bool, interval_behind: Span) -> bool {
+        now >= self.paused_until && (!behind || now >= self.last_begun_at + interval_behind)
+    }
+
+    /// Begins the pause after a step that took so long.
+    fn pause(&mut self, ended_at: Time, took: Span, factor: u64) {
+        let pause = Span(took.0.saturating_mul(factor));
+        self.paused_until = ended_at + pause.min(MAX_PAUSE);
+    }
 }
 
 impl Pacing {
-    /// Whether a look may begin.
+    /// Whether a reconcile pass may begin.
     pub fn may_review(&self, now: Time, behind: bool) -> bool {
-        now >= self.review_after && (!behind || now >= self.reviewed + REVIEW_BEHIND)
+        (self.reconcile).may_begin(now, behind, RECONCILE_INTERVAL_BEHIND)
     }
 
     /// Whether a cycle may begin.
     pub fn may_cycle(&self, now: Time, behind: bool) -> bool {
-        now >= self.cycle_after && (!behind || now >= self.decided + CYCLE_BEHIND)
+        (self.cycle).may_begin(now, behind, CYCLE_INTERVAL_BEHIND)
     }
 
-    /// Notes that the current step does this.
+    /// Notes what the current step does. A cycle is part of a reconcile pass that has begun before.
     pub fn begin(&mut self, step: LongStep, now: Time) {
         self.current = Some(step);
         match step {
-            LongStep::Review => self.reviewed = now,
-            LongStep::Cycle => self.decided = now,
+            LongStep::Review => self.reconcile.last_begun_at = now,
+            LongStep::Cycle => self.cycle.last_begun_at = now,
         }
     }
 
@@ -66,14 +83,12 @@
 
     /// Notes how long the step took that has just ended.
     pub fn ended(&mut self, at: Time, took: Span) {
-        let pause = |times: u64| Span(took.0.saturating_mul(times)).min(LONGEST_PAUSE);
-        match self.current.take() {
-            Some(LongStep::Cycle) => {
-                self.review_after = at + pause(REVIEW_PAUSE);
-                self.cycle_after = at + pause(CYCLE_PAUSE);
-            }
-            Some(LongStep::Review) => self.review_after = at + pause(REVIEW_PAUSE),
-            None => {}
+        let Some(step) = self.current.take() else {
+            return;
+        };
+        self.reconcile.pause(at, took, RECONCILE_PAUSE_FACTOR);
+        if step == LongStep::Cycle {
+            self.cycle.pause(at, took, CYCLE_PAUSE_FACTOR);
         }
     }
 }
--- a/crates/core/src/overload/pacing/tests.rs
+++ b/crates/core/src/overload/pacing/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Plays a leader for which a cycle is always due, and whose cycles take so long. Returns how much of the time
-/// is left for other inputs.
-fn part_left(cycle: Span) -> f64 {
+/// Runs a leader for which a cycle is always due, and whose cycles take so long. Returns what part of the time is left
+/// for other inputs.
+fn fraction_left(cycle: Span) -> f64 {
     let mut pacing = Pacing::default();
     let (mut now, mut idle) = (Time(0), 0);
     while now < Time(100_000) {
@@ -20,16 +20,16 @@
 
 /// A leader whose cycles took longer than the time between them did nothing else.
 #[test]
-fn cycles_leave_two_thirds_of_the_time() {
+fn cycles_leave_most_of_the_time_for_other_inputs() {
     for cycle_ms in [1, 30, 150, 400] {
-        let left = part_left(Span(cycle_ms));
+        let left = fraction_left(Span(cycle_ms));
         assert!(left > 0.6, "cycles of {cycle_ms} ms leave {left}");
     }
 }
 
 /// A node at a tenth of its speed still decides.
 #[test]
-fn no_pause_is_longer_than_a_second() {
+fn pause_is_bounded_on_a_slow_node() {
     let mut pacing = Pacing::default();
     pacing.begin(LongStep::Cycle, Time(3_000));
     pacing.ended(Time(9_000), Span(6_000));
@@ -37,9 +37,9 @@
     assert!(pacing.may_cycle(Time(10_000), false) && pacing.may_review(Time(10_000), false));
 }
 
-/// Other steps may take long, too, but nothing has to wait for them to pay.
+/// Other steps may take long, too, but they are not followed by a pause.
 #[test]
-fn only_long_steps_are_followed_by_a_pause() {
+fn only_reconcile_passes_and_cycles_are_followed_by_a_pause() {
     let mut pacing = Pacing::default();
     pacing.ended(Time(1_000), Span(500));
     assert!(pacing.may_review(Time(1_000), false) && pacing.may_cycle(Time(1_000), false));
@@ -48,10 +48,10 @@
     assert!(!pacing.may_review(Time(1_499), false) && pacing.may_cycle(Time(1_000), false));
 }
 
-/// After a take-over with all workers at once a leader decided cycle after cycle while their reports waited, and
+/// After a failover with all agents at once a leader decided cycle after cycle while their status reports waited, and
 /// their leases ran out.
 #[test]
-fn a_node_that_is_behind_decides_once_a_period() {
+fn node_that_is_behind_begins_long_steps_less_often() {
     let mut pacing = Pacing::default();
     let (mut cycles, mut reviews) = (0, 0);
     for now in (5_000..25_000).map(Time) {
--- a/crates/core/src/overload/processor_share/tests.rs
+++ b/crates/core/src/overload/processor_share/tests.rs
@@ -14,7 +14,7 @@
 
 /// What runs well on larger nodes stays as it is there.
 #[test]
-fn intervals_hold_on_nodes_that_have_enough() {
+fn intervals_are_unchanged_on_nodes_with_enough_processor() {
     for share in [None, Some(0.064), Some(0.21), Some(64.0)] {
         assert_eq!(with_share(share).stretched(Span(80)), Span(80), "{share:?}");
         assert_eq!(with_share(share).slowed(50.0), 50.0, "{share:?}");
@@ -24,7 +24,7 @@
 
 /// Half of the processor is left with half of the messages.
 #[test]
-fn a_node_with_less_does_things_less_often() {
+fn intervals_are_stretched_on_nodes_with_less() {
     let half = with_share(Some(0.032));
     assert_eq!(half.stretched(Span(80)), Span(160));
     assert_eq!(half.slowed(50.0), 25.0);
--- a/crates/core/src/task_set.rs
+++ b/crates/core/src/task_set.rs
@@ -1,12 +1,15 @@
-//! A set of task numbers, kept as ranges: most of a large job's tasks are next to one another in
-//! what is done, and in what has not been started.
+//! Sets of task numbers, kept as ranges: most of a large job's tasks are next to one another among those that are done,
+//! and among those that have not been started.
+//!
+//! Invariant: ranges neither touch nor overlap, so a set has one form, and its size in the placement log follows from
+//! the number of its ranges.
 
 use std::collections::BTreeMap;
 
 /// A set of task numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskSet {
-    /// First and last of each range; ranges neither touch nor overlap.
+    /// The first number of each range, and its last.
     ranges: BTreeMap<u32, u32>,
     count: u32,
 }
@@ -22,45 +25,46 @@
         set
     }
 
-    /// How many there are.
+    /// How many numbers it holds.
     pub fn len(&self) -> u32 {
         self.count
     }
 
     /// Whether a number is in it.
-    pub fn contains(&self, n: u32) -> bool {
-        self.range_of(n).is_some()
+    pub fn contains(&self, number: u32) -> bool {
+        self.range_of(number).is_some()
     }
 
-    fn range_of(&self, n: u32) -> Option<(u32, u32)> {
-        let (&first, &last) = self.ranges.range(..=n).next_back()?;
-        (n <= last).then_some((first, last))
+    /// The range that holds a number.
+    fn range_of(&self, number: u32) -> Option<(u32, u32)> {
+        let (&first, &last) = self.ranges.range(..=number).next_back()?;
+        (number <= last).then_some((first, last))
     }
 
     /// Adds a number; returns whether it is new.
-    pub fn insert(&mut self, n: u32) -> bool {
-        if self.contains(n) {
+    pub fn insert(&mut self, number: u32) -> bool {
+        if self.contains(number) {
             return false;
         }
-        let before = n.checked_sub(1).and_then(|b| self.range_of(b));
-        let after = n.checked_add(1).and_then(|a| self.ranges.remove(&a));
-        let first = before.map_or(n, |(first, _)| first);
-        self.ranges.insert(first, after.unwrap_or(n));
+        let below = (number.checked_sub(1)).and_then(|previous| self.range_of(previous));
+        let end_above = (number.checked_add(1)).and_then(|next| self.ranges.remove(&next));
+        let first = below.map_or(number, |(first, _)| first);
+        self.ranges.insert(first, end_above.unwrap_or(number));
         self.count += 1;
         true
     }
 
-    /// Takes a number out; returns whether it was there.
-    pub fn remove(&mut self, n: u32) -> bool {
-        let Some((first, last)) = self.range_of(n) else {
+    /// Removes a number; returns whether it was there.
+    pub fn remove(&mut self, number: u32) -> bool {
+        let Some((first, last)) = self.range_of(number) else {
             return false;
         };
         self.ranges.remove(&first);
-        if first < n {
-            self.ranges.insert(first, n - 1);
+        if first < number {
+            self.ranges.insert(first, number - 1);
         }
-        if n < last {
-            self.ranges.insert(n + 1, last);
+        if number < last {
+            self.ranges.insert(number + 1, last);
         }
         self.count -= 1;
         true
@@ -76,31 +80,34 @@
         self.ranges.iter().map(|(&first, &last)| (first, last))
     }
 
-    /// Adds a range that this set does not touch yet, or only in part.
+    /// Adds a range, which may hold whole ranges of this set but not parts of others.
     fn add_range(&mut self, (first, last): (u32, u32)) {
-        let inside: Vec<u32> = self.ranges.range(first..=last).map(|(&f, _)| f).collect();
-        for f in inside {
-            if let Some(l) = self.ranges.remove(&f) {
-                self.count -= l - f + 1;
+        let inside: Vec<u32> = (self.ranges.range(first..=last))
+            .map(|(&inner_first, _)| inner_first)
+            .collect();
+        for inner_first in inside {
+            if let Some(inner_last) = self.ranges.remove(&inner_first) {
+                self.count -= inner_last - inner_first + 1;
             }
         }
         self.ranges.insert(first, last);
         self.count += last - first + 1;
     }
 
-    /// Of this set at most so many ranges, among them everything that `kept`, a part of this set,
-    /// holds: what could not be told this time is told later, and nothing that was told is dropped.
-    pub fn within(&self, most: usize, kept: &Self) -> Self {
-        if self.ranges.len() <= most {
+    /// Of this set at most `max_ranges` ranges, or as many as hold all of `recorded`, a part of this set: what can't be
+    /// recorded this time is recorded later, and nothing that was recorded is dropped.
+    pub fn within(&self, max_ranges: usize, recorded: &Self) -> Self {
+        if self.ranges.len() <= max_ranges {
             return self.clone();
         }
-        let told = |r: &(u32, u32)| kept.ranges.range(r.0..=r.1).next().is_some();
+        let holds_recorded =
+            |&(first, last): &(u32, u32)| recorded.ranges.range(first..=last).next().is_some();
         let mut part = Self::default();
-        for range in self.ranges().filter(told) {
+        for range in self.ranges().filter(holds_recorded) {
             part.add_range(range);
         }
-        for range in self.ranges().filter(|r| !told(r)) {
-            if part.ranges.len() >= most {
+        for range in self.ranges().filter(|range| !holds_recorded(range)) {
+            if part.ranges.len() >= max_ranges {
                 break;
             }
             part.add_range(range);
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,4 +1,9 @@
-//! Times and amounts.
+//! Small types for times and amounts, so that milliseconds, times of day and resources can't be mixed up.
+//!
+//! * [`Time`] is a moment of the steady clock: everything that is decided by elapsed time uses it.
+//! * [`Wall`] is a time of day: it is stored and shown, and may jump within the bound of the settings.
+//! * [`Span`] is a length of time. Differences saturate at zero: a moment that is not reached yet has not been for long.
+//! * [`Resources`] are amounts in thousandths, so that sums are exact.
 
 use rudderreel_wire::{cloud::MachineType, job::JobSpec};
 use serde::{Deserialize, Serialize};
@@ -7,15 +12,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A time of day, in milliseconds since 1970. It may be off by the bound in the settings.
+/// A time of day, in milliseconds since 1970. It may be wrong by the bound in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Wall(pub u64);
 
-/// A length of time in milliseconds.
+/// A length of time, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
-/// Both clocks at once.
+/// Both clocks at the same moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
     /// Steady clock.
@@ -24,25 +29,29 @@
     pub wall: Wall,
 }
 
+const MS_PER_S: f64 = 1000.0;
+/// Two clocks drift apart by one part in so many at most: each by 0.05%.
+const DRIFT_PARTS: u64 = 1000;
+
 impl Span {
-    /// From seconds.
-    pub fn secs(s: f64) -> Self {
-        Self((s.max(0.0) * 1000.0).ceil() as u64)
+    /// From seconds, rounded up; a negative number counts as zero.
+    pub fn secs(seconds: f64) -> Self {
+        Self((seconds.max(0.0) * MS_PER_S).ceil() as u64)
     }
 
-    /// This span and what clocks may drift apart meanwhile (0.05% each way).
+    /// This span and what two clocks may drift apart meanwhile.
     pub fn with_drift(self) -> Self {
-        Self(self.0 + self.0.div_ceil(1000))
+        Self(self.0 + self.0.div_ceil(DRIFT_PARTS))
     }
 
     /// In seconds.
     pub fn as_secs(self) -> f64 {
-        self.0 as f64 / 1000.0
+        self.0 as f64 / MS_PER_S
     }
 }
 
 impl Wall {
-    /// How long it is until a later moment; nothing if that is over.
+    /// How long it is until a later moment; zero if that is over.
     pub fn until(self, later: Self) -> Span {
         Span(later.0.saturating_sub(self.0))
     }
@@ -87,30 +96,34 @@
     pub memory: i64,
 }
 
-fn up(x: f64) -> i64 {
-    (x * 1000.0 - 1e-6).ceil() as i64
+const THOUSANDTHS: f64 = 1000.0;
+/// Amounts that are so close to a whole number of thousandths are not rounded to the next.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+fn thousandths_rounded_up(amount: f64) -> i64 {
+    (amount * THOUSANDTHS - ROUNDING_TOLERANCE).ceil() as i64
 }
 
-fn down(x: f64) -> i64 {
-    (x * 1000.0 + 1e-6).floor() as i64
+fn thousandths_rounded_down(amount: f64) -> i64 {
+    (amount * THOUSANDTHS + ROUNDING_TOLERANCE).floor() as i64
 }
 
 impl Resources {
     /// What one task of a job takes, rounded up.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self {
-            cpus: up(spec.cpus),
-            gpus: up(spec.gpus),
-            memory: up(spec.memory_gb),
+            cpus: thousandths_rounded_up(spec.cpus),
+            gpus: thousandths_rounded_up(spec.gpus),
+            memory: thousandths_rounded_up(spec.memory_gb),
         }
     }
 
     /// What a machine offers, rounded down.
-    pub fn of_machine(m: &MachineType) -> Self {
+    pub fn of_machine(machine_type: &MachineType) -> Self {
         Self {
-            cpus: down(m.cpus),
-            gpus: down(m.gpus),
-            memory: down(m.memory_gb),
+            cpus: thousandths_rounded_down(machine_type.cpus),
+            gpus: thousandths_rounded_down(machine_type.gpus),
+            memory: thousandths_rounded_down(machine_type.memory_gb),
         }
     }
 
@@ -129,50 +142,50 @@
         }
     }
 
-    /// How many times `other` fits into this.
+    /// How many times `other` fits into this; what `other` does not need sets no limit.
     pub fn count(&self, other: &Self) -> u32 {
-        let per = |have: i64, need: i64| {
+        let times = |have: i64, need: i64| {
             if need <= 0 {
                 i64::MAX
             } else {
                 have.max(0) / need
             }
         };
-        per(self.cpus, other.cpus)
-            .min(per(self.gpus, other.gpus))
-            .min(per(self.memory, other.memory))
+        times(self.cpus, other.cpus)
+            .min(times(self.gpus, other.gpus))
+            .min(times(self.memory, other.memory))
             .min(i64::from(u32::MAX)) as u32
     }
 }
 
 impl std::ops::AddAssign for Resources {
-    fn add_assign(&mut self, o: Self) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.memory += o.memory;
+    fn add_assign(&mut self, other: Self) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory += other.memory;
     }
 }
 
 impl std::ops::SubAssign for Resources {
-    fn sub_assign(&mut self, o: Self) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.memory -= o.memory;
+    fn sub_assign(&mut self, other: Self) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory -= other.memory;
     }
 }
 
 impl std::ops::Add for Resources {
     type Output = Self;
-    fn add(mut self, o: Self) -> Self {
-        self += o;
+    fn add(mut self, other: Self) -> Self {
+        self += other;
         self
     }
 }
 
 impl std::ops::Sub for Resources {
     type Output = Self;
-    fn sub(mut self, o: Self) -> Self {
-        self -= o;
+    fn sub(mut self, other: Self) -> Self {
+        self -= other;
         self
     }
 }
