--- a/crates/core/src/agents/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -82,7 +82,7 @@
         {
             // What an earlier leader has started tasks on was up.
             let due = m.last_heard_at.is_some() || !m.tasks.is_empty();
-            let heard = m.last_heard_at.unwrap_or(self.term.elected_at);
+            let heard = m.last_heard_at.unwrap_or(self.term.elected_at());
             let (dues, all, last) = zones.entry(&m.zone).or_insert((0, 0, heard));
             *dues += usize::from(due);
             *all += 1;
@@ -103,7 +103,7 @@
             .collect();
         let heard: Vec<Zone> = (zones.iter())
             .filter(|(zone, (.., last))| {
-                *last > self.term.elected_at && !partitioned_zones.contains_key(**zone)
+                *last > self.term.elected_at() && !partitioned_zones.contains_key(**zone)
             })
             .map(|(zone, _)| (*zone).clone())
             .collect();
@@ -226,7 +226,7 @@
             return (asked
                 && hears
                 && reaches
-                && now - self.term.elected_at > self.report_timeout())
+                && now - self.term.elected_at() > self.report_timeout())
             .then_some("does not answer");
         };
         // A leader that hears most, or reaches some, can tell; else it may be this node.
@@ -247,7 +247,7 @@
         } else if m.is_lease_expired(
             now,
             Span(self.agent_timings.lease.0 * 2),
-            self.term.old_leaders_fenced_at,
+            self.term.old_leaders_fenced_at(),
         ) {
             Some("silent for long")
         } else {
@@ -270,7 +270,7 @@
         // A machine that should stop something is asked at once if that may be gone already: until it
         // has acknowledged this leader nothing it leaves out is proven gone.
         let stops = |m: &Machine| {
-            m.acknowledged_epoch != self.term.epoch
+            m.acknowledged_epoch != self.term.epoch()
                 && m.tasks
                     .iter()
                     .any(|e| e.stop.is_some() && e.occupies_capacity())
@@ -281,7 +281,7 @@
                 m.unanswered_calls > 0 || now - last > late || just_now || stops(m)
             }
             None => {
-                let due = stops(m) || now - self.term.elected_at > late;
+                let due = stops(m) || now - self.term.elected_at() > late;
                 m.addr.is_some() && !m.tasks.is_empty() && due
             }
         };
--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -91,7 +91,7 @@
 fn replicas_behind_a_cut_move_once_their_leases_are_over() {
     let (mut leader, _) = half_silent(&[], Span(2_000));
     leader.fleet.partitioned_zones.clear();
-    leader.term.elected_at = NOW.time + Span(2_000);
+    leader.term.set_elected_at(NOW.time + Span(2_000));
     leader.fleet.previously_partitioned_zones = BTreeMap::from([("b".into(), NOW.time)]);
     let there: Vec<MachineId> = (0..6).map(|n| format!("vm-b{n}").as_str().into()).collect();
     for (n, id) in there.iter().enumerate() {
--- a/crates/core/src/agents/reconciliation.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -27,7 +27,7 @@
         job_cache: &JobCache,
         now: Now,
     ) -> Option<Vec<Command>> {
-        if report.token > self.term.epoch || self.fleet.returned.contains_key(&report.machine) {
+        if report.token > self.term.epoch() || self.fleet.returned.contains_key(&report.machine) {
             // A higher token: another node leads. A machine that was returned is gone, so this is
             // a late copy; to answer it would help nobody.
             log::debug!("a report of {} is refused", report.machine);
@@ -105,7 +105,7 @@
             log::info!("{} reports, unexpected{of}", report.machine);
         }
         let room = self.policy.capacity_of(&report.machine_type);
-        let epoch = self.term.epoch;
+        let epoch = self.term.epoch();
         let machine = (self.fleet.machines.entry(report.machine.clone())).or_insert_with(|| {
             let (t, z) = (report.machine_type.clone(), report.zone.clone());
             Machine::new(report.machine.clone(), t, z, report.spot, room, now.wall)
@@ -320,7 +320,7 @@
         let mut entry = PlacedTask::planned(told.task.clone(), told.attempt, spec, now.time);
         let incarnation =
             (self.fleet.machines.get(machine)).map_or(Incarnation(0), |m| m.last_message.0);
-        entry.start_sent = (self.term.epoch, incarnation);
+        entry.start_sent = (self.term.epoch(), incarnation);
         if told.state == TaskState::Exited {
             entry.phase = Phase::Exited(told.why.unwrap_or(Cause::Error));
         } else {
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -177,7 +177,7 @@
         match answer {
             Some(commands) if commands.is_empty() => ForwardedAnswer::Answered(None),
             Some(commands) => {
-                let token = self.term.epoch;
+                let token = self.term.epoch();
                 ForwardedAnswer::Answered(Some(json(&StatusReportReply { token, commands })))
             }
             None => ForwardedAnswer::Refused,
@@ -203,7 +203,7 @@
             spot: machine.is_spot,
             incarnation,
             seq,
-            token: self.term.epoch,
+            token: self.term.epoch(),
             notice_s: None,
             tasks: machine.last_task_list.1.to_vec(),
         })
--- a/crates/core/src/cache/cache_sync/tests.rs
+++ b/crates/core/src/cache/cache_sync/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::store::records::{LeaderRecord, LEADER_KEY};
+use crate::store::records::{LeaderRecord, StoredLeader, LEADER_KEY};
 use rudderreel_wire::ids::{Epoch, LeaseId};
 use rudderreel_wire::state::Item;
 
@@ -59,7 +59,14 @@
 fn a_leader_key_that_no_page_holds_is_dropped_from_the_cache() {
     let record = LeaderRecord::new("n1".into(), Epoch(4), LeaseId(1));
     let mut cache = JobCache::default();
-    cache.update_leader(LeaderKey::Common, Version(3), Some((Version(3), record)));
+    cache.update_leader(
+        LeaderKey::Common,
+        Version(3),
+        Some(StoredLeader {
+            version: Version(3),
+            record,
+        }),
+    );
     let only = page(7, Vec::new(), false);
     Listing::beginning_with(&only).apply(&only, &mut cache);
     assert!(cache.leader().is_none());
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -6,8 +6,8 @@
 use crate::cache::dependencies::DependencyGraph;
 use crate::io::Value;
 use crate::store::records::{
-    JobRecord, LeaderKey, LeaderRecord, WatermarkRecord, ADMIN_SETTINGS_KEY, CATALOG_KEY,
-    GATED_CATALOG_KEY, JOB_PREFIX, WATERMARK_PREFIX,
+    JobRecord, LeaderKey, LeaderRecord, StoredLeader, WatermarkRecord, ADMIN_SETTINGS_KEY,
+    CATALOG_KEY, GATED_CATALOG_KEY, JOB_PREFIX, WATERMARK_PREFIX,
 };
 use crate::units::Wall;
 use rudderreel_wire::admin::AdminSettings;
@@ -48,8 +48,8 @@
 /// A leader's key as it is known.
 #[derive(Default)]
 struct HeldKey {
-    /// What it holds, with its version.
-    record: Option<(Version, LeaderRecord)>,
+    /// What it holds.
+    leader: Option<StoredLeader>,
     /// The newest revision at which it is known.
     seen: Version,
 }
@@ -181,7 +181,7 @@
             .collect()
     }
 
-    /// Which key the leader holds.
+    /// Which key leaders hold.
     pub fn leader_key(&self) -> LeaderKey {
         match self.superseded_leader() {
             Some(_) => LeaderKey::Gated,
@@ -189,15 +189,20 @@
         }
     }
 
+    /// Who leads.
+    pub fn leader(&self) -> Option<&LeaderRecord> {
+        self.stored_leader().map(|leader| &leader.record)
+    }
+
     /// Who leads, with the version of the key that it holds.
-    pub fn leader(&self) -> Option<&(Version, LeaderRecord)> {
-        self.held_key(self.leader_key()).record.as_ref()
+    pub fn stored_leader(&self) -> Option<&StoredLeader> {
+        self.held_key(self.leader_key()).leader.as_ref()
     }
 
-    /// The common key with its version, once the leader's key is the other one.
-    pub fn superseded_leader(&self) -> Option<&(Version, LeaderRecord)> {
-        let record = self.common_leader.record.as_ref();
-        record.filter(|(_, record)| record.superseded)
+    /// What the common key holds, once leaders hold the gated one.
+    pub fn superseded_leader(&self) -> Option<&StoredLeader> {
+        let leader = self.common_leader.leader.as_ref();
+        leader.filter(|leader| leader.record.superseded)
     }
 
     fn held_key(&self, key: LeaderKey) -> &HeldKey {
@@ -207,12 +212,12 @@
         }
     }
 
-    /// Takes in a leader's key as read at a revision.
+    /// Takes over what a leader's key holds, as read at a revision.
     pub fn update_leader(
         &mut self,
         key: LeaderKey,
         revision: Version,
-        record: Option<(Version, LeaderRecord)>,
+        leader: Option<StoredLeader>,
     ) {
         let held = match key {
             LeaderKey::Common => &mut self.common_leader,
@@ -220,24 +225,46 @@
         };
         if revision >= held.seen {
             held.seen = revision;
-            held.record = record;
+            held.leader = leader;
         }
     }
 
-    /// Takes in a leader's key as it was read by itself, at a revision that was not told.
-    pub fn update_leader_read(&mut self, key: LeaderKey, record: Option<(Version, LeaderRecord)>) {
+    /// Takes over what a leader's key holds, as it was read by itself, at a revision that is not known.
+    pub fn update_leader_read(&mut self, key: LeaderKey, leader: Option<StoredLeader>) {
         let seen = self.held_key(key).seen;
-        let revision = record.as_ref().map_or(seen, |(version, _)| *version);
-        self.update_leader(key, revision, record);
+        let revision = leader.as_ref().map_or(seen, |leader| leader.version);
+        self.update_leader(key, revision, leader);
     }
 
-    /// A leader of this node has stopped: its key is gone, or will be.
+    /// This node has moved its leader's key to the gated one, by a commit at a version.
+    pub fn leader_key_moved(&mut self, version: Version, record: LeaderRecord) {
+        let superseded = StoredLeader {
+            version,
+            record: record.tombstone(None),
+        };
+        let leader = StoredLeader { version, record };
+        self.update_leader(LeaderKey::Common, version, Some(superseded));
+        self.update_leader(LeaderKey::Gated, version, Some(leader));
+    }
+
+    /// A term of this node has ended: the leader's key is gone, or will be.
     pub fn forget_leader(&mut self, lease: LeaseId) {
         for held in [&mut self.common_leader, &mut self.gated_leader] {
-            held.record.take_if(|(_, record)| record.lease == lease);
+            held.leader.take_if(|leader| leader.record.lease == lease);
         }
     }
 
+    /// Whether the machine types are where only versions that know dependencies read them.
+    pub fn is_catalog_moved(&self) -> bool {
+        self.catalog_in_gated_key && !self.catalog_in_common_key
+    }
+
+    /// This node has moved the machine types there.
+    pub fn catalog_moved(&mut self) {
+        self.catalog_in_gated_key = true;
+        self.catalog_in_common_key = false;
+    }
+
     /// A record can't be read: perhaps a later version wrote it. What it says is not known here, and a
     /// task or a cancellation may hang on it.
     pub fn record_unreadable(&mut self, key: &str, why: &dyn std::fmt::Display) {
@@ -249,7 +276,10 @@
     pub fn apply_item(&mut self, key: &str, version: Version, value: &Value) {
         if let Some(leader_key) = LeaderKey::of_name(key) {
             match LeaderRecord::deserialize_from(value) {
-                Some(record) => self.update_leader(leader_key, version, Some((version, record))),
+                Some(record) => {
+                    let leader = StoredLeader { version, record };
+                    self.update_leader(leader_key, version, Some(leader));
+                }
                 None => self.record_unreadable(key, &"no leader's record"),
             }
         } else if key == ADMIN_SETTINGS_KEY {
@@ -294,12 +324,5 @@
     }
 }
 
-impl LeaderRecord {
-    /// Reads a record, if it is one.
-    pub fn deserialize_from(value: &Value) -> Option<Self> {
-        serde_json::from_value(value.clone()).ok()
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/cache/leader_slot.rs
+++ b/crates/core/src/cache/leader_slot.rs
@@ -10,12 +10,14 @@
         self.dependencies_seen || self.catalog_in_gated_key || self.superseded_leader().is_some()
     }
 
-    /// The leader's seat as it is known here.
+    /// The leader's key as it is known here.
     pub fn leader_slot(&self) -> LeaderSlot<'_> {
-        match self.leader() {
-            None => LeaderSlot::Vacant(self.superseded_leader()),
-            Some(leader) if self.is_outdated(&leader.1) => LeaderSlot::Outdated(leader),
-            Some(_) => LeaderSlot::Taken(self.leader_key()),
+        match self.stored_leader() {
+            None => LeaderSlot::Vacant {
+                superseded: self.superseded_leader(),
+            },
+            Some(leader) if self.is_outdated(&leader.record) => LeaderSlot::Outdated(leader),
+            Some(_) => LeaderSlot::Held(self.leader_key()),
         }
     }
 
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -70,7 +70,7 @@
 
 impl ScaleInPolicy {
     fn new(leader: &Leader, now: Now) -> Self {
-        let led_for = now.time - leader.term.elected_at;
+        let led_for = now.time - leader.term.elected_at();
         let stuck_after = (leader.policy.catalog.types.iter())
             .map(|machine_type| {
                 let limit_s = machine_type.boot_s * STUCK_BOOT_FACTOR + STUCK_BOOT_MARGIN_S;
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -16,7 +16,7 @@
     /// Requests wanted machines, as far as the cloud takes calls.
     pub(super) fn request_machines(&mut self, wanted: BTreeMap<InstanceOffer, WantedMachines>) {
         let max_open = MIN_OPEN_REQUESTS.max(self.cloud_calls_per_s as usize);
-        self.scale_out.request(wanted, max_open, self.term.epoch);
+        self.scale_out.request(wanted, max_open, self.term.epoch());
     }
 
     /// Machines that are coming: they boot, or were requested.
--- a/crates/core/src/dispatch/commands.rs
+++ b/crates/core/src/dispatch/commands.rs
@@ -71,7 +71,7 @@
             (!elsewhere, "nowhere else"),
             (entry.is_recorded() && entry.stop.is_none(), "recorded"),
             (
-                machine.is_reconciled(self.term.epoch) && fresh,
+                machine.is_reconciled(self.term.epoch()) && fresh,
                 "machine known",
             ),
             (machine.return_requested_at.is_none(), "machine kept"),
@@ -183,14 +183,16 @@
                 }
             } else if leads
                 && matches!(entry.phase, Phase::Planned | Phase::Sent)
-                && !(direct && entry.phase == Phase::Sent && entry.start_sent.0 == self.term.epoch)
+                && !(direct
+                    && entry.phase == Phase::Sent
+                    && entry.start_sent.0 == self.term.epoch())
                 && self.may_start(machine, entry, usage, now)
             {
                 commands.push(Command::Start { task, attempt });
                 started.push((entry.task.clone(), attempt));
             }
         }
-        let epoch = self.term.epoch;
+        let epoch = self.term.epoch();
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             let incarnation = machine.last_message.0;
             for (task, attempt) in started {
@@ -224,7 +226,7 @@
     pub fn needs_direct_call(&self, machine: &Machine, now: Time) -> bool {
         if machine.direct_call_open
             || machine.next_direct_call_at > now
-            || !machine.is_reconciled(self.term.epoch)
+            || !machine.is_reconciled(self.term.epoch())
         {
             return false;
         }
@@ -245,8 +247,8 @@
                 .is_some_and(|since| now > since + Span(3_000));
             ended || (missing && e.stop.is_some())
         };
-        now > self.term.epoch_bump.last_at + Span(5_000)
+        now > self.term.last_epoch_bump_at() + Span(5_000)
             && (self.fleet.machines.values())
-                .any(|m| m.is_reconciled(self.term.epoch) && m.tasks.iter().any(stuck))
+                .any(|m| m.is_reconciled(self.term.epoch()) && m.tasks.iter().any(stuck))
     }
 }
--- a/crates/core/src/leader/recovery.rs
+++ b/crates/core/src/leader/recovery.rs
@@ -70,7 +70,7 @@
         attempt: Attempt,
         now: Now,
     ) {
-        let earlier_epoch = Epoch(self.term.epoch.0.saturating_sub(1));
+        let earlier_epoch = Epoch(self.term.epoch().0.saturating_sub(1));
         let Some(found) = self.fleet.machines.get_mut(machine) else {
             return;
         };
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -52,7 +52,7 @@
         }],
         ..SegmentRecord::default()
     };
-    leader.term.epoch = Epoch(5);
+    leader.term.epoch_bumped(Epoch(5), Version(2), NOW.time);
     leader.recover_segment(SegmentId(1), record, NOW);
     let found = &leader.fleet.machines[&machine];
     let held = found.tasks.iter().filter(|e| e.occupies_capacity()).count();
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -1,78 +1,165 @@
-//! A campaign: the calls by which a node tries to win the lead, one after the other.
+//! A campaign: the calls by which a node tries to win the election, one after the other.
 //!
-//! End the lease of a superseded leader if there is one, read the epoch, take a lease, claim the leader's key
-//! and raise the epoch in one commit. A claim of unknown outcome is looked after until it is known; until
-//! then the node gives no word, for it may be leading.
+//! End the lease of a superseded leader if there is one, read the epoch, take a lease, then set the leader's key and
+//! bump the epoch in one commit, the *claim*. A claim of unknown outcome is verified until it is known; until then the
+//! node grants no lease vote, for it may be leading.
 
 use super::{
-    Election, ElectionCall, ElectionEvent, ElectionProgress, ElectionWin, LEADER_LEASE_TTL,
-    LEASE_RENEWAL_INTERVAL,
+    Claim, Election, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest, ElectionWin,
+    LeaderSlot, LEADER_LEASE_TTL, LEASE_RENEWAL_INTERVAL,
 };
 use crate::io::{StoreAnswer, StoreCall, Value};
-use crate::store::records::{EpochRecord, LeaderKey, LeaderRecord, EPOCH_KEY, LEADER_KEY};
-use crate::store::transactions::put;
+use crate::store::records::{
+    EpochRecord, LeaderKey, LeaderRecord, StoredLeader, EPOCH_KEY, LEADER_KEY,
+};
+use crate::store::transactions::{condition, put, put_with_lease};
 use crate::units::{Span, Time};
-use rudderreel_wire::ids::{Epoch, LeaseId, Version};
-use rudderreel_wire::state::{Change, Condition, Transaction};
+use rudderreel_wire::ids::{Epoch, Version};
+use rudderreel_wire::state::Transaction;
+
+/// The pause after a campaign that failed.
+const CAMPAIGN_RETRY_INTERVAL: Span = Span(300);
+/// How much longer it is for each rank.
+const CAMPAIGN_RETRY_MS_PER_RANK: u64 = 100;
+/// How much later than the node of the rank before it a node campaigns for a vacant key.
+const CAMPAIGN_DELAY_MS_PER_RANK: u64 = 60;
+/// An outdated leader's key is taken off its lease so often, until that is seen.
+const SUPERSEDE_RETRY_INTERVAL: Span = Span(300);
+/// A lease that nothing renews has surely ended so long after it was taken, if the store works.
+const UNRENEWED_LEASE_TIMEOUT: Span = Span(2 * LEADER_LEASE_TTL.0);
+/// The version of a key that does not exist.
+const ABSENT: Version = Version(0);
 
-/// The pause after a campaign that failed, and how much longer it is for each rank.
-const PAUSE: Span = Span(300);
-const PAUSE_BY_RANK_MS: u64 = 100;
+/// How far a campaign has come.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum CampaignState {
+    /// None is under way.
+    #[default]
+    Idle,
+    /// A call of a campaign is open, and it has not won yet.
+    UnderWay,
+    /// The claim may have been carried out, or may yet be.
+    ClaimUnsure,
+}
+
+/// This node's campaign.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Campaign {
+    state: CampaignState,
+    /// The leader's key that it is for.
+    key: LeaderKey,
+    /// The version of the common key, if leaders hold the gated one.
+    superseded: Option<Version>,
+    /// The version of the epoch's key.
+    epoch_version: Version,
+}
+
+impl Campaign {
+    /// Whether this node may have won, or may yet win.
+    pub(super) fn is_under_way(&self) -> bool {
+        self.state != CampaignState::Idle
+    }
+}
 
 impl Election {
-    /// Begins a campaign for a key.
-    pub(super) fn campaign(
+    /// Begins a campaign if nobody leads, or supersedes a leader that must not lead any more.
+    pub(super) fn campaign_if_due(
+        &mut self,
+        now: Time,
+        leader_slot: LeaderSlot<'_>,
+    ) -> Option<ElectionRequest> {
+        if let LeaderSlot::Held(_) = leader_slot {
+            self.vacant_since = None;
+            return None;
+        }
+        let vacant_since = *self.vacant_since.get_or_insert(now);
+        if !self.may_campaign(now, vacant_since) {
+            return None;
+        }
+        match leader_slot {
+            LeaderSlot::Held(_) => None,
+            LeaderSlot::Outdated(leader) => self.supersede_if_due(now, leader),
+            LeaderSlot::Vacant { superseded } => {
+                Some(self.begin_campaign(leader_slot.key(), superseded))
+            }
+        }
+    }
+
+    /// A pause does not hold before the epoch was read: a node that has just started needs it to grant lease votes, and
+    /// only a campaign reads it while nobody leads.
+    fn may_campaign(&self, now: Time, vacant_since: Time) -> bool {
+        let is_paused = now < self.campaigns_paused_until && self.epoch_read;
+        now >= vacant_since + Span(CAMPAIGN_DELAY_MS_PER_RANK * self.rank)
+            && now >= self.bound_by_vote_until
+            && !is_paused
+            && self.store_reachable(now)
+            && !self.campaign.is_under_way()
+    }
+
+    fn supersede_if_due(&mut self, now: Time, leader: &StoredLeader) -> Option<ElectionRequest> {
+        if now < self.next_supersede_at {
+            return None;
+        }
+        self.next_supersede_at = now + SUPERSEDE_RETRY_INTERVAL;
+        let call = StoreCall::Commit(supersede(leader));
+        Some(ElectionRequest::new(call, ElectionCall::Supersede))
+    }
+
+    fn begin_campaign(
         &mut self,
         key: LeaderKey,
-        superseded: Option<&(Version, LeaderRecord)>,
-    ) -> (StoreCall, ElectionCall) {
-        self.campaigning = true;
-        self.key = key;
-        self.superseded = superseded.map(|(version, _)| *version);
-        let lease = superseded.and_then(|(_, record)| record.lease_to_end());
-        match lease {
-            Some(lease) => (StoreCall::EndLease(lease), ElectionCall::EndSuperseded),
-            None => (StoreCall::Get(EPOCH_KEY.into()), ElectionCall::ReadEpoch),
+        superseded: Option<&StoredLeader>,
+    ) -> ElectionRequest {
+        self.campaign.state = CampaignState::UnderWay;
+        self.campaign.key = key;
+        self.campaign.superseded = superseded.map(|leader| leader.version);
+        match superseded.and_then(|leader| leader.record.lease_to_end()) {
+            Some(lease) => {
+                ElectionRequest::new(StoreCall::EndLease(lease), ElectionCall::EndSupersededLease)
+            }
+            None => ElectionRequest::new(read_epoch(), ElectionCall::ReadEpoch),
         }
     }
 
-    /// The answer to the end of a superseded leader's lease. The campaign goes on only once it has surely
-    /// ended.
-    pub(super) fn superseded_has_ended(
+    /// The answer to the end of a superseded leader's lease. The campaign goes on only once it has surely ended.
+    pub(super) fn superseded_lease_ended(
         &mut self,
         now: Time,
         answer: StoreAnswer,
     ) -> ElectionProgress {
-        if !matches!(answer, StoreAnswer::Done | StoreAnswer::Missing) {
-            return self.give_up(now);
+        match answer {
+            StoreAnswer::Done | StoreAnswer::Missing => {
+                ElectionProgress::request(read_epoch(), ElectionCall::ReadEpoch)
+            }
+            _ => self.give_up(now),
         }
-        let call = StoreCall::Get(EPOCH_KEY.into());
-        ElectionProgress::by(call, ElectionCall::ReadEpoch)
     }
 
+    /// The answer to reading the epoch.
     pub(super) fn epoch_was_read(&mut self, now: Time, answer: StoreAnswer) -> ElectionProgress {
         match answer {
             StoreAnswer::Found(item) => {
                 if let Ok(record) = serde_json::from_value::<EpochRecord>(item.value) {
                     self.observe_epoch(record.epoch, now);
                 }
-                self.epoch_version = item.version;
+                self.campaign.epoch_version = item.version;
             }
-            // Nobody has ever led, so nobody can hold a word.
+            // Nobody has ever led, so nobody can hold a lease vote.
             StoreAnswer::Missing => {
-                self.epoch_version = Version(0);
-                self.hold_off = now;
+                self.campaign.epoch_version = ABSENT;
+                self.campaigns_paused_until = now;
             }
             _ => return self.give_up(now),
         }
         self.epoch_read = true;
-        if now < self.hold_off {
+        if now < self.campaigns_paused_until {
             return self.give_up(now);
         }
         let call = StoreCall::NewLease(LEADER_LEASE_TTL.0);
-        ElectionProgress::by(call, ElectionCall::TakeLease)
+        ElectionProgress::request(call, ElectionCall::TakeLease)
     }
 
+    /// The answer to taking a lease, by a call that was sent at a moment.
     pub(super) fn lease_taken(
         &mut self,
         now: Time,
@@ -82,130 +169,126 @@
         let StoreAnswer::Lease(lease) = answer else {
             return self.give_up(now);
         };
-        if now < self.lease_vote_until {
+        if now < self.bound_by_vote_until {
             return self.give_up(now);
         }
-        let epoch = Epoch(self.epoch.0 + 1);
-        let claim = StoreCall::Commit(self.claim(lease, epoch));
-        ElectionProgress::by(claim, ElectionCall::Claim(lease, sent, epoch))
+        let claim = Claim {
+            lease,
+            lease_sent: sent,
+            epoch: Epoch(self.epoch.0 + 1),
+        };
+        let call = StoreCall::Commit(self.claim_commit(&claim));
+        ElectionProgress::request(call, ElectionCall::Claim(claim))
     }
 
-    fn claim(&self, lease: LeaseId, epoch: Epoch) -> Transaction<Value> {
-        let record = LeaderRecord::new(self.me.clone(), epoch, lease);
-        let mut claim = epoch_change(self.key, &record, Version(0), self.epoch_version);
-        let common = self.superseded.map(|version| Condition {
-            key: LEADER_KEY.into(),
-            version,
-        });
-        claim.conditions.extend(common);
-        claim
+    /// The commit that sets the leader's key and bumps the epoch. If leaders hold the gated key, the common one must
+    /// still be as it was read.
+    fn claim_commit(&self, claim: &Claim) -> Transaction<Value> {
+        let record = LeaderRecord::new(self.node.clone(), claim.epoch, claim.lease);
+        let mut commit = epoch_change(
+            self.campaign.key,
+            &record,
+            ABSENT,
+            self.campaign.epoch_version,
+        );
+        let common_key =
+            (self.campaign.superseded).map(|version| condition(LEADER_KEY.into(), version));
+        commit.conditions.extend(common_key);
+        commit
     }
 
-    pub(super) fn claimed(
+    /// The answer to the claim.
+    pub(super) fn claim_answered(
         &mut self,
         now: Time,
-        lease: LeaseId,
-        since: Time,
-        epoch: Epoch,
+        claim: Claim,
         answer: StoreAnswer,
     ) -> ElectionProgress {
         match answer {
-            StoreAnswer::Committed(version) => self.win(now, epoch, lease, since, version),
-            // The claim may have been carried out, or may yet be: no word until that is known.
+            StoreAnswer::Committed(version) => self.win(now, claim, version),
             StoreAnswer::Unknown => {
-                self.claim_unsure = true;
-                self.verify(lease, since, epoch)
+                self.campaign.state = CampaignState::ClaimUnsure;
+                self.verify(claim)
             }
-            _ => self.drop_claim(now, lease),
+            _ => self.drop_claim(now, claim),
         }
     }
 
-    pub(super) fn verified(
+    /// Sees whether a claim was carried out.
+    fn verify(&self, claim: Claim) -> ElectionProgress {
+        let call = StoreCall::Get(self.campaign.key.name().into());
+        ElectionProgress::request(call, ElectionCall::VerifyClaim(claim))
+    }
+
+    /// The leader's key as read after a claim of unknown outcome.
+    pub(super) fn claim_verified(
         &mut self,
         now: Time,
-        lease: LeaseId,
-        since: Time,
-        epoch: Epoch,
+        claim: Claim,
         answer: StoreAnswer,
     ) -> ElectionProgress {
         if let StoreAnswer::Found(item) = &answer {
             let record = LeaderRecord::deserialize_from(&item.value);
-            if record.is_some_and(|r| r.lease == lease && r.epoch == epoch) {
-                return self.win(now, epoch, lease, since, item.version);
+            if record.is_some_and(|r| r.lease == claim.lease && r.epoch == claim.epoch) {
+                return self.win(now, claim, item.version);
             }
         }
-        // Nothing renews this lease, so a late claim fails once it has ended. In an outage a
-        // lease does not run out, so the answer must come from a service that works.
-        let answered = matches!(answer, StoreAnswer::Found(_) | StoreAnswer::Missing);
-        if answered && now > since + Span(2 * LEADER_LEASE_TTL.0) {
-            self.claim_unsure = false;
-            return self.drop_claim(now, lease);
+        // Nothing renews this lease, so a late claim fails once it has ended. In an outage a lease does not run out,
+        // so the answer must come from a store that works.
+        let is_answered = matches!(answer, StoreAnswer::Found(_) | StoreAnswer::Missing);
+        if is_answered && now > claim.lease_sent + UNRENEWED_LEASE_TIMEOUT {
+            return self.drop_claim(now, claim);
         }
-        self.verify(lease, since, epoch)
+        self.verify(claim)
     }
 
-    /// Looks whether a claim was carried out.
-    fn verify(&self, lease: LeaseId, since: Time, epoch: Epoch) -> ElectionProgress {
-        let call = StoreCall::Get(self.key.name().into());
-        ElectionProgress::by(call, ElectionCall::Verify(lease, since, epoch))
-    }
-
-    fn win(
-        &mut self,
-        now: Time,
-        epoch: Epoch,
-        lease: LeaseId,
-        since: Time,
-        version: Version,
-    ) -> ElectionProgress {
-        self.campaigning = false;
-        self.claim_unsure = false;
-        self.renewing = false;
+    fn win(&mut self, now: Time, claim: Claim, version: Version) -> ElectionProgress {
+        self.campaign.state = CampaignState::Idle;
         self.vacant_since = None;
-        self.next_renew = now + LEASE_RENEWAL_INTERVAL;
-        self.observe_epoch(epoch, now);
-        let won = ElectionWin {
-            epoch,
-            lease,
-            lease_sent: since,
-            key: self.key,
+        self.renewal.is_open = false;
+        self.renewal.next_at = now + LEASE_RENEWAL_INTERVAL;
+        self.observe_epoch(claim.epoch, now);
+        ElectionProgress::event(ElectionEvent::Won(ElectionWin {
+            epoch: claim.epoch,
+            lease: claim.lease,
+            lease_sent: claim.lease_sent,
+            key: self.campaign.key,
             version,
-        };
-        ElectionProgress::to(ElectionEvent::ElectionWin(won))
+        }))
     }
 
-    fn drop_claim(&mut self, now: Time, lease: LeaseId) -> ElectionProgress {
+    fn drop_claim(&mut self, now: Time, claim: Claim) -> ElectionProgress {
         self.give_up(now);
-        ElectionProgress::by(StoreCall::EndLease(lease), ElectionCall::End)
+        ElectionProgress::request(StoreCall::EndLease(claim.lease), ElectionCall::EndLease)
     }
 
     fn give_up(&mut self, now: Time) -> ElectionProgress {
-        self.campaigning = false;
-        self.hold_off = self
-            .hold_off
-            .max(now + PAUSE + Span(PAUSE_BY_RANK_MS * self.rank));
+        self.campaign.state = CampaignState::Idle;
+        let pause = CAMPAIGN_RETRY_INTERVAL + Span(CAMPAIGN_RETRY_MS_PER_RANK * self.rank);
+        self.campaigns_paused_until = self.campaigns_paused_until.max(now + pause);
         ElectionProgress::default()
     }
 }
 
-/// The commit that takes an outdated leader's key off its lease. Its version changes, so no write of
-/// that leader is carried out after it.
-pub(super) fn supersede((version, record): &(Version, LeaderRecord)) -> StoreCall {
-    let tombstone = record.tombstone(Some(record.lease));
-    StoreCall::Commit(Transaction {
-        conditions: vec![Condition {
-            key: LEADER_KEY.into(),
-            version: *version,
-        }],
+fn read_epoch() -> StoreCall {
+    StoreCall::Get(EPOCH_KEY.into())
+}
+
+/// The commit that takes an outdated leader's key off its lease. Its version changes, so no write of that leader is
+/// carried out after it.
+fn supersede(leader: &StoredLeader) -> Transaction<Value> {
+    let tombstone = leader.record.tombstone(Some(leader.record.lease));
+    Transaction {
+        conditions: vec![condition(LEADER_KEY.into(), leader.version)],
         changes: vec![put(LEADER_KEY.into(), &tombstone)],
-    })
+    }
 }
 
-/// The commit that takes the lead or raises the epoch.
+/// The commit that sets the leader's key and the epoch, by which a node wins an election or a leader bumps its epoch.
 pub fn epoch_change(
     key: LeaderKey,
     record: &LeaderRecord,
-    leader_version: Version,
+    key_version: Version,
     epoch_version: Version,
 ) -> Transaction<Value> {
     let epoch = EpochRecord {
@@ -213,26 +296,12 @@
     };
     Transaction {
         conditions: vec![
-            Condition {
-                key: key.name().into(),
-                version: leader_version,
-            },
-            Condition {
-                key: EPOCH_KEY.into(),
-                version: epoch_version,
-            },
+            condition(key.name().into(), key_version),
+            condition(EPOCH_KEY.into(), epoch_version),
         ],
         changes: vec![
-            Change::Put {
-                key: key.name().into(),
-                value: serde_json::to_value(record).unwrap_or_default(),
-                lease: Some(record.lease),
-            },
-            Change::Put {
-                key: EPOCH_KEY.into(),
-                value: serde_json::to_value(epoch).unwrap_or_default(),
-                lease: None,
-            },
+            put_with_lease(key.name().into(), record, record.lease),
+            put(EPOCH_KEY.into(), &epoch),
         ],
     }
 }
--- a/crates/core/src/leadership/election/tests.rs
+++ b/crates/core/src/leadership/election/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::store::records::LEADER_KEY;
-use rudderreel_wire::state::Change;
-use rudderreel_wire::state::Item;
+use rudderreel_wire::ids::Version;
+use rudderreel_wire::state::{Change, Item};
 
 const NOW: Time = Time(1_000_000);
 
@@ -19,15 +19,15 @@
     })
 }
 
-/// A node that has read the leader's epoch and then lost the state service.
+/// A node that has read the leader's epoch and then lost the store.
 fn in_an_outage(epoch: u64) -> (Election, Time) {
     let mut node = node();
-    node.jobs_read = true;
+    node.observe_jobs_read();
     node.observe_store_answer(NOW, &leader(epoch));
     node.answered(
         NOW,
         NOW,
-        ElectionCall::Look(LeaderKey::Common),
+        ElectionCall::ReadLeaderKey(LeaderKey::Common),
         leader(epoch),
     );
     let later = NOW + Span(2_000);
@@ -36,88 +36,99 @@
 }
 
 #[test]
-fn a_word_is_given_in_an_outage_only_to_the_highest_epoch_known() {
+fn a_lease_vote_is_granted_in_an_outage_only_for_the_highest_epoch_known() {
     let (mut node, now) = in_an_outage(4);
-    assert!(!node.grant_lease_vote(now, Epoch(3), true));
-    assert!(node.grant_lease_vote(now, Epoch(4), true));
+    assert!(!node.grant_lease_vote(now, Epoch(3), VoteRequester::Leader));
+    assert!(node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader));
     node.observe_epoch(Epoch(5), now);
     assert!(
-        !node.grant_lease_vote(now, Epoch(4), true),
+        !node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader),
         "a higher epoch was acknowledged"
     );
 }
 
 #[test]
-fn no_word_while_the_state_service_answers() {
+fn no_lease_vote_while_the_store_answers() {
     let mut node = node();
     node.observe_store_answer(NOW, &leader(4));
-    node.answered(NOW, NOW, ElectionCall::Look(LeaderKey::Common), leader(4));
-    assert!(!node.grant_lease_vote(NOW, Epoch(4), true));
+    node.answered(
+        NOW,
+        NOW,
+        ElectionCall::ReadLeaderKey(LeaderKey::Common),
+        leader(4),
+    );
+    assert!(!node.grant_lease_vote(NOW, Epoch(4), VoteRequester::Leader));
 }
 
-/// A node may have acknowledged a higher epoch in an earlier life, so it gives no word before
-/// it has read the epoch in this one.
+/// A node may have acknowledged a higher epoch in an earlier life, so it grants no lease vote
+/// before it has read the epoch in this one.
 #[test]
-fn no_word_from_a_node_that_has_not_read_the_epoch() {
+fn no_lease_vote_before_the_epoch_was_read() {
     let mut node = node();
-    node.jobs_read = true;
+    node.observe_jobs_read();
     node.observe_store_answer(NOW, &StoreAnswer::Refused);
     node.observe_epoch(Epoch(4), NOW);
-    assert!(!node.grant_lease_vote(NOW, Epoch(4), true));
+    assert!(!node.grant_lease_vote(NOW, Epoch(4), VoteRequester::Leader));
 }
 
 /// It may have acknowledged a cancellation in an earlier life, and forgotten it.
 #[test]
-fn no_word_from_a_node_that_has_not_read_the_jobs() {
+fn no_lease_vote_before_the_jobs_were_read() {
     let (mut node, now) = in_an_outage(4);
     node.jobs_read = false;
-    assert!(!node.grant_lease_vote(now, Epoch(4), true) && !node.could_stand_in(now));
+    assert!(
+        !node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader) && !node.could_stand_in(now)
+    );
 }
 
 /// A claim of unknown outcome may yet be carried out.
 #[test]
-fn no_word_while_a_claim_is_open() {
+fn no_lease_vote_while_a_claim_has_an_unknown_outcome() {
     let (mut node, now) = in_an_outage(4);
-    let step = ElectionCall::Claim(LeaseId(9), now, Epoch(5));
-    let ElectionProgress { verdict, calls } = node.answered(now, now, step, StoreAnswer::Unknown);
-    assert_eq!(verdict, ElectionEvent::Nothing);
-    assert!(matches!(calls[0].1, ElectionCall::Verify(..)));
-    assert!(!node.grant_lease_vote(now, Epoch(4), true));
+    let claim = Claim {
+        lease: LeaseId(9),
+        lease_sent: now,
+        epoch: Epoch(5),
+    };
+    let call = ElectionCall::Claim(claim);
+    let progress = node.answered(now, now, call, StoreAnswer::Unknown);
+    assert_eq!(progress.event, ElectionEvent::Nothing);
+    let request = progress.request.expect("a call");
+    assert!(matches!(request.purpose, ElectionCall::VerifyClaim(of) if of == claim));
+    assert!(!node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader));
 }
 
 #[test]
-fn no_campaign_before_the_last_word_has_run_out() {
+fn no_campaign_before_the_last_lease_vote_has_run_out() {
     let (mut node, now) = in_an_outage(4);
-    assert!(node.grant_lease_vote(now, Epoch(4), true));
+    assert!(node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader));
     node.observe_store_answer(now, &StoreAnswer::Missing);
     let campaigns = |node: &mut Election, at: Time| {
-        let calls = node.tick(at, LeaderSlot::Vacant(None), None);
-        calls
-            .iter()
-            .any(|(_, step)| matches!(step, ElectionCall::ReadEpoch))
+        let requests = node.tick(at, LeaderSlot::Vacant { superseded: None }, None);
+        (requests.iter()).any(|request| matches!(request.purpose, ElectionCall::ReadEpoch))
     };
     assert!(!campaigns(&mut node, now + Span(1_400)));
     assert!(campaigns(&mut node, now + Span(1_600)));
 }
 
-/// Else a node could keep a worker's lease alive that the leader believes to have run out.
+/// Otherwise a node could keep an agent's lease alive that the leader believes to have run out.
 #[test]
-fn nobody_takes_care_while_the_leader_is_heard() {
+fn nobody_stands_in_while_the_leader_is_heard() {
     let (mut node, now) = in_an_outage(4);
     node.observe_leader(now);
     node.record_lease_vote("n2".into(), now);
-    assert!(!node.grant_lease_vote(now + Span(1_100), Epoch(4), false));
+    assert!(!node.grant_lease_vote(now + Span(1_100), Epoch(4), VoteRequester::StandIn));
     assert!(!node.stands_in_for_leader(now + Span(1_100)));
-    assert!(node.grant_lease_vote(now + Span(1_200), Epoch(4), false));
+    assert!(node.grant_lease_vote(now + Span(1_200), Epoch(4), VoteRequester::StandIn));
     assert!(node.stands_in_for_leader(now + Span(1_200)));
     assert!(
         !node.stands_in_for_leader(now + Span(1_600)),
-        "the word has run out"
+        "the lease vote has run out"
     );
 }
 
 #[test]
-fn a_word_for_an_earlier_epoch_counts_for_nothing() {
+fn a_lease_vote_for_an_earlier_epoch_does_not_count() {
     let (mut node, now) = in_an_outage(4);
     node.record_lease_vote("n2".into(), now);
     assert!(node.stands_in_for_leader(now));
@@ -129,35 +140,44 @@
 #[test]
 fn a_claim_that_was_carried_out_after_all_is_seen() {
     let mut node = node();
-    let step = ElectionCall::Verify(LeaseId(1), NOW, Epoch(6));
+    let call = ElectionCall::VerifyClaim(Claim {
+        lease: LeaseId(1),
+        lease_sent: NOW,
+        epoch: Epoch(6),
+    });
     let mut found = leader(6);
     if let StoreAnswer::Found(item) = &mut found {
         item.value["node"] = "n1".into();
     }
-    let ElectionProgress { verdict, .. } = node.answered(NOW, NOW, step, found);
-    let won = ElectionWin {
+    let progress = node.answered(NOW, NOW, call, found);
+    let win = ElectionWin {
         epoch: Epoch(6),
         lease: LeaseId(1),
         lease_sent: NOW,
         key: LeaderKey::Common,
         version: Version(3),
     };
-    assert_eq!(verdict, ElectionEvent::ElectionWin(won));
+    assert_eq!(progress.event, ElectionEvent::Won(win));
 }
 
-fn outdated() -> (Version, LeaderRecord) {
+fn outdated() -> StoredLeader {
     let record = LeaderRecord {
         format: 0,
         ..LeaderRecord::new("n0".into(), Epoch(4), LeaseId(1))
     };
-    (Version(3), record)
+    StoredLeader {
+        version: Version(3),
+        record,
+    }
 }
 
-fn steps(calls: &[(StoreCall, ElectionCall)]) -> Vec<String> {
-    let campaign = calls
-        .iter()
-        .filter(|(_, s)| !matches!(s, ElectionCall::Look(_)));
-    campaign.map(|(_, step)| format!("{step:?}")).collect()
+/// What the calls of a campaign are for.
+fn purposes<'a>(requests: impl IntoIterator<Item = &'a ElectionRequest>) -> Vec<String> {
+    let campaign = (requests.into_iter())
+        .filter(|request| !matches!(request.purpose, ElectionCall::ReadLeaderKey(_)));
+    campaign
+        .map(|request| format!("{:?}", request.purpose))
+        .collect()
 }
 
 /// A leader that must not lead any more loses its key, without a vacancy that another such process would
@@ -167,12 +187,12 @@
     let mut node = node();
     node.observe_store_answer(NOW, &StoreAnswer::Missing);
     let leader = outdated();
-    let calls = node.tick(NOW, LeaderSlot::Outdated(&leader), None);
-    assert_eq!(steps(&calls), ["Supersede"]);
-    let Some((StoreCall::Commit(transaction), _)) = calls.last() else {
+    let requests = node.tick(NOW, LeaderSlot::Outdated(&leader), None);
+    assert_eq!(purposes(&requests), ["Supersede"]);
+    let Some(StoreCall::Commit(transaction)) = requests.last().map(|request| &request.call) else {
         panic!("a commit is expected");
     };
-    assert_eq!(transaction.conditions[0].version, leader.0);
+    assert_eq!(transaction.conditions[0].version, leader.version);
     let Change::Put { key, lease, value } = &transaction.changes[0] else {
         panic!("the key stays");
     };
@@ -180,35 +200,41 @@
     let tombstone: LeaderRecord = serde_json::from_value(value.clone()).expect("a record");
     assert!(tombstone.superseded);
     assert_eq!(tombstone.lease_to_end(), Some(LeaseId(1)));
-    // It is not asked for all the time.
-    let calls = node.tick(NOW + Span(100), LeaderSlot::Outdated(&leader), None);
-    assert_eq!(steps(&calls), Vec::<String>::new());
+    // It is not sent on every tick.
+    let requests = node.tick(NOW + Span(100), LeaderSlot::Outdated(&leader), None);
+    assert_eq!(purposes(&requests), Vec::<String>::new());
 }
 
-/// Its lease is alive, so it goes on answering workers. Nobody follows it before the lease has ended.
+/// Its lease is alive, so it goes on answering agents. Nobody is elected before the lease has ended.
 #[test]
-fn nobody_follows_a_superseded_leader_before_its_lease_has_ended() {
+fn nobody_is_elected_before_the_lease_of_a_superseded_leader_has_ended() {
     let mut node = node();
     node.observe_store_answer(NOW, &StoreAnswer::Missing);
-    let (version, record) = outdated();
-    let common = (version, record.tombstone(Some(record.lease)));
-    let leader_slot = LeaderSlot::Vacant(Some(&common));
-    assert_eq!(steps(&node.tick(NOW, leader_slot, None)), ["EndSuperseded"]);
-    let ElectionProgress { calls, .. } =
-        node.answered(NOW, NOW, ElectionCall::EndSuperseded, StoreAnswer::Unknown);
-    assert!(calls.is_empty(), "it may not have ended");
+    let StoredLeader { version, record } = outdated();
+    let common = StoredLeader {
+        version,
+        record: record.tombstone(Some(record.lease)),
+    };
+    let leader_slot = LeaderSlot::Vacant {
+        superseded: Some(&common),
+    };
+    assert_eq!(
+        purposes(&node.tick(NOW, leader_slot, None)),
+        ["EndSupersededLease"]
+    );
+    let end = ElectionCall::EndSupersededLease;
+    let progress = node.answered(NOW, NOW, end.clone(), StoreAnswer::Unknown);
+    assert!(progress.request.is_none(), "it may not have ended");
     let later = NOW + Span(2_000);
     assert_eq!(
-        steps(&node.tick(later, leader_slot, None)),
-        ["EndSuperseded"]
+        purposes(&node.tick(later, leader_slot, None)),
+        ["EndSupersededLease"]
     );
-    let ElectionProgress { calls, .. } =
-        node.answered(later, later, ElectionCall::EndSuperseded, StoreAnswer::Done);
-    assert_eq!(steps(&calls), ["ReadEpoch"]);
+    let progress = node.answered(later, later, end, StoreAnswer::Done);
+    assert_eq!(purposes(&progress.request), ["ReadEpoch"]);
     let taken = StoreAnswer::Lease(LeaseId(9));
-    let ElectionProgress { calls, .. } =
-        node.answered(later, later, ElectionCall::TakeLease, taken);
-    let Some((StoreCall::Commit(claim), _)) = calls.first() else {
+    let progress = node.answered(later, later, ElectionCall::TakeLease, taken);
+    let Some(StoreCall::Commit(claim)) = progress.request.map(|request| request.call) else {
         panic!("a claim is expected");
     };
     let condition = |key: &str| claim.conditions.iter().find(|c| c.key == key);
--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -1,12 +1,16 @@
 //! A leader's term: its lease, its fencing token, and what the other nodes have acknowledged or voted.
 //!
-//! Every write of a leader depends on the version of the leader's key ([`Term::key_condition`]), so a leader
-//! that was replaced, or whose epoch was bumped by somebody else, can't write any more. The epoch is the fencing
-//! token that agents see.
+//! Every write of a leader depends on the version of the leader's key ([`Term::key_condition`]), so a leader that was
+//! replaced, or whose epoch was bumped by somebody else, can't write any more. The epoch is the fencing token that
+//! agents see: they drop commands with a lower one than the highest that they have seen.
+//!
+//! The lease is counted from the sending of its renewals and shorter than the store counts it, by what clocks may
+//! drift, so the leader believes in it only while it is surely alive.
 
 use super::election::{
     epoch_change, ElectionWin, ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL,
 };
+use super::quorum::QuorumTracker;
 use super::version_gate::VersionGateStep;
 use crate::io::Value;
 use crate::store::records::{LeaderKey, LeaderRecord, SegmentId};
@@ -14,48 +18,41 @@
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Attempt, Epoch, LeaseId, NodeName, Version};
 use rudderreel_wire::state::{Condition, Transaction};
-use std::collections::BTreeMap;
 
 /// Attempts and segments are numbered within an epoch: so many bits are left for the number.
 const NUMBER_BITS: u32 = 24;
 /// Clocks drift by one part in so many at most, so a lease is counted shorter by that.
 const DRIFT_PARTS: u64 = 500;
 
-/// Bumping the epoch, which proves that nothing sent under the old one will be carried out any more.
+/// The commits that bump the epoch, which proves that nothing sent under the old one will be carried out any more.
 #[derive(Clone, Copy, Debug)]
-pub struct EpochBump {
+struct EpochBump {
     /// When the epoch was last bumped, or that was last tried.
-    pub last_at: Time,
-    /// A commit that bumps it is open.
-    pub in_progress: bool,
+    last_at: Time,
+    /// Whether such a commit is open.
+    in_progress: bool,
 }
 
 /// A leader's term.
 pub struct Term {
-    /// The epoch, which is the fencing token.
-    pub epoch: Epoch,
-    /// The lease that the leader's key hangs on.
-    pub lease_id: LeaseId,
+    epoch: Epoch,
+    lease_id: LeaseId,
     /// Until when the lease is surely alive.
-    pub lease_until: Time,
-    /// The leader's key, and its version, on which every write depends.
-    pub key: LeaderKey,
-    /// The version of that key.
-    pub key_version: Version,
+    lease_until: Time,
+    /// The leader's key, on whose version every write depends.
+    key: LeaderKey,
+    key_version: Version,
     /// The version of the epoch's key.
-    pub epoch_version: Version,
-    /// When the node became leader.
-    pub elected_at: Time,
-    /// When each node last acknowledged the epoch, by the sending of the heartbeat.
-    pub acknowledged_at: BTreeMap<NodeName, Time>,
+    epoch_version: Version,
+    elected_at: Time,
+    /// Nodes that have acknowledged the epoch.
+    acknowledgements: QuorumTracker,
     /// From when on no older leader answers agents; none while that is not known.
-    pub old_leaders_fenced_at: Option<Time>,
-    /// When each node last gave its lease vote, by the sending of the heartbeat.
-    pub lease_votes: BTreeMap<NodeName, Time>,
-    /// Bumping the epoch.
-    pub epoch_bump: EpochBump,
-    /// What is under way to close the version gate.
-    pub version_gate: VersionGateStep,
+    old_leaders_fenced_at: Option<Time>,
+    /// Nodes that have granted their lease vote.
+    lease_votes: QuorumTracker,
+    epoch_bump: EpochBump,
+    version_gate: VersionGateStep,
     attempts: u64,
     segments: u64,
 }
@@ -71,9 +68,9 @@
             key_version: win.version,
             epoch_version: win.version,
             elected_at: now,
-            acknowledged_at: BTreeMap::new(),
+            acknowledgements: QuorumTracker::new(ACKNOWLEDGEMENT_TTL),
             old_leaders_fenced_at: None,
-            lease_votes: BTreeMap::new(),
+            lease_votes: QuorumTracker::new(LEASE_VOTE_TTL),
             epoch_bump: EpochBump {
                 last_at: now,
                 in_progress: false,
@@ -84,11 +81,27 @@
         }
     }
 
-    /// Tells this term from others of the same node: answers to calls of an earlier one are dropped.
-    pub fn id(&self) -> LeaseId {
+    /// The epoch, which is the fencing token.
+    pub fn epoch(&self) -> Epoch {
+        self.epoch
+    }
+
+    /// The lease that the leader's key hangs on. It tells this term from others of the same node: answers to calls of an
+    /// earlier one are dropped.
+    pub fn lease_id(&self) -> LeaseId {
         self.lease_id
     }
 
+    /// The leader's key.
+    pub fn key(&self) -> LeaderKey {
+        self.key
+    }
+
+    /// When the node was elected.
+    pub fn elected_at(&self) -> Time {
+        self.elected_at
+    }
+
     /// The condition that every write of a leader depends on.
     pub fn key_condition(&self) -> Condition {
         condition(self.key.name().into(), self.key_version)
@@ -102,38 +115,7 @@
     /// Whether a commit is open that changes the key which every write depends on, so that writes may fail
     /// although this node still leads.
     pub fn is_key_changing(&self) -> bool {
-        self.epoch_bump.in_progress || self.version_gate.is_changing_key()
-    }
-
-    /// Begins to bump the epoch; returns the epoch that the commit sets.
-    pub fn begin_epoch_bump(&mut self, now: Time) -> Epoch {
-        self.epoch_bump = EpochBump {
-            last_at: now,
-            in_progress: true,
-        };
-        Epoch(self.epoch.0 + 1)
-    }
-
-    /// The commit that bumps the epoch.
-    pub fn epoch_bump_commit(&self, node: &NodeName, epoch: Epoch) -> Transaction<Value> {
-        let record = LeaderRecord::new(node.clone(), epoch, self.lease_id);
-        epoch_change(self.key, &record, self.key_version, self.epoch_version)
-    }
-
-    /// The commit that bumps the epoch was carried out.
-    pub fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Time) {
-        self.epoch = epoch;
-        self.key_version = version;
-        self.epoch_version = version;
-        self.epoch_bump = EpochBump {
-            last_at: now,
-            in_progress: false,
-        };
-    }
-
-    /// The commit that bumps the epoch was not carried out, and will not be.
-    pub fn epoch_bump_refused(&mut self) {
-        self.epoch_bump.in_progress = false;
+        self.epoch_bump.in_progress || self.version_gate.is_key_changing()
     }
 
     /// The lease was renewed by a call sent at a moment.
@@ -141,7 +123,7 @@
         self.lease_until = self.lease_until.max(lease_alive_until(sent));
     }
 
-    /// Whether it surely leads by its lease. Only then does it start or rent anything.
+    /// Whether it surely leads by its lease. Only then does it start tasks or scale out.
     pub fn is_lease_valid(&self, now: Time) -> bool {
         now < self.lease_until
     }
@@ -149,21 +131,23 @@
     /// Whether it may answer agents: by its lease, or in an outage of the store by the fresh lease votes of a
     /// majority.
     pub fn may_answer_agents(&self, now: Time, store_reachable: bool, majority: usize) -> bool {
-        let is_fresh = |sent: &&Time| now < **sent + LEASE_VOTE_TTL;
-        let votes = self.lease_votes.values().filter(is_fresh).count();
-        self.is_lease_valid(now) || (!store_reachable && votes + 1 >= majority)
+        let has_votes = !store_reachable && self.lease_votes.is_reached(now, majority);
+        self.is_lease_valid(now) || has_votes
     }
 
-    /// A node gave its lease vote, asked for by a heartbeat sent at a moment.
+    /// A node granted its lease vote, in answer to a heartbeat sent at a moment.
     pub fn record_lease_vote(&mut self, node: NodeName, sent: Time) {
-        let at = self.lease_votes.entry(node).or_insert(sent);
-        *at = (*at).max(sent);
+        self.lease_votes.record(node, sent);
     }
 
-    /// A node acknowledged the epoch in answer to a heartbeat sent at a moment.
+    /// A node acknowledged the epoch, in answer to a heartbeat sent at a moment.
     pub fn record_acknowledgement(&mut self, node: NodeName, sent: Time) {
-        let at = self.acknowledged_at.entry(node).or_insert(sent);
-        *at = (*at).max(sent);
+        self.acknowledgements.record(node, sent);
+    }
+
+    /// From when on no older leader answers agents and no node stands in for this one; none while that is not known.
+    pub fn old_leaders_fenced_at(&self) -> Option<Time> {
+        self.old_leaders_fenced_at
     }
 
     /// Once a majority has acknowledged the epoch, no older leader goes on, and nobody stands in for this one,
@@ -175,9 +159,7 @@
         majority: usize,
         may_have_superseded: bool,
     ) {
-        let is_fresh = |sent: &&Time| now < **sent + ACKNOWLEDGEMENT_TTL;
-        let acknowledged = self.acknowledged_at.values().filter(is_fresh).count();
-        if acknowledged + 1 < majority {
+        if !self.acknowledgements.is_reached(now, majority) {
             self.old_leaders_fenced_at = None;
         } else if self.old_leaders_fenced_at.is_none() {
             let votes_end = now + LEASE_VOTE_TTL.with_drift();
@@ -190,6 +172,64 @@
         }
     }
 
+    /// Whether the commit that bumps the epoch is open.
+    pub fn is_bumping_epoch(&self) -> bool {
+        self.epoch_bump.in_progress
+    }
+
+    /// When the epoch was last bumped, or that was last tried; the election counts.
+    pub fn last_epoch_bump_at(&self) -> Time {
+        self.epoch_bump.last_at
+    }
+
+    /// Begins to bump the epoch; returns the epoch that the commit sets.
+    pub fn begin_epoch_bump(&mut self, now: Time) -> Epoch {
+        self.epoch_bump = EpochBump {
+            last_at: now,
+            in_progress: true,
+        };
+        Epoch(self.epoch.0 + 1)
+    }
+
+    /// The commit that bumps the epoch.
+    pub fn epoch_bump_commit(&self, node: &NodeName, epoch: Epoch) -> Transaction<Value> {
+        let record = LeaderRecord::new(node.clone(), epoch, self.lease_id);
+        epoch_change(self.key, &record, self.key_version, self.epoch_version)
+    }
+
+    /// The commit that bumps the epoch was carried out.
+    pub fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Time) {
+        self.epoch = epoch;
+        self.key_version = version;
+        self.epoch_version = version;
+        self.epoch_bump = EpochBump {
+            last_at: now,
+            in_progress: false,
+        };
+    }
+
+    /// The commit that bumps the epoch was not carried out, and will not be.
+    pub fn epoch_bump_refused(&mut self) {
+        self.epoch_bump.in_progress = false;
+    }
+
+    /// What is under way to close the version gate.
+    pub fn version_gate(&self) -> VersionGateStep {
+        self.version_gate
+    }
+
+    /// Goes on to a step of closing the version gate.
+    pub fn set_version_gate(&mut self, step: VersionGateStep) {
+        self.version_gate = step;
+    }
+
+    /// This leader holds the gated key from now on, at a version.
+    pub fn gated_key_held(&mut self, version: Version) {
+        self.version_gate = VersionGateStep::Idle;
+        self.key = LeaderKey::Gated;
+        self.key_version = version;
+    }
+
     /// The number of the next attempt to run a task. The epoch is never given out twice, so neither is an
     /// attempt.
     pub fn next_attempt(&mut self) -> Attempt {
@@ -202,9 +242,18 @@
         self.segments += 1;
         SegmentId((self.epoch.0 << NUMBER_BITS) + self.segments)
     }
+
+    /// Sets when the node was elected.
+    #[cfg(test)]
+    pub fn set_elected_at(&mut self, at: Time) {
+        self.elected_at = at;
+    }
 }
 
 /// Until when a lease is surely alive whose renewal was sent at a moment.
 fn lease_alive_until(sent: Time) -> Time {
     sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(DRIFT_PARTS))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/leadership/term/tests.rs
@@ -0,0 +1,90 @@
+use super::*;
+
+const NOW: Time = Time(1_000_000);
+const NODES: usize = 3;
+const MAJORITY: usize = NODES / 2 + 1;
+
+fn term() -> Term {
+    let win = ElectionWin {
+        epoch: Epoch(4),
+        lease: LeaseId(1),
+        lease_sent: NOW,
+        key: LeaderKey::Common,
+        version: Version(7),
+    };
+    Term::new(win, NOW)
+}
+
+#[test]
+fn a_lease_counts_from_the_sending_and_ends_before_the_store_ends_it() {
+    let mut term = term();
+    let drift = LEADER_LEASE_TTL.0.div_ceil(DRIFT_PARTS);
+    assert!(term.is_lease_valid(NOW + Span(LEADER_LEASE_TTL.0 - drift - 1)));
+    assert!(!term.is_lease_valid(NOW + Span(LEADER_LEASE_TTL.0 - drift)));
+    term.lease_renewed(NOW + Span(1_000));
+    assert!(term.is_lease_valid(NOW + Span(LEADER_LEASE_TTL.0)));
+}
+
+#[test]
+fn lease_votes_of_a_majority_count_only_while_the_store_is_unreachable() {
+    let mut term = term();
+    let later = NOW + Span(10_000);
+    term.record_lease_vote("n1".into(), later);
+    assert!(term.may_answer_agents(later, false, MAJORITY));
+    assert!(!term.may_answer_agents(later, true, MAJORITY));
+    assert!(!term.may_answer_agents(later + LEASE_VOTE_TTL, false, MAJORITY));
+}
+
+/// Otherwise a node could have stood in for this leader meanwhile.
+#[test]
+fn old_leaders_count_as_fenced_only_while_a_majority_goes_on_acknowledging() {
+    let mut term = term();
+    term.update_old_leaders_fenced_at(NOW, MAJORITY, false);
+    assert_eq!(term.old_leaders_fenced_at(), None);
+    term.record_acknowledgement("n1".into(), NOW);
+    term.update_old_leaders_fenced_at(NOW, MAJORITY, false);
+    let fenced_at = NOW + LEASE_VOTE_TTL.with_drift();
+    assert_eq!(term.old_leaders_fenced_at(), Some(fenced_at));
+    term.update_old_leaders_fenced_at(NOW + ACKNOWLEDGEMENT_TTL, MAJORITY, false);
+    assert_eq!(term.old_leaders_fenced_at(), None);
+}
+
+#[test]
+fn an_epoch_bump_changes_what_every_write_depends_on() {
+    let mut term = term();
+    let epoch = term.begin_epoch_bump(NOW);
+    assert_eq!(epoch, Epoch(5));
+    assert!(term.is_bumping_epoch() && term.is_key_changing());
+    assert_eq!(term.epoch(), Epoch(4), "not before it is committed");
+    term.epoch_bumped(epoch, Version(9), NOW);
+    assert_eq!(term.epoch(), Epoch(5));
+    assert_eq!(term.key_condition().version, Version(9));
+    assert!(!term.is_key_changing());
+}
+
+#[test]
+fn a_refused_epoch_bump_leaves_the_term_as_it_was() {
+    let mut term = term();
+    let later = NOW + Span(6_000);
+    term.begin_epoch_bump(later);
+    term.epoch_bump_refused();
+    assert_eq!(term.epoch(), Epoch(4));
+    assert_eq!(term.key_condition().version, Version(7));
+    assert_eq!(
+        term.last_epoch_bump_at(),
+        later,
+        "it is not tried again at once"
+    );
+}
+
+/// Numbers of a later epoch are higher than all of an earlier one.
+#[test]
+fn attempts_and_segments_are_never_given_out_twice() {
+    let mut term = term();
+    let (attempt, segment) = (term.next_attempt(), term.next_segment());
+    assert!(term.next_attempt() > attempt && term.next_segment() > segment);
+    let last = (term.next_attempt(), term.next_segment());
+    let epoch = term.begin_epoch_bump(NOW);
+    term.epoch_bumped(epoch, Version(9), NOW);
+    assert!(term.next_attempt() > last.0 && term.next_segment() > last.1);
+}
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -60,9 +60,9 @@
     }
 
     fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool) {
-        let leader = self.job_cache.leader().map(|(_, r)| r.node.clone());
+        let leader = self.job_cache.leader().map(|r| r.node.clone());
         match leader {
-            Some(leader) if local && self.peers.contains_key(&leader) => {
+            Some(leader) if local && self.peers.contains(&leader) => {
                 let forward = Forward::Admin(request.path());
                 self.out.push(Output::Forward(leader, req, forward));
                 self.user_requests.forwarded_to_leader(req);
@@ -140,7 +140,7 @@
     }
 
     fn overview(&self, now: Now) -> Value {
-        let leader_record = self.job_cache.leader().map(|(_, r)| r);
+        let leader_record = self.job_cache.leader();
         let leader = self.leader.as_ref();
         json!({
             "node": self.settings.node,
--- a/crates/core/src/node/cache_sync.rs
+++ b/crates/core/src/node/cache_sync.rs
@@ -88,7 +88,7 @@
         if let Some((version, settings)) = self.job_cache.admin.take() {
             self.apply_admin_settings(version, settings);
         }
-        if let Some((_, record)) = self.job_cache.leader() {
+        if let Some(record) = self.job_cache.leader() {
             self.election.observe_epoch(record.epoch, now.time);
         }
     }
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -138,7 +138,7 @@
     /// The watch, a read of all jobs or a catch-up has reached a revision.
     pub(crate) fn advance_cancellation_watermark(&mut self, revision: Version) {
         self.cancellations.advance_watermark(revision);
-        self.election.jobs_read = true;
+        self.election.observe_jobs_read();
     }
 
     /// Records what a heartbeat says of its sender's watermark; returns what the sender lacks, if it asks for a
--- a/crates/core/src/node/direct_calls.rs
+++ b/crates/core/src/node/direct_calls.rs
@@ -20,9 +20,10 @@
             let Some(report) = self.forward_report(req, report, now) else {
                 return;
             };
-            if self.election.stands_in_for_leader(now.time) && report.token <= self.election.epoch {
+            if self.election.stands_in_for_leader(now.time) && report.token <= self.election.epoch()
+            {
                 let reply = StatusReportReply {
-                    token: self.election.epoch,
+                    token: self.election.epoch(),
                     commands: self.job_cache.stops_for_cancelled_tasks(&report),
                 };
                 return self.answer(req, 200, json(&reply));
@@ -37,7 +38,7 @@
         }
         match leader.answer_report(&report, &self.job_cache, now) {
             Some(commands) => {
-                let token = leader.term.epoch;
+                let token = leader.term.epoch();
                 if commands.is_empty() {
                     if let Some(peer) = self.peer_for_report(&report.machine, now.time) {
                         return self.redirect_agent(req, Some(peer));
@@ -53,7 +54,7 @@
     /// that has long ended, and would send workers to and fro. (Two nodes that the state service
     /// refused did so until the leases ran out, since the one still took the other for the leader.)
     fn report_elsewhere(&mut self, req: ReqId, now: Time) {
-        let recorded = self.job_cache.leader().map(|(_, r)| r.node.clone());
+        let recorded = self.job_cache.leader().map(|r| r.node.clone());
         let recorded = recorded.filter(|_| self.election.store_reachable(now));
         let leader = self.reachable_leader(now).or(recorded);
         self.redirect_agent(req, leader.filter(|node| *node != self.settings.node));
@@ -104,7 +105,7 @@
             machine.next_direct_call_at = now.time + Span(200);
         }
         let body = DirectCommands {
-            token: leader.term.epoch,
+            token: leader.term.epoch(),
             incarnation,
             commands,
         };
@@ -121,7 +122,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let token = leader.term.epoch;
+        let token = leader.term.epoch();
         let Some(machine) = leader.fleet.machines.get_mut(id) else {
             return;
         };
@@ -156,7 +157,7 @@
         match outcome {
             DirectOutcome::Executed(report) => leader.direct_call_answered(&report, now),
             DirectOutcome::Rejected(Some(report)) => {
-                if report.token > leader.term.epoch {
+                if report.token > leader.term.epoch() {
                     return log::warn!("{id} follows a higher token");
                 }
                 leader.direct_call_answered(&report, now);
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -2,7 +2,7 @@
 
 use crate::io::{StoreAnswer, StoreCall};
 use crate::leader::Leader;
-use crate::leadership::election::{ElectionCall, ElectionEvent, ElectionWin};
+use crate::leadership::election::{ElectionCall, ElectionEvent, ElectionRequest, ElectionWin};
 use crate::leadership::step_down_reason::StepDownReason;
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
@@ -29,18 +29,17 @@
     /// Makes the calls of the election that are due: renewals of a leader's lease, looks at the leader's key, and
     /// campaigns.
     pub(super) fn election_tick(&mut self, now: Now) {
-        let held_lease = self.leader.as_ref().map(|leader| leader.term.lease_id);
-        let calls = self
-            .election
-            .tick(now.time, self.job_cache.leader_slot(), held_lease);
-        self.enqueue_election_calls(calls);
+        let held_lease = self.leader.as_ref().map(|leader| leader.term.lease_id());
+        let leader_slot = self.job_cache.leader_slot();
+        for request in self.election.tick(now.time, leader_slot, held_lease) {
+            self.enqueue_election_request(request);
+        }
     }
 
-    fn enqueue_election_calls(&mut self, calls: Vec<(StoreCall, ElectionCall)>) {
-        for (call, purpose) in calls {
-            self.store_calls
-                .enqueue(CallPriority::Lease, call, PendingCall::Election(purpose));
-        }
+    fn enqueue_election_request(&mut self, request: ElectionRequest) {
+        let purpose = PendingCall::Election(request.purpose);
+        self.store_calls
+            .enqueue(CallPriority::Lease, request.call, purpose);
     }
 
     /// The answer to a call of the election.
@@ -55,18 +54,22 @@
             self.lease_renewed(*lease, sent);
         }
         let progress = self.election.answered(now.time, sent, call, answer);
-        self.enqueue_election_calls(progress.calls);
-        match progress.verdict {
+        if let Some(request) = progress.request {
+            self.enqueue_election_request(request);
+        }
+        match progress.event {
             ElectionEvent::Nothing => {}
-            ElectionEvent::Leader(key, record) => self.job_cache.update_leader_read(key, record),
-            ElectionEvent::ElectionWin(win) => self.become_leader(win, now),
+            ElectionEvent::LeaderKeyRead(key, leader) => {
+                self.job_cache.update_leader_read(key, leader)
+            }
+            ElectionEvent::Won(win) => self.become_leader(win, now),
             ElectionEvent::Lost => self.step_down(StepDownReason::LeaseEnded),
         }
     }
 
     fn lease_renewed(&mut self, lease: LeaseId, sent: Time) {
         if let Some(leader) = self.leader.as_mut() {
-            if leader.term.lease_id == lease {
+            if leader.term.lease_id() == lease {
                 leader.term.lease_renewed(sent);
             }
         }
@@ -100,13 +103,15 @@
         let Some(leader) = self.leader.take() else {
             return;
         };
-        log::info!("stepped down epoch={} reason={reason}", leader.term.epoch);
-        let end = StoreCall::EndLease(leader.term.lease_id);
-        self.enqueue_election_calls(vec![(end, ElectionCall::End)]);
+        log::info!("stepped down epoch={} reason={reason}", leader.term.epoch());
+        self.enqueue_election_request(ElectionRequest {
+            call: StoreCall::EndLease(leader.term.lease_id()),
+            purpose: ElectionCall::EndLease,
+        });
         self.store_calls
             .set_rate(store_call_rate(&self.settings, false));
         self.cloud.clear();
-        self.job_cache.forget_leader(leader.term.lease_id);
+        self.job_cache.forget_leader(leader.term.lease_id());
     }
 
     /// Steps down if a failed commit shows that the leader's key is not this leader's any more; returns whether it
@@ -126,7 +131,7 @@
 
     /// Whether the key that this leader holds is among some.
     pub(crate) fn names_leader_key(&self, keys: &[String]) -> bool {
-        let held = self.leader.as_ref().map(|leader| leader.term.key.name());
+        let held = self.leader.as_ref().map(|leader| leader.term.key().name());
         keys.iter().any(|key| Some(key.as_str()) == held)
     }
 }
--- a/crates/core/src/node/epoch_bump.rs
+++ b/crates/core/src/node/epoch_bump.rs
@@ -53,7 +53,7 @@
         let Some(leader) = self.leader.as_ref() else {
             return;
         };
-        let call = StoreCall::Get(leader.term.key.name().into());
+        let call = StoreCall::Get(leader.term.key().name().into());
         self.call_store_as_leader(call, LeaderCall::VerifyEpochBump(epoch));
     }
 
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,116 +1,124 @@
-//! What the nodes tell one another of themselves, and what the load balancer is told.
+//! Heartbeats between the nodes: what each says of itself, the lease votes and acknowledgements that the answers carry,
+//! and the answer to the load balancer's health check.
+//!
+//! A heartbeat goes to every peer at a steady interval. It asks for a lease vote if its sender leads, or could stand in
+//! for the leader. An answer that names the leader's own epoch acknowledges it. Votes and acknowledgements count from
+//! the sending of the heartbeat, so what comes late counts for less.
 
 use crate::api::refusal::Refusal;
+use crate::api::user_requests::TaskProgress;
 use crate::io::{Output, ReqId};
 use crate::leader::Leader;
+use crate::leadership::election::VoteRequester;
 use crate::leadership::step_down_reason::StepDownReason;
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Epoch, JobId, NodeName, Zone};
 use rudderreel_wire::peer::{Count, Heartbeat, HeartbeatReply, MAX_MESSAGE_BYTES};
 
-/// Jobs whose tasks a heartbeat counts, at most: an entry has fewer than 40 bytes, and the whole has to
-/// fit into a message. They are for display.
-const MOST_COUNTS: usize = MAX_MESSAGE_BYTES / 2 / 40;
+/// Interval of the heartbeats to the other nodes.
+const HEARTBEAT_INTERVAL: Span = Span(500);
+/// The leader's counts of tasks are for display, and many: only one heartbeat of so many carries them.
+const HEARTBEATS_PER_COUNTS: u64 = 4;
+/// Bytes of a job's counts in a heartbeat, at most.
+const COUNT_BYTES: usize = 40;
+/// Jobs whose tasks a heartbeat counts, at most, so that it fits into a message.
+const MAX_COUNTS: usize = MAX_MESSAGE_BYTES / 2 / COUNT_BYTES;
 
 impl Node {
-    pub(crate) fn send_heartbeat(&mut self, now: Now) {
+    /// Sends a heartbeat if one is due.
+    pub(super) fn heartbeat_tick(&mut self, now: Now) {
+        if now.time >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now.time + HEARTBEAT_INTERVAL;
+            self.send_heartbeat(now);
+        }
+    }
+
+    fn send_heartbeat(&mut self, now: Now) {
         self.heartbeats_sent += 1;
-        let counts = match &self.leader {
-            // They are for display, and many: not with every heartbeat.
-            Some(leader) if self.heartbeats_sent % 4 == 1 => {
-                let running = leader.running_tasks_by_job();
-                // Of what is not named nothing is done and nothing runs.
-                let counts: Vec<Count> = (leader.jobs.iter())
-                    .map(|(id, job)| (id, job.done.len(), running.get(id).copied().unwrap_or(0)))
-                    .filter(|(_, done, running)| done + running > 0)
-                    .take(MOST_COUNTS)
-                    .map(|(id, done, running)| Count {
-                        job: id.to_string(),
-                        done,
-                        running,
-                    })
-                    .collect();
-                Some(counts)
-            }
-            _ => None,
-        };
+        let counts = self.counts_to_send();
         if let Some(counts) = &counts {
-            self.update_task_counts(counts);
+            self.update_task_progress(counts);
         }
-        let load = self.reported_load(now.time);
-        self.out.push(Output::Heartbeat(Heartbeat {
+        let heartbeat = self.heartbeat_now(counts, now);
+        self.out.push(Output::Heartbeat(heartbeat));
+        self.update_old_leaders_fenced_at(now.time);
+    }
+
+    /// The counts that the next heartbeat carries, if it carries any.
+    fn counts_to_send(&self) -> Option<Vec<Count>> {
+        let carries_counts = self.heartbeats_sent % HEARTBEATS_PER_COUNTS == 1;
+        let leader = self.leader.as_ref().filter(|_| carries_counts)?;
+        Some(counts_of(leader))
+    }
+
+    fn heartbeat_now(&mut self, counts: Option<Vec<Count>>, now: Now) -> Heartbeat {
+        let workers = self.reported_load(now.time);
+        let leader = self.leader.as_ref();
+        Heartbeat {
             from: self.settings.node.to_string(),
-            epoch: self
-                .leader
-                .as_ref()
-                .map_or(self.election.epoch, |l| l.term.epoch),
-            leads: self.leader.is_some(),
+            epoch: leader.map_or(self.election.epoch(), |leader| leader.term.epoch()),
+            leads: leader.is_some(),
             store_reachable: self.election.store_reachable(now.time),
-            requests_lease_vote: self.leader.is_some() || self.election.could_stand_in(now.time),
-            machines: self.leader.as_ref().map_or(0, Leader::fleet_size),
-            workers: load,
-            forwards_reports: self.leader.is_some() || self.reachable_leader(now.time).is_some(),
+            requests_lease_vote: leader.is_some() || self.election.could_stand_in(now.time),
+            machines: leader.map_or(0, Leader::fleet_size),
+            workers,
+            forwards_reports: leader.is_some() || self.reachable_leader(now.time).is_some(),
             worker_silence_ms: self.agent_silence(now.time).0,
-            partitioned_zones: (self.leader.iter().flat_map(|l| &l.fleet.partitioned_zones))
+            partitioned_zones: (leader.iter().flat_map(|l| &l.fleet.partitioned_zones))
                 .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
                 .collect(),
             counts,
             cancellation_watermark: self.cancellations.watermark(),
-        }));
-        self.update_old_leaders_fenced_at(now.time);
+        }
     }
 
-    fn update_task_counts(&mut self, counts: &[Count]) {
-        self.task_counts = (counts.iter())
-            .filter_map(|c| Some((c.job.parse().ok()?, (c.done, c.running))))
-            .collect();
+    fn update_task_progress(&mut self, counts: &[Count]) {
+        let progress_by_job = counts.iter().filter_map(|count| {
+            let job: JobId = count.job.parse().ok()?;
+            let progress = TaskProgress {
+                done: count.done,
+                running: count.running,
+            };
+            Some((job, progress))
+        });
+        self.task_progress = progress_by_job.collect();
     }
 
-    /// Tasks of a job that are done and that run, for display.
-    pub(crate) fn task_counts(&self, id: &JobId) -> (u32, u32) {
-        self.task_counts.get(id).copied().unwrap_or_default()
+    /// Tasks of a job that are done and that run, as the leader counted them last.
+    pub(crate) fn task_progress(&self, id: &JobId) -> TaskProgress {
+        self.task_progress.get(id).copied().unwrap_or_default()
     }
 
-    pub(crate) fn heartbeat(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
-        let silence = Span(heartbeat.worker_silence_ms);
-        self.update_peer(
-            &heartbeat.from,
-            heartbeat.store_reachable,
-            silence,
-            now.time,
-        );
-        self.update_peer_load(&heartbeat);
-        if heartbeat.leads && heartbeat.epoch >= self.election.epoch {
+    /// A peer's heartbeat: notes what it says, decides on the lease vote, and answers.
+    pub(super) fn heartbeat(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
+        self.record_peer_heartbeat(&heartbeat, now);
+        let is_leaders = heartbeat.leads && heartbeat.epoch >= self.election.epoch();
+        if is_leaders {
             self.election.observe_leader(now.time);
         }
         let catchup = self.catch_up_for(&heartbeat);
-        let whole = catchup.as_ref().is_some_and(|offer| offer.is_complete);
-        let grants_lease_vote = whole
+        // The node that asks must know every cancellation that this one knows.
+        let is_caught_up = catchup.as_ref().is_some_and(|offer| offer.is_complete);
+        let requester = if heartbeat.leads {
+            VoteRequester::Leader
+        } else {
+            VoteRequester::StandIn
+        };
+        let grants_lease_vote = is_caught_up
             && self
                 .election
-                .grant_lease_vote(now.time, heartbeat.epoch, heartbeat.leads);
-        // Only an outage makes words, and catching up by them, needed.
+                .grant_lease_vote(now.time, heartbeat.epoch, requester);
+        // Only an outage of the store makes lease votes, and catching up by them, needed.
         let catchup = catchup.filter(|_| !self.election.store_reachable(now.time));
         self.election.observe_epoch(heartbeat.epoch, now.time);
-        if heartbeat.leads && heartbeat.epoch >= self.election.epoch {
-            self.leader_machines = heartbeat.machines;
-            self.leader_partitioned_zones = (heartbeat.partitioned_zones.iter())
-                .map(|(zone, ms)| {
-                    (
-                        Zone::from(zone.as_str()),
-                        Time(now.time.0.saturating_sub(*ms)),
-                    )
-                })
-                .collect();
-            if let Some(counts) = &heartbeat.counts {
-                self.update_task_counts(counts);
-            }
+        if is_leaders {
+            self.record_leaders_view(&heartbeat, now.time);
         }
-        self.check_epoch(heartbeat.epoch);
+        self.step_down_if_outdated(heartbeat.epoch);
         let reply = HeartbeatReply {
             from: self.settings.node.to_string(),
-            epoch: self.election.epoch,
+            epoch: self.election.epoch(),
             store_reachable: self.election.store_reachable(now.time),
             grants_lease_vote,
             worker_silence_ms: self.agent_silence(now.time).0,
@@ -120,79 +128,93 @@
         self.out.push(Output::AnswerHeartbeat(req, reply));
     }
 
-    pub(crate) fn heartbeat_reply(&mut self, sent: Time, mut reply: HeartbeatReply, now: Now) {
+    fn record_peer_heartbeat(&mut self, heartbeat: &Heartbeat, now: Now) {
+        let name = NodeName::from(heartbeat.from.as_str());
+        let silence = Span(heartbeat.worker_silence_ms);
+        self.peers
+            .record_contact(&name, heartbeat.store_reachable, silence, now.time);
+        self.peers.record_heartbeat(&name, heartbeat);
+        self.forwarding.sent.remove(&name);
+    }
+
+    /// Notes what the leader says of the fleet, which a node that follows it could not tell by itself.
+    fn record_leaders_view(&mut self, heartbeat: &Heartbeat, now: Time) {
+        self.leader_machines = heartbeat.machines;
+        self.leader_partitioned_zones = (heartbeat.partitioned_zones.iter())
+            .map(|(zone, ms)| (Zone::from(zone.as_str()), Time(now.0.saturating_sub(*ms))))
+            .collect();
+        if let Some(counts) = &heartbeat.counts {
+            self.update_task_progress(counts);
+        }
+    }
+
+    /// A peer's answer to a heartbeat that was sent at a moment.
+    pub(super) fn heartbeat_reply(&mut self, sent: Time, mut reply: HeartbeatReply, now: Now) {
+        // Before the lease vote in it counts.
         self.catch_up(&mut reply);
+        let name = NodeName::from(reply.from.as_str());
         let silence = Span(reply.worker_silence_ms);
-        self.update_peer(&reply.from, reply.store_reachable, silence, now.time);
+        self.peers
+            .record_contact(&name, reply.store_reachable, silence, now.time);
         self.election.observe_epoch(reply.epoch, now.time);
-        self.check_epoch(reply.epoch);
-        let name = NodeName::from(reply.from.as_str());
-        if let Some(leader) = self.leader.as_mut() {
-            if !self.peers.contains_key(&name) {
-                return;
-            }
+        self.step_down_if_outdated(reply.epoch);
+        if self.peers.contains(&name) {
+            self.record_vote_and_acknowledgement(name, sent, &reply, now);
+        }
+    }
+
+    fn record_vote_and_acknowledgement(
+        &mut self,
+        peer: NodeName,
+        sent: Time,
+        reply: &HeartbeatReply,
+        now: Now,
+    ) {
+        let Some(leader) = self.leader.as_mut() else {
             if reply.grants_lease_vote {
-                leader.term.record_lease_vote(name.clone(), sent);
-            }
-            if reply.epoch == leader.term.epoch {
-                leader.term.record_acknowledgement(name, sent);
-                self.update_old_leaders_fenced_at(now.time);
+                self.election.record_lease_vote(peer, sent);
             }
-        } else if reply.grants_lease_vote && self.peers.contains_key(&name) {
-            self.election.record_lease_vote(name, sent);
+            return;
+        };
+        if reply.grants_lease_vote {
+            leader.term.record_lease_vote(peer.clone(), sent);
+        }
+        if reply.epoch == leader.term.epoch() {
+            leader.term.record_acknowledgement(peer, sent);
+            self.update_old_leaders_fenced_at(now.time);
         }
     }
 
-    /// A higher epoch than this leader's own means that another node leads.
-    pub(crate) fn check_epoch(&mut self, epoch: Epoch) {
-        let raising = self
-            .leader
-            .as_ref()
-            .is_some_and(|l| l.term.epoch_bump.in_progress);
-        if !raising && self.leader.as_ref().is_some_and(|l| epoch > l.term.epoch) {
+    /// A higher epoch than this leader's own means that another node leads, unless this leader is just bumping its own.
+    fn step_down_if_outdated(&mut self, epoch: Epoch) {
+        let is_outdated = (self.leader.as_ref())
+            .is_some_and(|leader| epoch > leader.term.epoch() && !leader.term.is_bumping_epoch());
+        if is_outdated {
             self.step_down(StepDownReason::HigherEpoch);
         }
     }
 
-    /// Once a majority has acknowledged the epoch, no older leader goes on, and nobody takes care
-    /// in this one's place, for longer than a word is good for: as long as the majority goes on
+    /// Updates from when on no older leader answers agents, and no node stands in for this leader: once a majority has
+    /// acknowledged the epoch, for longer than a lease vote is good for, and as long as the majority goes on
     /// acknowledging.
     pub(crate) fn update_old_leaders_fenced_at(&mut self, now: Time) {
         let majority = self.election.majority();
-        let superseding = !self.job_cache.is_complete || self.job_cache.dependencies_in_use();
+        let may_have_superseded =
+            !self.job_cache.is_complete || self.job_cache.dependencies_in_use();
         if let Some(leader) = self.leader.as_mut() {
-            (leader.term).update_old_leaders_fenced_at(now, majority, superseding);
-        }
-    }
-
-    fn update_peer_load(&mut self, heartbeat: &Heartbeat) {
-        let name = NodeName::from(heartbeat.from.as_str());
-        self.forwarding.sent.remove(&name);
-        if let Some(peer) = self.peers.get_mut(&name) {
-            peer.leads = heartbeat.leads;
-            peer.epoch = heartbeat.epoch;
-            peer.workers = heartbeat.workers;
-            peer.forwards_reports = heartbeat.forwards_reports;
+            (leader.term).update_old_leaders_fenced_at(now, majority, may_have_superseded);
         }
     }
 
-    /// How long no worker has reported here.
-    pub(crate) fn agent_silence(&self, now: Time) -> Span {
-        self.last_report_at.map_or(Span(u64::MAX), |t| now - t)
+    /// How long no agent has reported here.
+    fn agent_silence(&self, now: Time) -> Span {
+        self.last_report_at.map_or(Span(u64::MAX), |at| now - at)
     }
 
-    fn update_peer(&mut self, name: &str, store_reachable: bool, silence: Span, now: Time) {
-        if let Some(peer) = self.peers.get_mut(&NodeName::from(name)) {
-            peer.last_heartbeat_at = now;
-            peer.store_reachable = store_reachable;
-            peer.agent_silence = silence;
-        }
-    }
-
-    pub(crate) fn health(&mut self, req: ReqId, now: Now) {
-        let peer = (self.peers.values())
-            .any(|p| p.store_reachable && now.time < p.last_heartbeat_at + Span(1_500));
-        if self.election.store_reachable(now.time) || peer {
+    /// The load balancer's health check: a node is healthy if the store answers it or a peer that it can forward to.
+    pub(super) fn health(&mut self, req: ReqId, now: Now) {
+        let is_peer_served = self.peers.first_served_by_store(now.time).is_some();
+        if self.election.store_reachable(now.time) || is_peer_served {
             self.answer(req, 200, "{}".into());
         } else {
             self.refuse(req, Refusal::StoreUnreachable);
@@ -200,5 +222,20 @@
     }
 }
 
+/// A leader's counts of tasks. Of a job that is not named nothing is done and nothing runs.
+fn counts_of(leader: &Leader) -> Vec<Count> {
+    let running = leader.running_tasks_by_job();
+    (leader.jobs.iter())
+        .map(|(id, job)| (id, job.done.len(), running.get(id).copied().unwrap_or(0)))
+        .filter(|(_, done, running)| done + running > 0)
+        .take(MAX_COUNTS)
+        .map(|(id, done, running)| Count {
+            job: id.to_string(),
+            done,
+            running,
+        })
+        .collect()
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/node/heartbeats/tests.rs
+++ b/crates/core/src/node/heartbeats/tests.rs
@@ -20,7 +20,7 @@
         panic!("no heartbeat");
     };
     let counts = heartbeat.counts.clone().expect("counts");
-    assert_eq!(counts.len(), MOST_COUNTS);
+    assert_eq!(counts.len(), MAX_COUNTS);
     assert!(bitcode::encode(&heartbeat).len() < MAX_MESSAGE_BYTES);
     // What is not named has neither tasks that are done nor any that run.
     assert!(counts.iter().all(|count| count.done + count.running > 0));
--- a/crates/core/src/node/leader_tick.rs
+++ b/crates/core/src/node/leader_tick.rs
@@ -84,13 +84,14 @@
         let may_commit = (self.leader.as_ref()).is_some_and(|leader| {
             leader.recovery.is_complete
                 && leader.term.is_lease_valid(now.time)
-                && !leader.term.epoch_bump.in_progress
+                && !leader.term.is_bumping_epoch()
         });
         if !may_commit {
             return;
         }
         self.close_version_gate(now);
-        if (self.leader.as_ref()).is_none_or(|leader| leader.term.version_gate.is_changing_key()) {
+        if (self.leader.as_ref()).is_none_or(|leader| leader.term.version_gate().is_key_changing())
+        {
             return;
         }
         self.flush_placement_log(now);
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -12,7 +12,7 @@
         ..NOW
     };
     let peer = PeerStatus {
-        last_heartbeat_at: now.time + FAR_BEHIND,
+        last_heartbeat_at: now.time + FAR_BEHIND_TIMEOUT,
         store_reachable: peer_served,
         ..PeerStatus::default()
     };
@@ -34,17 +34,25 @@
 /// A leader at a third of its speed kept its lease for ten seconds, in which few workers were answered.
 #[test]
 fn a_leader_that_stays_far_behind_makes_way() {
-    let (mut node, now) = node_that_led(LED_LONG, true);
-    let now = wait(&mut node, now, FAR_BEHIND, Span(1_500));
+    let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
+    let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_none());
-    assert_eq!(node.election.hold_off, now.time + HOLD_OFF);
+    assert_eq!(
+        node.election.campaigns_paused_until(),
+        now.time + CAMPAIGN_PAUSE
+    );
 }
 
 #[test]
 fn a_leader_that_is_behind_for_a_moment_goes_on() {
-    let (mut node, now) = node_that_led(LED_LONG, true);
-    let now = wait(&mut node, now, Span(FAR_BEHIND.0 - 100), Span(1_500));
+    let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
+    let now = wait(
+        &mut node,
+        now,
+        Span(FAR_BEHIND_TIMEOUT.0 - 100),
+        Span(1_500),
+    );
     node.transfer_leadership_if_unfit(now);
     let now = wait(&mut node, now, Span(5_000), Span(700));
     node.transfer_leadership_if_unfit(now);
@@ -62,8 +70,8 @@
 
 #[test]
 fn a_slow_leader_goes_on_where_nobody_could_follow() {
-    let (mut node, now) = node_that_led(LED_LONG, false);
-    let now = wait(&mut node, now, FAR_BEHIND, Span(1_500));
+    let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, false);
+    let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_some());
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -25,6 +25,7 @@
 
 use crate::agents::report_forwarding::ReportForwarding;
 use crate::api::cancellation_replication::CancellationReplicator;
+use crate::api::user_requests::TaskProgress;
 use crate::api::user_requests::{RequestOrigin, UserRequests};
 use crate::cache::cache_sync::CacheSync;
 use crate::cache::job_cache::JobCache;
@@ -32,7 +33,7 @@
 use crate::io::{Input, Output};
 use crate::leader::Leader;
 use crate::leadership::election::Election;
-use crate::leadership::peers::PeerStatus;
+use crate::leadership::peers::PeerTable;
 use crate::node::election::store_call_rate;
 use crate::node::pending_call::PendingCall;
 use crate::overload::backlog::Backlog;
@@ -76,8 +77,8 @@
     pub(crate) leader_machines: u32,
     /// Zones that the leader said are cut off, and since when.
     pub(crate) leader_partitioned_zones: BTreeMap<Zone, Time>,
-    pub(crate) peers: BTreeMap<NodeName, PeerStatus>,
-    pub(crate) task_counts: BTreeMap<JobId, (u32, u32)>,
+    pub(crate) peers: PeerTable,
+    pub(crate) task_progress: BTreeMap<JobId, TaskProgress>,
     /// Whether the cache is being filled.
     cache_sync: CacheSync,
     pub(crate) next_heartbeat_at: Time,
@@ -93,9 +94,6 @@
     pub(crate) out: Vec<Output>,
 }
 
-/// Interval of the heartbeats to the other nodes.
-const HEARTBEAT_INTERVAL: Span = Span(500);
-
 impl Node {
     /// A node that has just started.
     pub fn new(settings: Settings) -> Self {
@@ -104,13 +102,11 @@
         names.push(&settings.node);
         names.sort();
         let rank = names.iter().position(|n| **n == settings.node).unwrap_or(0) as u64;
-        let peers: BTreeMap<NodeName, PeerStatus> = (settings.peers.iter())
-            .map(|p| (p.node.clone(), PeerStatus::default()))
-            .collect();
+        let peers = PeerTable::new(settings.peers.iter().map(|peer| peer.node.clone()));
         let election = Election::new(settings.node.clone(), nodes, rank);
         let cancellations = CancellationReplicator::new(
             settings.node.clone(),
-            peers.keys().cloned(),
+            peers.names().cloned(),
             election.majority(),
         );
         Self {
@@ -136,7 +132,7 @@
             leader_machines: 0,
             leader_partitioned_zones: BTreeMap::new(),
             peers,
-            task_counts: BTreeMap::new(),
+            task_progress: BTreeMap::new(),
             cache_sync: CacheSync::default(),
             next_heartbeat_at: Time(0),
             heartbeats_sent: 0,
@@ -211,10 +207,7 @@
         self.cancellations_tick(now);
         self.fetch_catalog(now);
         self.forwarding_tick(now);
-        if now.time >= self.next_heartbeat_at {
-            self.next_heartbeat_at = now.time + HEARTBEAT_INTERVAL;
-            self.send_heartbeat(now);
-        }
+        self.heartbeat_tick(now);
         self.leader_tick(now);
     }
 }
--- a/crates/core/src/node/pending_call.rs
+++ b/crates/core/src/node/pending_call.rs
@@ -61,7 +61,7 @@
         let Some(leader) = &self.leader else {
             return;
         };
-        let purpose = PendingCall::Leader(leader.term.id(), purpose);
+        let purpose = PendingCall::Leader(leader.term.lease_id(), purpose);
         self.store_calls
             .enqueue(CallPriority::Leader, call, purpose);
     }
@@ -99,7 +99,7 @@
 
     /// Whether this node leads in the term of a lease.
     fn is_leading_in(&self, term: LeaseId) -> bool {
-        (self.leader.as_ref()).is_some_and(|leader| leader.term.id() == term)
+        (self.leader.as_ref()).is_some_and(|leader| leader.term.lease_id() == term)
     }
 
     fn leader_call_answered(&mut self, call: LeaderCall, answer: StoreAnswer, now: Now) {
@@ -115,7 +115,7 @@
                 self.epoch_bump_verification_answered(epoch, answer, now)
             }
             LeaderCall::StoreCatalog => {}
-            LeaderCall::CloseVersionGate => self.gate_answered(answer, now),
+            LeaderCall::CloseVersionGate => self.version_gate_answered(answer, now),
             LeaderCall::CommitCascade(jobs) => self.cascaded(jobs, answer, now),
         }
     }
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -50,7 +50,7 @@
             self.refuse(req, Refusal::TooManyReports);
             return None;
         }
-        let me = (leader, self.election.epoch);
+        let me = (leader, self.election.epoch());
         if self.forwarding.leader.as_ref() != Some(&me) {
             self.forwarding.taken.clear();
             self.forwarding.leader = Some(me);
@@ -79,11 +79,11 @@
     /// The leader, if it was heard lately. A node that the state service refuses may not have seen its
     /// key change, but hears who leads a later epoch.
     pub(crate) fn reachable_leader(&self, now: Time) -> Option<NodeName> {
-        let leads = |p: &PeerStatus| p.leads && now < p.last_heartbeat_at + Span(1_500);
-        let recorded = self.job_cache.leader().map(|(_, r)| &r.node);
-        let named = recorded.filter(|node| self.peers.get(*node).is_some_and(leads));
+        let leads = |p: &PeerStatus| p.leads && p.is_reachable(now);
+        let recorded = self.job_cache.leader().map(|r| &r.node);
+        let named = recorded.filter(|node| self.peers.get(node).is_some_and(leads));
         let heard = (self.peers.iter())
-            .filter(|(_, p)| leads(p) && p.epoch >= self.election.epoch)
+            .filter(|(_, p)| leads(p) && p.epoch >= self.election.epoch())
             .max_by_key(|(_, p)| p.epoch)
             .map(|(name, _)| name);
         named.or(heard).cloned()
@@ -94,7 +94,7 @@
     /// nearly over before it finds a third.
     fn next_is_silent(&self, name: &NodeName, now: Time) -> bool {
         let me = &self.settings.node;
-        let names = || self.peers.keys().chain([me]);
+        let names = || self.peers.names().chain([me]);
         let next = (names().filter(|n| *n > name).min()).or_else(|| names().min());
         (next.and_then(|n| self.peers.get(n))).is_some_and(|p| now > p.last_heartbeat_at + SILENT)
     }
@@ -123,7 +123,7 @@
         };
         let mine = mine * weight(self.leader.is_some(), &self.settings.node);
         let (load, peer) = (self.peers.iter())
-            .filter(|(_, p)| now < p.last_heartbeat_at + Span(1_500) && p.forwards_reports)
+            .filter(|(_, p)| p.is_reachable(now) && p.forwards_reports)
             .filter(|(name, p)| self.forwarding.may_send(name, p, report, now))
             .map(|(name, p)| {
                 let sent = self.forwarding.sent.get(name).copied().unwrap_or(0);
@@ -272,7 +272,7 @@
             .map(|report| leader.apply_forwarded_report(report, &self.job_cache, now))
             .collect();
         let reply = ForwardedReportsReply {
-            token: Some(leader.term.epoch),
+            token: Some(leader.term.epoch()),
             answers,
         };
         self.out.push(Output::AnswerForwardedReports(req, reply));
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -3,20 +3,18 @@
 use crate::api::admission::{put_job, Feasibility};
 use crate::api::read_confirmation::is_final;
 use crate::api::refusal::Refusal;
-use crate::api::user_requests::{PendingRequest, RequestOrigin, TaskProgress, UserCall};
+use crate::api::user_requests::{PendingRequest, RequestOrigin, UserCall};
 use crate::cache::job_cache::KnownJob;
 use crate::io::{Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
 use crate::store::calls::CallPriority;
 use crate::store::records::{job_key, JobRecord};
-use crate::units::{Now, Span};
-use rudderreel_wire::ids::{JobId, NodeName};
+use crate::units::Now;
+use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::JobState;
 use std::collections::BTreeMap;
 
-/// A peer whose last heartbeat is older is not asked to serve a request.
-const PEER_HEARTBEAT_TIMEOUT: Span = Span(1_500);
 /// HTTP statuses.
 const OK: u16 = 200;
 const UNAVAILABLE: u16 = 503;
@@ -228,8 +226,7 @@
         let Some(known) = self.job_cache.jobs.get(request.job()) else {
             return self.refuse(request.id(), Refusal::JobNotCached);
         };
-        let (done, running) = self.task_counts(request.job());
-        let body = request.answer_body(&known.record, TaskProgress { done, running });
+        let body = request.answer_body(&known.record, self.task_progress(request.job()));
         self.user_requests.record_latency(request.age(now.time));
         self.answer(request.id(), OK, body);
     }
@@ -237,7 +234,7 @@
     /// The state service does not serve this node: a peer may be luckier. If not, the user is told at once when to
     /// come back.
     pub(crate) fn forward_or_refuse(&mut self, request: PendingRequest, now: Now) {
-        match self.peer_with_store(now) {
+        match self.peers.first_served_by_store(now.time).cloned() {
             Some(peer) if request.may_be_forwarded(now.time) => {
                 let id = request.id();
                 self.out
@@ -248,15 +245,6 @@
         }
     }
 
-    /// A peer that reaches the state service, by its heartbeats.
-    fn peer_with_store(&self, now: Now) -> Option<NodeName> {
-        let mut peers = self.peers.iter();
-        let found = peers.find(|(_, peer)| {
-            peer.store_reachable && now.time < peer.last_heartbeat_at + PEER_HEARTBEAT_TIMEOUT
-        });
-        found.map(|(name, _)| name.clone())
-    }
-
     /// A peer's answer to a forwarded request.
     pub(crate) fn forward_answered(&mut self, req: ReqId, answer: Option<(u16, String)>) {
         if !self.user_requests.forward_ended(req) {
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -1,9 +1,7 @@
 use super::*;
 use crate::cache::job_cache::JobCache;
-use crate::leadership::election::LeaderSlot;
-use crate::leadership::election::LEADER_LEASE_TTL;
-use crate::store::records::LEADER_KEY;
-use crate::store::records::RECORD_FORMAT;
+use crate::leadership::election::{LeaderSlot, LEADER_LEASE_TTL};
+use crate::store::records::{LeaderKey, StoredLeader, LEADER_KEY, RECORD_FORMAT};
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
 
@@ -17,22 +15,22 @@
 
 /// A superseded leader may go on by its own clock, so nothing is concluded from leases before that is over.
 #[test]
-fn the_fence_comes_after_a_superseded_leader_has_surely_stopped() {
-    let fence_of = |node: &mut Node| {
+fn older_leaders_count_as_fenced_only_after_a_superseded_one_has_surely_stopped() {
+    let fenced_at = |node: &mut Node| {
         node.update_old_leaders_fenced_at(NOW.time);
         node.leader
             .as_ref()
-            .and_then(|leader| leader.term.old_leaders_fenced_at)
+            .and_then(|leader| leader.term.old_leaders_fenced_at())
     };
     let mut alone = leading_node();
-    let before = fence_of(&mut alone).expect("a fence");
+    let before = fenced_at(&mut alone).expect("a moment");
     assert!(before < NOW.time + LEADER_LEASE_TTL);
     let mut after = leading_node();
     after.job_cache.dependencies_seen = true;
-    assert!(fence_of(&mut after).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
+    assert!(fenced_at(&mut after).expect("a moment") > NOW.time + LEADER_LEASE_TTL);
     let mut unread = leading_node();
     unread.job_cache.is_complete = false;
-    assert!(fence_of(&mut unread).expect("a fence") > NOW.time + LEADER_LEASE_TTL);
+    assert!(fenced_at(&mut unread).expect("a moment") > NOW.time + LEADER_LEASE_TTL);
 }
 
 /// While nothing depends on anything, leaders of both versions are left alone; then only newer ones are.
@@ -43,28 +41,31 @@
         ..LeaderRecord::new("n1".into(), Epoch(4), LeaseId(1))
     };
     let mut cache = JobCache::default();
-    let old = Some((Version(3), record(0)));
-    cache.update_leader(LeaderKey::Common, Version(3), old);
+    let stored = |version: u64, record: LeaderRecord| {
+        let version = Version(version);
+        Some(StoredLeader { version, record })
+    };
+    cache.update_leader(LeaderKey::Common, Version(3), stored(3, record(0)));
     assert!(matches!(
         cache.leader_slot(),
-        LeaderSlot::Taken(LeaderKey::Common)
+        LeaderSlot::Held(LeaderKey::Common)
     ));
     cache.dependencies_seen = true;
     assert!(matches!(
         cache.leader_slot(),
-        LeaderSlot::Outdated((Version(3), _))
+        LeaderSlot::Outdated(leader) if leader.version == Version(3)
     ));
     let tombstone = record(0).tombstone(Some(LeaseId(1)));
-    cache.update_leader(LeaderKey::Common, Version(5), Some((Version(5), tombstone)));
+    cache.update_leader(LeaderKey::Common, Version(5), stored(5, tombstone));
     assert!(matches!(
         cache.leader_slot(),
-        LeaderSlot::Vacant(Some((Version(5), _)))
+        LeaderSlot::Vacant { superseded: Some(leader) } if leader.version == Version(5)
     ));
-    let new = Some((Version(6), record(RECORD_FORMAT)));
+    let new = stored(6, record(RECORD_FORMAT));
     cache.update_leader(LeaderKey::Gated, Version(6), new);
     assert!(matches!(
         cache.leader_slot(),
-        LeaderSlot::Taken(LeaderKey::Gated)
+        LeaderSlot::Held(LeaderKey::Gated)
     ));
 }
 
@@ -75,22 +76,26 @@
     let mut node = leading_node();
     node.job_cache.dependencies_seen = true;
     node.close_version_gate(NOW);
-    node.gate_answered(StoreAnswer::Unknown, NOW);
-    let gate = |node: &Node| node.leader.as_ref().map(|leader| leader.term.version_gate);
-    assert!(gate(&node).is_some_and(VersionGateStep::is_changing_key));
+    node.version_gate_answered(StoreAnswer::Unknown, NOW);
+    let gate = |node: &Node| {
+        node.leader
+            .as_ref()
+            .map(|leader| leader.term.version_gate())
+    };
+    assert!(gate(&node).is_some_and(VersionGateStep::is_key_changing));
     node.close_version_gate(NOW);
     assert!(
-        matches!(gate(&node), Some(VersionGateStep::ChangingKeyAgain(_))),
+        matches!(gate(&node), Some(VersionGateStep::MovingKeyAgainAt(_))),
         "not at once"
     );
     let later = Now {
-        time: NOW.time + AGAIN,
+        time: NOW.time + KEY_MOVE_RETRY_INTERVAL,
         ..NOW
     };
     node.close_version_gate(later);
-    node.gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), later);
-    assert_eq!(gate(&node), Some(VersionGateStep::ReadingKey));
-    let lease = node.leader.as_ref().map(|leader| leader.term.lease_id);
+    node.version_gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), later);
+    assert_eq!(gate(&node), Some(VersionGateStep::VerifyingKey));
+    let lease = node.leader.as_ref().map(|leader| leader.term.lease_id());
     let record = LeaderRecord::new("n0".into(), Epoch(1), lease.expect("a lease"));
     let item = rudderreel_wire::state::Item {
         key: GATED_LEADER_KEY.into(),
@@ -98,17 +103,17 @@
         version: Version(8),
         lease,
     };
-    node.gate_answered(StoreAnswer::Found(item), later);
+    node.version_gate_answered(StoreAnswer::Found(item), later);
     let leader = node.leader.as_ref().expect("it leads on");
     assert_eq!(
-        (leader.term.key, leader.term.key_version),
+        (leader.term.key(), leader.term.key_condition().version),
         (LeaderKey::Gated, Version(8))
     );
     // Another's key there means that it has lost.
     let mut lost = leading_node();
     lost.job_cache.dependencies_seen = true;
     lost.close_version_gate(NOW);
-    lost.gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), NOW);
-    lost.gate_answered(StoreAnswer::Missing, NOW);
+    lost.version_gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), NOW);
+    lost.version_gate_answered(StoreAnswer::Missing, NOW);
     assert!(lost.leader.is_none());
 }
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -116,7 +116,7 @@
                 JobStage::Cancelled(at) => at.until(now.wall),
                 JobStage::Active | JobStage::Finished => Span(0),
             },
-            led_for: now.time - self.term.elected_at,
+            led_for: now.time - self.term.elected_at(),
             cancel_deadline: self.agent_timings.cancel_deadline,
             report_interval: self.agent_timings.report_interval,
             heartbeat_timeout: self.silence_timeout(),
@@ -133,7 +133,7 @@
             && machine.is_lease_expired(
                 now + deadline.time_left(),
                 self.agent_timings.lease,
-                self.term.old_leaders_fenced_at,
+                self.term.old_leaders_fenced_at(),
             );
         if !lease_ends_task && deadline.requires_return(machine, now) {
             (machine.retire_reason).get_or_insert("holds a cancelled job");
--- a/crates/core/src/scheduling/machine_lifecycle.rs
+++ b/crates/core/src/scheduling/machine_lifecycle.rs
@@ -14,7 +14,7 @@
     /// Clears machines whose leases have surely expired: their agents have ended everything.
     pub fn expire_leases(&mut self, now: Now) {
         let lease = self.agent_timings.lease;
-        let old_leaders_fenced_at = self.term.old_leaders_fenced_at;
+        let old_leaders_fenced_at = self.term.old_leaders_fenced_at();
         let expired: Vec<MachineId> = (self.fleet.machines.values())
             .filter(|machine| !machine.tasks.is_empty())
             .filter(|machine| machine.is_lease_expired(now.time, lease, old_leaders_fenced_at))
--- a/crates/core/src/store/records.rs
+++ b/crates/core/src/store/records.rs
@@ -1,4 +1,4 @@
-//! What is kept in the state service.
+//! The keys of the store, and the records that they hold.
 //!
 //! | key | written by | holds |
 //! | --- | --- | --- |
@@ -6,12 +6,15 @@
 //! | `pub/leader` | the leader, on its lease | who leads, and its epoch |
 //! | `pub/admin` | any node, for an administrator | operators' settings |
 //! | `epoch` | the leader | the last epoch given out |
-//! | `book/<page>` | the leader, before a start is sent | tasks that may be on machines; tasks that are done |
+//! | `book/<segment>` | the leader, before a start is sent | tasks that may be on machines; tasks that are done |
 //! | `pub/catalog` | the leader | machine types as last fetched, until jobs depend on others |
-//! | `pub/machine-types` | the leader | the same from then on (see `version_gate`) |
-//! | `pub/leader_slot` | the leader, on its lease | what `pub/leader` held, from then on |
-//! | `pub/known/<node>` | that node, while links between nodes fail | which cancellations it knows |
+//! | `pub/machine-types` | the leader | the same from then on (see `leadership::version_gate`) |
+//! | `pub/seat` | the leader, on its lease | what `pub/leader` held, from then on |
+//! | `pub/known/<node>` | that node, while links between nodes fail | its cancellation watermark |
+//!
+//! The text of the keys and the names of stored fields are fixed: other versions of this software read them.
 
+use crate::io::Value;
 use crate::store::limits::StoreLimits;
 use crate::units::Wall;
 use rudderreel_wire::ids::{
@@ -20,7 +23,9 @@
 use rudderreel_wire::job::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 
-/// Everything that every node watches.
+// The text of each key is fixed.
+
+/// Prefix of everything that every node watches.
 pub const WATCHED_PREFIX: &str = "pub/";
 /// Prefix of jobs.
 pub const JOB_PREFIX: &str = "pub/job/";
@@ -30,15 +35,15 @@
 pub const GATED_LEADER_KEY: &str = "pub/seat";
 /// Operators' settings.
 pub const ADMIN_SETTINGS_KEY: &str = "pub/admin";
-/// The epoch's key.
+/// The last epoch given out.
 pub const EPOCH_KEY: &str = "epoch";
-/// Prefix of what nodes say about the cancellations that they know, when they can't tell one another.
+/// Prefix of the nodes' cancellation watermarks, which they write when they can't reach one another.
 pub const WATERMARK_PREFIX: &str = "pub/known/";
-/// Prefix of the pages of the leader's placement log.
+/// Prefix of the segments of the leader's placement log.
 pub const SEGMENT_PREFIX: &str = "book/";
-/// The catalog's key, which every version reads.
+/// The machine types, where every version reads them.
 pub const CATALOG_KEY: &str = "pub/catalog";
-/// The catalog's key once jobs depend on others. Versions that know no dependencies don't read it.
+/// The machine types once jobs depend on others. Versions that know no dependencies don't read this key.
 pub const GATED_CATALOG_KEY: &str = "pub/machine-types";
 /// What this version understands of the records: 2 since jobs may depend on others. A leader's record
 /// without it is that of a version that knows no dependencies.
@@ -49,20 +54,20 @@
     format!("{JOB_PREFIX}{id}")
 }
 
-/// A page's key.
-pub fn segment_key(page: SegmentId) -> String {
-    format!("{SEGMENT_PREFIX}{:016x}", page.0)
+/// The key of a segment of the placement log.
+pub fn segment_key(segment: SegmentId) -> String {
+    format!("{SEGMENT_PREFIX}{:016x}", segment.0)
 }
 
-/// A page of the placement log. A page is written once and deleted when nothing in it holds any more.
+/// A segment of the placement log. It is written once, and deleted when nothing in it holds any more.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentId(pub u64);
 
 impl SegmentId {
-    /// Not on any page.
+    /// In no segment.
     pub const NONE: Self = Self(0);
 
-    /// The page of a key without its prefix.
+    /// The segment of a key without its prefix.
     pub fn of_name(name: &str) -> Option<Self> {
         u64::from_str_radix(name, 16).ok().map(Self)
     }
@@ -76,7 +81,7 @@
     pub state: JobState,
     /// When it was submitted.
     pub submitted: Wall,
-    /// When its user withdrew it.
+    /// When it was cancelled.
     pub cancelled: Option<Wall>,
     /// The dependency whose cancellation cancelled it, if its user did not.
     pub cancelled_by: Option<JobId>,
@@ -100,10 +105,9 @@
     Dependent(DependentState),
 }
 
-/// The state of an unfinished job that depends on others. It is a word of its own so that a version
-/// that knows no dependencies can't read the record: such a version would drop them, start the job
-/// before they are done, and call it queued after they are cancelled. What it can't read it neither
-/// starts nor tells of.
+/// The state of an unfinished job that depends on others. It is stored as a state of its own so that a version that
+/// knows no dependencies can't read the record: such a version would drop them, start the job before they are done, and
+/// call it queued after they are cancelled. What it can't read it neither starts nor reports to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum DependentState {
     #[serde(rename = "dependent")]
@@ -186,8 +190,8 @@
         }
     }
 
-    /// The same job, cancelled by its user or with a dependency. If it no longer fits the limits of
-    /// the state service, it goes without the lists and names that only a job which may start needs.
+    /// The same job, cancelled by its user or with a dependency. If it no longer fits the limits of the store, it is
+    /// stored without the lists and names that only a job which may start needs.
     pub fn cancelled(&self, at: Wall, by: Option<&JobId>, limits: &StoreLimits) -> Self {
         let mut record = self.clone();
         record.state = JobState::Cancelled;
@@ -218,8 +222,8 @@
         }
     }
 
-    /// The same record with its submission, if that fits. Of a gang one task may be done while others
-    /// have yet to be heard of: a leader that takes over has to know whose room and limit they use.
+    /// The same record with its submission, if that fits. One task of a gang may be done while others may still be on
+    /// machines: a leader elected later has to know whose capacity and limit they use.
     pub fn with_submission(self, spec: &JobSpec, limits: &StoreLimits) -> Self {
         let record = Self {
             spec: Some(spec.clone()),
@@ -244,7 +248,7 @@
     }
 }
 
-/// Which key a leader holds. Every write of a leader depends on its version.
+/// Which of two keys a leader holds. Every write of a leader depends on the version of that key.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LeaderKey {
     /// The one that every version reads.
@@ -255,15 +259,15 @@
 }
 
 impl LeaderKey {
-    /// Both, for those who look through all keys.
+    /// Both keys.
     pub const ALL: [Self; 2] = [Self::Common, Self::Gated];
 
-    /// The one of a name.
+    /// The leader's key of this name, if it is one.
     pub fn of_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|key| key.name() == name)
     }
 
-    /// The key.
+    /// The key's name in the store.
     pub fn name(self) -> &'static str {
         match self {
             Self::Common => LEADER_KEY,
@@ -272,12 +276,12 @@
     }
 }
 
-/// Who leads.
+/// Who leads, as the leader's key holds it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The node.
+    /// The node that leads.
     pub node: NodeName,
-    /// Its epoch.
+    /// Its epoch, the fencing token.
     pub epoch: Epoch,
     /// The lease that the key hangs on.
     pub lease: LeaseId,
@@ -302,8 +306,8 @@
         }
     }
 
-    /// What stays in the common key when the leader's key is another one from now on. `lease` is one
-    /// that has yet to be ended before anybody follows, if there is such a one.
+    /// The record that stays in the common key when leaders hold the gated one from now on. `lease` is the lease that has
+    /// to be ended before another node is elected, if there is one.
     pub fn tombstone(&self, lease: Option<LeaseId>) -> Self {
         Self {
             lease: lease.unwrap_or(NO_LEASE),
@@ -312,7 +316,7 @@
         }
     }
 
-    /// The lease that has to be ended before anybody follows a leader that was superseded.
+    /// The lease that has to be ended before another node is elected in place of a superseded leader.
     pub fn lease_to_end(&self) -> Option<LeaseId> {
         (self.superseded && self.lease != NO_LEASE).then_some(self.lease)
     }
@@ -321,22 +325,36 @@
     pub fn knows_dependencies(&self) -> bool {
         self.format >= RECORD_FORMAT
     }
+
+    /// Reads a record, if it is one.
+    pub fn deserialize_from(value: &Value) -> Option<Self> {
+        serde_json::from_value(value.clone()).ok()
+    }
+}
+
+/// A leader's record with the version of the key that holds it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct StoredLeader {
+    /// The version of the key.
+    pub version: Version,
+    /// The record.
+    pub record: LeaderRecord,
 }
 
-/// No lease of the state service.
+/// No lease of the store has this id.
 const NO_LEASE: LeaseId = LeaseId(0);
 
 fn is_zero(format: &u32) -> bool {
     *format == 0
 }
 
-/// Which cancellations a node knows, for nodes that it can't reach.
+/// A node's cancellation watermark, for nodes that it can't reach.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WatermarkRecord {
     /// Every cancellation committed up to this revision.
     #[serde(rename = "known_to")]
     pub cancellation_watermark: Version,
-    /// The node asks the others to write that they know everything up to here.
+    /// The node asks the others to write their watermarks once they know everything up to here.
     #[serde(default)]
     pub asks: Version,
 }
@@ -348,7 +366,7 @@
     pub epoch: Epoch,
 }
 
-/// A page of the leader's placement log: what was decided at one time. What holds is the sum of all pages.
+/// A segment of the leader's placement log: what was decided at one time. What holds is the sum of all segments.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SegmentRecord {
     /// Machines, and what may be on them.
@@ -362,7 +380,7 @@
     pub suspected: Vec<(JobId, u32)>,
 }
 
-/// A machine on a page.
+/// A machine in a segment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SegmentMachine {
     /// Its name.
@@ -377,7 +395,7 @@
     /// Spot or ordinary.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// When it was rented or first seen.
+    /// When it was scaled out or first seen.
     #[serde(rename = "w")]
     pub since: Wall,
     /// Tasks that may be on it: by job and attempt, their numbers.
--- a/crates/core/src/store/transactions.rs
+++ b/crates/core/src/store/transactions.rs
@@ -1,7 +1,8 @@
-//! Parts of transactions: a transaction compares versions, then makes all of its changes or none.
+//! Parts of transactions. A transaction compares the versions of keys (compare-and-swap), then makes all of its changes
+//! or none.
 
 use crate::io::Value;
-use rudderreel_wire::ids::Version;
+use rudderreel_wire::ids::{LeaseId, Version};
 use rudderreel_wire::state::{Change, Condition};
 use serde::Serialize;
 
@@ -12,9 +13,23 @@
 
 /// The change that sets a key.
 pub fn put<T: Serialize>(key: String, value: &T) -> Change<Value> {
+    put_on(key, value, None)
+}
+
+/// The change that sets a key which is deleted when a lease ends.
+pub fn put_with_lease<T: Serialize>(key: String, value: &T, lease: LeaseId) -> Change<Value> {
+    put_on(key, value, Some(lease))
+}
+
+/// The change that deletes a key.
+pub fn delete(key: String) -> Change<Value> {
+    Change::Delete { key }
+}
+
+fn put_on<T: Serialize>(key: String, value: &T, lease: Option<LeaseId>) -> Change<Value> {
     Change::Put {
         key,
         value: serde_json::to_value(value).unwrap_or_default(),
-        lease: None,
+        lease,
     }
 }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -89,7 +89,7 @@
     let room = leader.policy.capacity_of(&"m4".into());
     let mut machine = Machine::new(id.into(), "m4".into(), zone.into(), false, room, NOW.wall);
     machine.last_heard_at = Some(NOW.time);
-    machine.acknowledged_epoch = leader.term.epoch;
+    machine.acknowledged_epoch = leader.term.epoch();
     machine.addr = Some("10.0.0.1:1".into());
     let id = machine.id.clone();
     leader.fleet.machines.insert(id.clone(), machine);
