--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -134,7 +134,7 @@
 
     fn check_service_dependencies(&self, spec: &JobSpec) -> Result<(), NeverRuns> {
         let is_service = |id: &JobId| {
-            let known = self.jobs.jobs.get(id);
+            let known = self.jobs.job(id);
             let spec = known.and_then(|known| known.record.spec.as_ref());
             spec.is_some_and(|spec| spec.kind == Kind::Service)
         };
@@ -155,7 +155,7 @@
     /// A submission without the dependencies that are done: nothing waits for these.
     fn without_done_dependencies(&self, spec: &JobSpec) -> JobSpec {
         let is_done = |id: &JobId| {
-            let known = self.jobs.jobs.get(id);
+            let known = self.jobs.job(id);
             known.is_some_and(|known| known.record.state == JobState::Done)
         };
         let mut spec = spec.clone();
@@ -165,7 +165,7 @@
 
     /// How a job is created that can run and is not known to be accepted.
     pub fn creation_of(&self, spec: &JobSpec, now: Wall) -> Creation {
-        let is_unknown = |id: &&JobId| !self.jobs.jobs.contains_key(*id);
+        let is_unknown = |id: &&JobId| !self.jobs.contains_job(id);
         if let Some(unknown) = spec.dependencies.iter().find(is_unknown) {
             return Creation::ReadDependency(unknown.clone());
         }
--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -263,7 +263,7 @@
     pub fn decide_waiting(&mut self, context: &AcknowledgementContext<'_>) -> Vec<Acknowledgement> {
         let mut decided = Vec::new();
         for WaitingRequest { request, since } in std::mem::take(&mut self.waiting) {
-            let Some(known) = context.jobs.jobs.get(request.job()) else {
+            let Some(known) = context.jobs.job(request.job()) else {
                 continue;
             };
             let waited = context.now.time - since;
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -266,7 +266,7 @@
     let mut jobs = cache();
     let mut replicator = replicator();
     // A single later cancellation that a peer made known is sent, but does not move the watermark.
-    let mut record = jobs.jobs[&id()].record.clone();
+    let mut record = jobs.job(&id()).expect("a job").record.clone();
     record.state = JobState::Cancelled;
     let later = job(2, "sweep", "red", "normal").spec.id.clone();
     jobs.update_job(later, Version(40), record);
@@ -276,7 +276,7 @@
     assert_eq!(offer.catchup.cancellation_watermark, CANCELLED_AT);
     // What is cut off lies above the watermark that is sent, and there is no vote yet.
     replicator.advance_watermark(Version(50_000));
-    let template = jobs.jobs[&id()].record.clone();
+    let template = jobs.job(&id()).expect("a job").record.clone();
     for n in 0..MAX_CANCELLATIONS_PER_MESSAGE as u32 {
         let id = job(1_000 + n, "sweep", "red", "normal").spec.id.clone();
         jobs.update_job(id, Version(u64::from(1_000 + n)), template.clone());
--- a/crates/core/src/api/read_confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -181,7 +181,7 @@
                 continue;
             }
             let mut versions = ancestry.unfinished;
-            let known = jobs.jobs.get(read.job());
+            let known = jobs.job(read.job());
             let version = known.map_or(Version(0), |known| known.version);
             versions.insert(read.job().clone(), version);
             if !batch.has_room(&versions, max_conditions) {
@@ -273,7 +273,7 @@
 
 /// Whether the cache knows a job as done or cancelled.
 pub(crate) fn is_final(jobs: &JobCache, id: &JobId) -> bool {
-    (jobs.jobs.get(id)).is_some_and(|known| known.record.is_final())
+    (jobs.job(id)).is_some_and(|known| known.record.is_final())
 }
 
 #[cfg(test)]
--- a/crates/core/src/api/read_confirmation/tests.rs
+++ b/crates/core/src/api/read_confirmation/tests.rs
@@ -32,7 +32,7 @@
 }
 
 fn finish(cache: &mut JobCache, n: u32, state: JobState) {
-    let mut record = cache.jobs[&id(n)].record.clone();
+    let mut record = cache.job(&id(n)).expect("a job").record.clone();
     record.state = state;
     cache.update_job(id(n), Version(6), record);
 }
--- a/crates/core/src/cache/dependencies.rs
+++ b/crates/core/src/cache/dependencies.rs
@@ -1,30 +1,30 @@
 //! Dependencies between jobs, as this node's cache of jobs knows them.
 //!
-//! Done and cancelled are final and exclude one another. So a job whose dependency is cancelled can
-//! never become ready: it is cancelled from the moment of that one commit on, at whatever depth, and
-//! needs no transaction of its own for that. Writing its record only makes this visible: the leader
-//! does so for all, and a node that is asked about such a job before it answers. A cache that is out
-//! of date knows less of what is done or cancelled, and only waits.
+//! Done and cancelled are final and exclude one another. So a job whose dependency is cancelled can never become ready:
+//! it is cancelled from the moment of that one commit on, at whatever depth, and needs no transaction of its own for
+//! that. Writing its record (the cascade) only makes this visible: the leader does so for all, and a node that is asked
+//! about such a job before it answers. A cache that is out of date knows less of what is done or cancelled, and only
+//! waits.
 
-use crate::cache::job_cache::JobCache;
+use super::job_cache::{JobCache, KnownJob};
 use crate::units::Wall;
 use rudderreel_wire::ids::{JobId, Version};
-use rudderreel_wire::job::{JobSpec, JobState};
+use rudderreel_wire::job::JobState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Which unfinished jobs need which others.
-#[derive(Default)]
+#[derive(Debug, Default)]
 pub struct DependencyGraph {
     /// By dependency: the unfinished jobs that name it.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Unfinished jobs that name a cancelled one. Their own records are yet to be written.
-    condemned: BTreeSet<JobId>,
+    /// Unfinished jobs that name a cancelled one. The cascade has yet to write their own records.
+    awaiting_cascade: BTreeSet<JobId>,
 }
 
 /// What is known of everything that a job needs, directly or through others.
 #[derive(Debug, Default, PartialEq)]
 pub struct Ancestry {
-    /// A cancelled job among them: then the job is cancelled, too, and the rest was not looked at.
+    /// A cancelled job among them: then the job is cancelled, too, and the rest was not searched.
     pub cancelled: Option<JobId>,
     /// Those that are not known to be done, with their versions; 0 for one that is not known.
     pub unfinished: BTreeMap<JobId, Version>,
@@ -46,56 +46,70 @@
     }
 
     /// Unfinished jobs that name a cancelled one.
-    pub fn condemned(&self) -> impl Iterator<Item = &JobId> {
-        self.condemned.iter()
+    pub fn awaiting_cascade(&self) -> impl Iterator<Item = &JobId> {
+        self.awaiting_cascade.iter()
     }
 
-    fn add(&mut self, id: &JobId, dependency: &JobId) {
-        let dependents = self.dependents.entry(dependency.clone()).or_default();
-        dependents.insert(id.clone());
+    /// An unfinished job names some dependencies, of which some may be cancelled.
+    fn add_unfinished(
+        &mut self,
+        id: &JobId,
+        dependencies: &[JobId],
+        is_cancelled: impl Fn(&JobId) -> bool,
+    ) {
+        for dependency in dependencies {
+            let dependents = self.dependents.entry(dependency.clone()).or_default();
+            dependents.insert(id.clone());
+            if is_cancelled(dependency) {
+                self.awaiting_cascade.insert(id.clone());
+            }
+        }
     }
 
-    fn remove(&mut self, id: &JobId, dependency: &JobId) {
-        if let Some(dependents) = self.dependents.get_mut(dependency) {
-            dependents.remove(id);
-            if dependents.is_empty() {
-                self.dependents.remove(dependency);
+    /// A job that named some dependencies is done or cancelled.
+    fn remove_finished(&mut self, id: &JobId, dependencies: &[JobId]) {
+        self.awaiting_cascade.remove(id);
+        for dependency in dependencies {
+            if let Some(dependents) = self.dependents.get_mut(dependency) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.dependents.remove(dependency);
+                }
             }
         }
     }
+
+    /// A job is cancelled, and with it all that name it.
+    fn cancel_dependents_of(&mut self, id: &JobId) {
+        let dependents = self.dependents.get(id).into_iter().flatten();
+        self.awaiting_cascade.extend(dependents.cloned());
+    }
 }
 
 impl JobCache {
-    /// Keeps the graph after a job's record has changed. `before` is the submission as it was known.
-    pub(crate) fn update_graph(&mut self, id: &JobId, before: Option<JobSpec>) {
+    /// Updates the graph after a job's record has changed. `previous` is what was known of it.
+    pub(super) fn update_graph(&mut self, id: &JobId, previous: Option<&KnownJob>) {
         let Some(known) = self.jobs.get(id) else {
             return;
         };
-        let graph = &mut self.graph;
         if known.record.is_final() {
-            graph.condemned.remove(id);
-            for dependency in before.iter().flat_map(|spec| &spec.dependencies) {
-                graph.remove(id, dependency);
-            }
+            let dependencies = previous.map_or(&[][..], KnownJob::dependencies);
+            self.graph.remove_finished(id, dependencies);
             if known.record.state == JobState::Cancelled {
-                let dependents: Vec<JobId> = graph.dependents_of(id).cloned().collect();
-                graph.condemned.extend(dependents);
+                self.graph.cancel_dependents_of(id);
             }
             return;
         }
-        let cancelled = |dependency: &JobId| {
-            let known = self.jobs.get(dependency);
-            known.is_some_and(|k| k.record.state == JobState::Cancelled)
+        let jobs = &self.jobs;
+        let is_cancelled = |id: &JobId| {
+            let known = jobs.get(id);
+            known.is_some_and(|known| known.record.state == JobState::Cancelled)
         };
-        for dependency in known.dependencies() {
-            graph.add(id, dependency);
-            if cancelled(dependency) {
-                graph.condemned.insert(id.clone());
-            }
-        }
+        self.graph
+            .add_unfinished(id, known.dependencies(), is_cancelled);
     }
 
-    /// Looks at everything that some jobs need, directly or through others, the jobs included.
+    /// Searches everything that some jobs need, directly or through others, the jobs included.
     pub fn ancestry(&self, dependencies: &[JobId]) -> Ancestry {
         let mut found = Ancestry::default();
         let mut open: Vec<&JobId> = dependencies.iter().collect();
--- a/crates/core/src/cache/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -3,6 +3,7 @@
 use crate::store::records::JobRecord;
 use crate::testing::job;
 use proptest::prelude::*;
+use rudderreel_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
 /// Limits that nothing here reaches.
@@ -51,7 +52,7 @@
         self.needs[n].iter().all(|d| self.done.contains(d))
     }
 
-    /// The record that the state service holds.
+    /// The record that the store holds.
     fn record(&self, n: usize) -> JobRecord {
         let spec = spec(n, &self.needs[n]);
         let record = JobRecord::queued(&spec, Wall(n as u64));
@@ -97,7 +98,10 @@
         let readiness = job_cache.readiness(&needs);
         prop_assert_eq!(readiness.unmet.is_empty(), model.is_ready(n));
         let direct = model.needs[n].iter().any(|d| model.cancelled.contains(d));
-        prop_assert_eq!(job_cache.graph.condemned().any(|j| *j == id(n)), direct);
+        prop_assert_eq!(
+            job_cache.graph().awaiting_cascade().any(|j| *j == id(n)),
+            direct
+        );
     }
     Ok(())
 }
@@ -117,7 +121,7 @@
         // The records are heard of in some order of their own.
         for k in 0..jobs {
             let n = (k * 7 + order as usize % jobs) % jobs;
-            if !job_cache.jobs.contains_key(&id(n)) {
+            if !job_cache.contains_job(&id(n)) {
                 job_cache.update_job(id(n), Version(1), model.record(n));
             }
         }
@@ -156,9 +160,9 @@
     assert_eq!(job_cache.readiness(&[id(1)]).unmet, BTreeSet::from([id(1)]));
 }
 
-/// A peer tells of a cancellation before the watch does, and without the submission.
+/// A peer makes a cancellation known before the watch does, and without the submission.
 #[test]
-fn a_cancellation_heard_from_a_peer_condemns_dependents() {
+fn dependents_of_a_job_that_a_peer_says_is_cancelled_await_the_cascade() {
     let mut job_cache = JobCache::default();
     job_cache.update_job(id(1), Version(3), JobRecord::queued(&spec(1, &[]), Wall(0)));
     job_cache.update_job(
@@ -175,12 +179,12 @@
     });
     assert_eq!(job_cache.ancestry_of(&id(2)).cancelled, Some(id(1)));
     assert_eq!(
-        job_cache.graph.condemned().collect::<Vec<_>>(),
+        job_cache.graph().awaiting_cascade().collect::<Vec<_>>(),
         vec![&id(2)]
     );
 }
 
-/// A chain of a thousand jobs and a fan of a thousand are looked at once each.
+/// A chain of a thousand jobs and a fan of a thousand are searched once each.
 #[test]
 fn long_chains_and_wide_fans_are_followed_once() {
     let mut job_cache = JobCache::default();
@@ -201,3 +205,32 @@
     assert_eq!(job_cache.ancestry_of(&id(999)).unfinished.len(), 999);
     assert_eq!(job_cache.ancestry_of(&id(1_000)).unfinished.len(), 1_000);
 }
+
+fn queued(n: usize, needs: &[usize]) -> JobRecord {
+    JobRecord::queued(&spec(n, needs), Wall(0))
+}
+
+#[test]
+fn a_job_that_is_done_is_no_dependent_any_more() {
+    let mut job_cache = JobCache::default();
+    job_cache.update_job(id(2), Version(1), queued(2, &[1]));
+    let dependents = |cache: &JobCache| cache.graph().dependents_of(&id(1)).count();
+    assert_eq!(dependents(&job_cache), 1);
+    job_cache.update_job(id(2), Version(2), JobRecord::done(4, Wall(0), Wall(9)));
+    assert_eq!(dependents(&job_cache), 0);
+}
+
+/// The submission may come after the cancellation of what it names.
+#[test]
+fn a_job_that_names_a_cancelled_one_awaits_the_cascade_until_its_own_record_is_written() {
+    let mut job_cache = JobCache::default();
+    let cancelled = queued(1, &[]).cancelled(Wall(5), None, &LARGE);
+    job_cache.update_job(id(1), Version(1), cancelled);
+    let dependent = queued(2, &[1]);
+    job_cache.update_job(id(2), Version(2), dependent.clone());
+    let awaiting = |cache: &JobCache| cache.graph().awaiting_cascade().count();
+    assert_eq!(awaiting(&job_cache), 1);
+    let by_cascade = dependent.cancelled(Wall(6), Some(&id(1)), &LARGE);
+    job_cache.update_job(id(2), Version(3), by_cascade);
+    assert_eq!(awaiting(&job_cache), 0);
+}
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -1,23 +1,17 @@
-//! This node's cache of jobs and of the leader's key, fed by one watch.
+//! The jobs that this node knows, by id, with what else the watch brings.
 //!
-//! What the cache says of a final state may be told at once. Anything else may be out of date
-//! and is confirmed with the state service first (see `reads`).
+//! Records come from listings, from the watch, from reads of single keys and from peers, in any order: the newer version
+//! wins. A record never leaves a final state.
 
-use crate::cache::dependencies::DependencyGraph;
-use crate::io::Value;
-use crate::store::records::{
-    JobRecord, LeaderKey, LeaderRecord, StoredLeader, WatermarkRecord, ADMIN_SETTINGS_KEY,
-    CATALOG_KEY, GATED_CATALOG_KEY, JOB_PREFIX, WATERMARK_PREFIX,
-};
-use crate::units::Wall;
+use super::cancellations::CancellationIndex;
+use super::dependencies::DependencyGraph;
+use super::leader_keys::LeaderKeys;
+use crate::store::records::{JobRecord, WatermarkRecord};
 use rudderreel_wire::admin::AdminSettings;
 use rudderreel_wire::cloud::Catalog;
-use rudderreel_wire::ids::{JobId, LeaseId, NodeName, Version};
+use rudderreel_wire::ids::{JobId, NodeName, Version};
 use rudderreel_wire::job::JobState;
-use rudderreel_wire::peer::CancelledJob;
-use rudderreel_wire::state::Event;
-use rudderreel_wire::worker::{Command, StatusReport, TaskState};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// A cached job.
 #[derive(Clone, Debug)]
@@ -34,224 +28,139 @@
         let spec = self.record.spec.as_ref();
         spec.map_or(&[], |spec| &spec.dependencies)
     }
-}
-
-/// Cancellations after some revision.
-#[derive(Default)]
-pub struct LaterCancellations {
-    /// The jobs, by revision.
-    pub jobs: Vec<CancelledJob>,
-    /// The last revision told of, if there are later ones.
-    pub cut_after: Option<Version>,
-}
 
-/// A leader's key as it is known.
-#[derive(Default)]
-struct HeldKey {
-    /// What it holds.
-    leader: Option<StoredLeader>,
-    /// The newest revision at which it is known.
-    seen: Version,
+    /// Whether it is a cancellation that a peer named, which came without the submission.
+    fn is_cancelled_without_spec(&self) -> bool {
+        self.record.state == JobState::Cancelled && self.record.spec.is_none()
+    }
 }
 
 /// The cache.
 #[derive(Default)]
 pub struct JobCache {
-    /// Jobs by id.
-    pub jobs: BTreeMap<JobId, KnownJob>,
-    /// The leader's key that every version reads.
-    common_leader: HeldKey,
-    /// The leader's key behind the version gate.
-    gated_leader: HeldKey,
-    /// Machine types as a leader has kept them.
-    pub catalog: Option<Catalog>,
-    /// Whether they are where versions that know no dependencies read them.
-    pub catalog_in_common_key: bool,
-    /// Whether they are where only later versions read them (see `version_gate`).
-    pub catalog_in_gated_key: bool,
+    pub(super) jobs: BTreeMap<JobId, KnownJob>,
+    /// Jobs that changed since they were last taken.
+    changed: Vec<JobId>,
+    pub(super) graph: DependencyGraph,
+    pub(super) cancellations: CancellationIndex,
+    pub(super) leader_keys: LeaderKeys,
+    /// Whether all watched keys have been listed, and the watch has not lost its place since.
+    is_complete: bool,
     /// Whether a job was seen whose user named dependencies.
-    pub dependencies_seen: bool,
-    /// Operators' settings that have yet to be taken up.
-    pub admin: Option<(Version, AdminSettings)>,
-    /// Whether the first read is complete.
-    pub is_complete: bool,
-    /// Jobs that changed since the leader last looked.
-    pub changed: Vec<JobId>,
-    /// Which unfinished jobs need which others.
-    pub graph: DependencyGraph,
-    /// Cancelled jobs by the revisions that cancelled them. One transaction may cancel several.
-    cancelled: BTreeMap<Version, BTreeSet<JobId>>,
-    /// How often a record could not be read.
-    pub unreadable: u64,
-    /// What other nodes have written about the cancellations that they know.
-    pub peer_watermarks: BTreeMap<NodeName, WatermarkRecord>,
+    dependencies_seen: bool,
+    /// Machine types as a leader has stored them, until they are taken.
+    pub(super) catalog: Option<Catalog>,
+    /// Whether they are where versions that know no dependencies read them.
+    pub(super) catalog_in_common_key: bool,
+    /// Whether they are where only later versions read them (see `leadership::version_gate`).
+    pub(super) catalog_in_gated_key: bool,
+    /// Operators' settings, until they are taken.
+    pub(super) admin_settings: Option<(Version, AdminSettings)>,
+    /// Cancellation watermarks that nodes have written, until they are taken.
+    pub(super) written_watermarks: BTreeMap<NodeName, WatermarkRecord>,
+    unreadable_records: u64,
 }
 
 impl JobCache {
-    /// Takes in a job's record if it is newer. A record never leaves a final state.
-    pub fn update_job(&mut self, id: JobId, version: Version, record: JobRecord) {
-        if let Some(known) = self.jobs.get_mut(&id) {
-            if known.version >= version {
-                // A cancellation that a peer told of came without the submission.
-                let lacks =
-                    known.record.state == JobState::Cancelled && known.record.spec.is_none();
-                if lacks && record.spec.is_some() {
-                    known.record.spec = record.spec;
-                    known.record.cancelled_by = record.cancelled_by;
-                    self.changed.push(id);
-                }
-                return;
-            }
-        }
-        let before = (self.jobs.get(&id)).and_then(|known| known.record.spec.clone());
-        if record.state == JobState::Cancelled {
-            self.cancelled
-                .entry(version)
-                .or_default()
-                .insert(id.clone());
-        }
-        self.dependencies_seen |= record.names_dependencies;
-        self.changed.push(id.clone());
-        self.jobs.insert(id.clone(), KnownJob { version, record });
-        self.update_graph(&id, before);
+    /// A job.
+    pub fn job(&self, id: &JobId) -> Option<&KnownJob> {
+        self.jobs.get(id)
     }
 
-    /// Takes in a cancellation that another node knows of.
-    pub fn update_cancelled(&mut self, told: &CancelledJob) {
-        let Ok(id) = told.job.parse::<JobId>() else {
-            return log::warn!("a peer tells of a job that can't be: {:.40}", told.job);
-        };
-        let record = JobRecord {
-            state: JobState::Cancelled,
-            submitted: Wall(told.submitted_ms),
-            cancelled: Some(Wall(told.cancelled_ms)),
-            cancelled_by: None,
-            finished: None,
-            tasks: told.tasks,
-            names_dependencies: false,
-            spec: (self.jobs.get(&id)).and_then(|known| known.record.spec.clone()),
-        };
-        self.update_job(id, told.version, record);
+    /// Whether a job is known.
+    pub fn contains_job(&self, id: &JobId) -> bool {
+        self.jobs.contains_key(id)
     }
 
-    /// Cancellations after a revision, about so many: those of one revision are never parted, since who is
-    /// told of them takes everything up to a revision for known.
-    pub fn cancelled_after(&self, after: Version, most: usize) -> LaterCancellations {
-        let mut later = LaterCancellations::default();
-        let mut last = after;
-        for (version, ids) in self.cancelled.range(Version(after.0 + 1)..) {
-            if !later.jobs.is_empty() && later.jobs.len() + ids.len() > most {
-                later.cut_after = Some(last);
-                break;
-            }
-            last = *version;
-            let told = ids.iter().filter_map(|id| self.cancellation(id, *version));
-            later.jobs.extend(told);
-        }
-        later
+    /// How many jobs are known.
+    pub fn job_count(&self) -> usize {
+        self.jobs.len()
     }
 
-    /// A cancellation, as it is told to other nodes.
-    pub fn cancellation(&self, id: &JobId, version: Version) -> Option<CancelledJob> {
-        let record = &self.jobs.get(id)?.record;
-        Some(CancelledJob {
-            job: id.to_string(),
-            version,
-            cancelled_ms: record.cancelled.unwrap_or(record.submitted).0,
-            submitted_ms: record.submitted.0,
-            tasks: record.tasks,
-        })
+    /// Whether a job is known to be cancelled.
+    pub(super) fn is_cancelled(&self, id: &JobId) -> bool {
+        let known = self.jobs.get(id);
+        known.is_some_and(|known| known.record.state == JobState::Cancelled)
     }
 
-    /// Stops for what a report lists of cancelled jobs. They hold whoever gives them, since a job that
-    /// is cancelled remains so: a node that answers workers in an outage, or that has not read back
-    /// what runs where, gives no other commands, and would keep those tasks alive for too long.
-    pub fn stops_for_cancelled_tasks(&self, report: &StatusReport) -> Vec<Command> {
-        let cancelled = |id: &JobId| {
-            let known = self.jobs.get(id);
-            known.is_some_and(|k| k.record.state == JobState::Cancelled)
-        };
-        (report.tasks.iter())
-            .filter(|t| t.state != TaskState::Exited && cancelled(&t.task.job))
-            .map(|t| Command::Stop {
-                task: t.task.clone(),
-                attempt: t.attempt,
-                grace_s: 0.0,
-            })
-            .collect()
+    /// Which unfinished jobs need which others.
+    pub fn graph(&self) -> &DependencyGraph {
+        &self.graph
     }
 
-    /// Which key leaders hold.
-    pub fn leader_key(&self) -> LeaderKey {
-        match self.superseded_leader() {
-            Some(_) => LeaderKey::Gated,
-            None => LeaderKey::Common,
-        }
+    /// Whether all watched keys have been listed, and the watch has not lost its place since.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
-    /// Who leads.
-    pub fn leader(&self) -> Option<&LeaderRecord> {
-        self.stored_leader().map(|leader| &leader.record)
+    /// A listing of all watched keys has ended, or the watch has lost its place.
+    pub fn set_complete(&mut self, is_complete: bool) {
+        self.is_complete = is_complete;
     }
 
-    /// Who leads, with the version of the key that it holds.
-    pub fn stored_leader(&self) -> Option<&StoredLeader> {
-        self.held_key(self.leader_key()).leader.as_ref()
+    /// Jobs that changed since this was last called.
+    pub fn take_changed_jobs(&mut self) -> Vec<JobId> {
+        std::mem::take(&mut self.changed)
     }
 
-    /// What the common key holds, once leaders hold the gated one.
-    pub fn superseded_leader(&self) -> Option<&StoredLeader> {
-        let leader = self.common_leader.leader.as_ref();
-        leader.filter(|leader| leader.record.superseded)
+    /// Machine types that a leader has stored, if they came since this was last called.
+    pub fn take_catalog(&mut self) -> Option<Catalog> {
+        self.catalog.take()
     }
 
-    fn held_key(&self, key: LeaderKey) -> &HeldKey {
-        match key {
-            LeaderKey::Common => &self.common_leader,
-            LeaderKey::Gated => &self.gated_leader,
-        }
+    /// Operators' settings, with their version, if they came since this was last called.
+    pub fn take_admin_settings(&mut self) -> Option<(Version, AdminSettings)> {
+        self.admin_settings.take()
     }
 
-    /// Takes over what a leader's key holds, as read at a revision.
-    pub fn update_leader(
-        &mut self,
-        key: LeaderKey,
-        revision: Version,
-        leader: Option<StoredLeader>,
-    ) {
-        let held = match key {
-            LeaderKey::Common => &mut self.common_leader,
-            LeaderKey::Gated => &mut self.gated_leader,
-        };
-        if revision >= held.seen {
-            held.seen = revision;
-            held.leader = leader;
-        }
+    /// Cancellation watermarks that nodes have written since this was last called.
+    pub fn take_written_watermarks(&mut self) -> BTreeMap<NodeName, WatermarkRecord> {
+        std::mem::take(&mut self.written_watermarks)
     }
 
-    /// Takes over what a leader's key holds, as it was read by itself, at a revision that is not known.
-    pub fn update_leader_read(&mut self, key: LeaderKey, leader: Option<StoredLeader>) {
-        let seen = self.held_key(key).seen;
-        let revision = leader.as_ref().map_or(seen, |leader| leader.version);
-        self.update_leader(key, revision, leader);
+    /// How often a record could not be read.
+    pub fn unreadable_records(&self) -> u64 {
+        self.unreadable_records
     }
 
-    /// This node has moved its leader's key to the gated one, by a commit at a version.
-    pub fn leader_key_moved(&mut self, version: Version, record: LeaderRecord) {
-        let superseded = StoredLeader {
-            version,
-            record: record.tombstone(None),
-        };
-        let leader = StoredLeader { version, record };
-        self.update_leader(LeaderKey::Common, version, Some(superseded));
-        self.update_leader(LeaderKey::Gated, version, Some(leader));
+    /// A record can't be read: perhaps a later version wrote it. What it says is not known here, and a task or a
+    /// cancellation may depend on it.
+    pub fn record_unreadable(&mut self, key: &str, reason: &dyn std::fmt::Display) {
+        self.unreadable_records += 1;
+        log::error!("unreadable record key={key} reason={reason}");
     }
 
-    /// A term of this node has ended: the leader's key is gone, or will be.
-    pub fn forget_leader(&mut self, lease: LeaseId) {
-        for held in [&mut self.common_leader, &mut self.gated_leader] {
-            held.leader.take_if(|leader| leader.record.lease == lease);
+    /// Takes over a job's record if it is newer.
+    pub fn update_job(&mut self, id: JobId, version: Version, record: JobRecord) {
+        if let Some(known) = self.jobs.get_mut(&id) {
+            if known.version >= version {
+                if known.is_cancelled_without_spec() && record.spec.is_some() {
+                    known.record.spec = record.spec;
+                    known.record.cancelled_by = record.cancelled_by;
+                    self.changed.push(id);
+                }
+                return;
+            }
+        }
+        if record.state == JobState::Cancelled {
+            self.cancellations.insert(version, id.clone());
         }
+        self.dependencies_seen |= record.names_dependencies;
+        self.changed.push(id.clone());
+        let known = KnownJob { version, record };
+        let previous = self.jobs.insert(id.clone(), known);
+        self.update_graph(&id, previous.as_ref());
+    }
+
+    /// Whether jobs depend on others, now or earlier, as far as this node knows.
+    pub fn dependencies_in_use(&self) -> bool {
+        self.dependencies_seen || self.catalog_in_gated_key || self.superseded_leader().is_some()
+    }
+
+    /// Has the cache know that jobs depend on others.
+    #[cfg(test)]
+    pub fn set_dependencies_seen(&mut self) {
+        self.dependencies_seen = true;
     }
 
     /// Whether the machine types are where only versions that know dependencies read them.
@@ -264,64 +173,6 @@
         self.catalog_in_gated_key = true;
         self.catalog_in_common_key = false;
     }
-
-    /// A record can't be read: perhaps a later version wrote it. What it says is not known here, and a
-    /// task or a cancellation may hang on it.
-    pub fn record_unreadable(&mut self, key: &str, why: &dyn std::fmt::Display) {
-        self.unreadable += 1;
-        log::error!("unreadable record {key}: {why}");
-    }
-
-    /// Takes in a key of the shared prefix.
-    pub fn apply_item(&mut self, key: &str, version: Version, value: &Value) {
-        if let Some(leader_key) = LeaderKey::of_name(key) {
-            match LeaderRecord::deserialize_from(value) {
-                Some(record) => {
-                    let leader = StoredLeader { version, record };
-                    self.update_leader(leader_key, version, Some(leader));
-                }
-                None => self.record_unreadable(key, &"no leader's record"),
-            }
-        } else if key == ADMIN_SETTINGS_KEY {
-            match serde_json::from_value(value.clone()) {
-                Ok(settings) => self.admin = Some((version, settings)),
-                Err(e) => self.record_unreadable(key, &e),
-            }
-        } else if key == CATALOG_KEY {
-            self.catalog = serde_json::from_value(value.clone()).ok();
-            self.catalog_in_common_key = true;
-        } else if key == GATED_CATALOG_KEY {
-            // Null if they are too large to be stored.
-            self.catalog = serde_json::from_value(value.clone()).ok();
-            self.catalog_in_gated_key = true;
-        } else if let Some(node) = key.strip_prefix(WATERMARK_PREFIX) {
-            match serde_json::from_value(value.clone()) {
-                Ok(record) => drop(self.peer_watermarks.insert(node.into(), record)),
-                Err(e) => self.record_unreadable(key, &e),
-            }
-        } else if let Some(id) = key.strip_prefix(JOB_PREFIX).and_then(|id| id.parse().ok()) {
-            match serde_json::from_value(value.clone()) {
-                Ok(record) => self.update_job(id, version, record),
-                Err(e) => self.record_unreadable(key, &e),
-            }
-        }
-    }
-
-    /// Takes in an event of the watch.
-    pub fn apply_event(&mut self, event: &Event<Value>) {
-        match event {
-            Event::Put {
-                key,
-                value,
-                version,
-            } => self.apply_item(key, *version, value),
-            Event::Delete { key, .. } if key == CATALOG_KEY => self.catalog_in_common_key = false,
-            Event::Delete { key, version } => match LeaderKey::of_name(key) {
-                Some(leader_key) => self.update_leader(leader_key, *version, None),
-                None => log::debug!("{key} was deleted"),
-            },
-        }
-    }
 }
 
 #[cfg(test)]
--- a/crates/core/src/cache/job_cache/tests.rs
+++ b/crates/core/src/cache/job_cache/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::units::Wall;
 use rudderreel_wire::job::JobSpec;
 
 /// A submission.
@@ -11,45 +12,6 @@
     spec(n).id
 }
 
-fn cancelled(n: u32) -> JobRecord {
-    let mut record = JobRecord::queued(&spec(n), Wall(5));
-    record.state = JobState::Cancelled;
-    record.cancelled = Some(Wall(9));
-    record
-}
-
-/// Jobs that one transaction cancels have one version. All of them are told to a node that lacks them: it
-/// was told of the last one only, and took that for all up to the revision.
-#[test]
-fn all_cancellations_of_one_revision_are_told() {
-    let mut cache = JobCache::default();
-    for n in 1..=3 {
-        cache.update_job(id(n), Version(7), cancelled(n));
-    }
-    cache.update_job(id(4), Version(9), cancelled(4));
-    let told = cache.cancelled_after(Version(6), 100);
-    let jobs: Vec<&str> = told.jobs.iter().map(|c| c.job.as_str()).collect();
-    assert_eq!(jobs, ["wk-1", "wk-2", "wk-3", "wk-4"]);
-    assert_eq!(told.cut_after, None);
-}
-
-/// What does not fit into one message is cut between revisions, never inside one: the node that is told
-/// takes everything up to a revision for known.
-#[test]
-fn cancellations_are_cut_between_revisions() {
-    let mut cache = JobCache::default();
-    for n in 1..=6 {
-        cache.update_job(id(n), Version(10 + u64::from(n.div_ceil(2))), cancelled(n));
-    }
-    let told = cache.cancelled_after(Version(0), 3);
-    assert_eq!((told.jobs.len(), told.cut_after), (2, Some(Version(11))));
-    let rest = cache.cancelled_after(Version(11), 4);
-    assert_eq!((rest.jobs.len(), rest.cut_after), (4, None));
-    // One revision is never split, however many it has.
-    let told = cache.cancelled_after(Version(0), 1);
-    assert_eq!((told.jobs.len(), told.cut_after), (2, Some(Version(11))));
-}
-
 /// What can't be read is counted and leaves what was known as it is.
 #[test]
 fn records_that_can_not_be_read_are_counted() {
@@ -58,7 +20,10 @@
     let later = serde_json::json!({"state": "suspended", "submitted": 5});
     cache.apply_item("pub/job/wk-1", Version(4), &later);
     cache.apply_item("pub/seat", Version(4), &serde_json::json!([]));
-    assert_eq!(cache.unreadable, 2);
-    assert_eq!(cache.jobs[&id(1)].version, Version(3));
+    assert_eq!(cache.unreadable_records(), 2);
+    assert_eq!(
+        cache.job(&id(1)).map(|known| known.version),
+        Some(Version(3))
+    );
     assert!(cache.leader().is_none());
 }
--- a/crates/core/src/jobs/effective_urgency/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -33,7 +33,7 @@
         self.job_cache
             .update_job(id(n), Version(version), record.clone());
         self.leader.update_job(&id(n), Version(version), &record);
-        let graph = &self.job_cache.graph;
+        let graph = self.job_cache.graph();
         let dependents: Vec<JobId> = graph.dependents_of(&id(n)).cloned().collect();
         for dependent in dependents.iter().chain([&id(n)]) {
             let needs = self
@@ -47,7 +47,7 @@
                 jobs.update_readiness(dependent, readiness, NOW);
             }
         }
-        let known = &self.job_cache.jobs[&id(n)];
+        let known = self.job_cache.job(&id(n)).expect("a job");
         let start = known
             .dependencies()
             .iter()
--- a/crates/core/src/node/admission.rs
+++ b/crates/core/src/node/admission.rs
@@ -63,7 +63,7 @@
                 self.job_cache.update_job(id, item.version, record);
             }
             // It was read before what the cache has learned since.
-            StoreAnswer::Missing if self.job_cache.jobs.contains_key(&id) => {}
+            StoreAnswer::Missing if self.job_cache.contains_job(&id) => {}
             StoreAnswer::Missing => {
                 return self.refuse(request.id(), Refusal::UnknownDependency(id));
             }
--- a/crates/core/src/node/cache_sync.rs
+++ b/crates/core/src/node/cache_sync.rs
@@ -15,13 +15,13 @@
     /// The watch has lost its place. Until everything has been listed again the cache may lack changes; the tick
     /// repeats a listing that fails.
     pub(super) fn watch_lost(&mut self) {
-        self.job_cache.is_complete = false;
+        self.job_cache.set_complete(false);
         self.begin_cache_sync();
     }
 
     /// Begins a listing unless the cache is complete or one is under way.
     pub(super) fn begin_cache_sync_if_due(&mut self, now: Now) {
-        if !self.job_cache.is_complete && self.cache_sync.may_begin(now.time) {
+        if !self.job_cache.is_complete() && self.cache_sync.may_begin(now.time) {
             self.begin_cache_sync();
         }
     }
@@ -60,7 +60,7 @@
 
     fn complete_cache_sync(&mut self, revision: Version) {
         self.cache_sync.complete();
-        self.job_cache.is_complete = true;
+        self.job_cache.set_complete(true);
         self.advance_cancellation_watermark(revision);
         self.out.push(Output::Watch(revision));
     }
@@ -82,10 +82,10 @@
 
     /// Takes over what the cache has read for other parts of the node.
     fn apply_cached_settings(&mut self, now: Now) {
-        if let Some(catalog) = self.job_cache.catalog.take() {
+        if let Some(catalog) = self.job_cache.take_catalog() {
             self.catalog.get_or_insert(catalog);
         }
-        if let Some((version, settings)) = self.job_cache.admin.take() {
+        if let Some((version, settings)) = self.job_cache.take_admin_settings() {
             self.apply_admin_settings(version, settings);
         }
         if let Some(record) = self.job_cache.leader() {
@@ -95,12 +95,12 @@
 
     /// Hands the jobs that changed in the cache to the leader, and cancels or frees what depends on them.
     pub(super) fn apply_job_changes(&mut self, now: Now) {
-        let changed = std::mem::take(&mut self.job_cache.changed);
+        let changed = self.job_cache.take_changed_jobs();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
         for id in &changed {
-            let Some(known) = self.job_cache.jobs.get(id) else {
+            let Some(known) = self.job_cache.job(id) else {
                 continue;
             };
             leader.update_job(id, known.version, &known.record);
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -65,7 +65,7 @@
 
     /// Publishes the watermark if that is due, and decides about waiting requests.
     pub(crate) fn cancellations_tick(&mut self, now: Now) {
-        let records = std::mem::take(&mut self.job_cache.peer_watermarks);
+        let records = self.job_cache.take_written_watermarks();
         self.cancellations.watermark_records_read(&records);
         self.publish_watermark(now);
         self.respond_to_waiting(now);
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -66,14 +66,14 @@
             return Vec::new();
         };
         let cancelled = |id: &&JobId| {
-            let known = self.job_cache.jobs.get(*id);
+            let known = self.job_cache.job(id);
             known.is_some_and(|k| k.record.state == JobState::Cancelled)
         };
-        let mut due: Vec<CascadeCancellation> = (self.job_cache.graph.condemned())
+        let mut due: Vec<CascadeCancellation> = (self.job_cache.graph().awaiting_cascade())
             .filter(|id| !leader.jobs.cascading.contains(id))
             .take(MOST)
             .filter_map(|id| {
-                let known = self.job_cache.jobs.get(id)?;
+                let known = self.job_cache.job(id)?;
                 let by = known.dependencies().iter().find(cancelled)?;
                 Some(CascadeCancellation {
                     id: id.clone(),
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -33,7 +33,7 @@
     /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may be too large
     /// to be stored.
     pub(crate) fn fetch_catalog(&mut self, now: Now) {
-        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.is_complete {
+        if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.is_complete() {
             return;
         }
         let cloud = &mut self.cloud;
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -94,7 +94,7 @@
 
     /// Hands a job to the leader as the cache knows it.
     fn update_job_from_cache(&mut self, id: &JobId) {
-        if let (Some(leader), Some(known)) = (self.leader.as_mut(), self.job_cache.jobs.get(id)) {
+        if let (Some(leader), Some(known)) = (self.leader.as_mut(), self.job_cache.job(id)) {
             leader.update_job(id, known.version, &known.record);
         }
     }
--- a/crates/core/src/node/dependencies.rs
+++ b/crates/core/src/node/dependencies.rs
@@ -11,7 +11,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let graph = &self.job_cache.graph;
+        let graph = self.job_cache.graph();
         let mut inheriting = BTreeSet::new();
         for id in changed {
             let touched = graph.dependents_of(id).chain([id]);
@@ -26,7 +26,7 @@
                     }
                 }
             }
-            if let Some(known) = self.job_cache.jobs.get(id) {
+            if let Some(known) = self.job_cache.job(id) {
                 inheriting.extend(known.dependencies().iter().cloned());
             }
             inheriting.insert(id.clone());
--- a/crates/core/src/node/explanations.rs
+++ b/crates/core/src/node/explanations.rs
@@ -48,7 +48,7 @@
     /// Why a job is where it is.
     pub(super) fn explain(&self, leader: &Leader, id: &JobId, now: Now) -> (u16, Value) {
         let Some(job) = leader.jobs.get(id) else {
-            return match self.job_cache.jobs.get(id) {
+            return match self.job_cache.job(id) {
                 Some(known) => (
                     200,
                     json!({
@@ -81,10 +81,10 @@
             "cancelled": job.stage != JobStage::Active,
             "waits_for": job.unmet_dependencies.iter().take(MOST_LISTED).collect::<Vec<_>>(),
             "waits_for_of": job.unmet_dependencies.len(),
-            "needed_by": (self.job_cache.graph.dependents_of(id))
+            "needed_by": (self.job_cache.graph().dependents_of(id))
                 .take(MOST_LISTED)
                 .collect::<Vec<_>>(),
-            "needed_by_of": self.job_cache.graph.dependents_of(id).count(),
+            "needed_by_of": self.job_cache.graph().dependents_of(id).count(),
             "priority": job.urgency.priority,
             "finish_by_ms": job.urgency.deadline.map(|wall| wall.0),
             "done": job.done.len(),
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -200,7 +200,7 @@
     pub(crate) fn update_old_leaders_fenced_at(&mut self, now: Time) {
         let majority = self.election.majority();
         let may_have_superseded =
-            !self.job_cache.is_complete || self.job_cache.dependencies_in_use();
+            !self.job_cache.is_complete() || self.job_cache.dependencies_in_use();
         if let Some(leader) = self.leader.as_mut() {
             (leader.term).update_old_leaders_fenced_at(now, majority, may_have_superseded);
         }
--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -75,7 +75,7 @@
         let record: JobRecord = serde_json::from_value(value).ok()?;
         // The cache may know a newer version.
         self.job_cache.update_job(id.clone(), version, record);
-        let known = self.job_cache.jobs.get(&id)?;
+        let known = self.job_cache.job(&id)?;
         let leader = self.leader.as_mut()?;
         leader.update_job(&id, known.version, &known.record);
         Some(())
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -46,12 +46,12 @@
         if is_final(&self.job_cache, request.job()) {
             return self.respond(request, now);
         }
-        let known = self.job_cache.jobs.get(request.job()).cloned();
+        let known = self.job_cache.job(request.job()).cloned();
         match (request.request(), known) {
             (UserRequest::Cancel(_), Some(known)) => self.cancel_job(request, known, None, now),
             (_, Some(_)) => self.queue_confirmation(request, now),
             // That there is no such job is confirmed like anything else.
-            (UserRequest::Status(_), None) if self.job_cache.is_complete => {
+            (UserRequest::Status(_), None) if self.job_cache.is_complete() => {
                 self.queue_confirmation(request, now)
             }
             (UserRequest::Submit(spec), None) => match self.feasibility(spec) {
@@ -91,7 +91,7 @@
         dependency: &JobId,
         now: Now,
     ) {
-        let Some(known) = self.job_cache.jobs.get(request.job()).cloned() else {
+        let Some(known) = self.job_cache.job(request.job()).cloned() else {
             return self.refuse(request.id(), Refusal::JobNotCached);
         };
         if !self.user_requests.begin_cancelling(request.job()) {
@@ -130,7 +130,7 @@
                 let id = request.job().clone();
                 self.job_cache.update_job(id, item.version, record);
                 // What the cache has learned since is newer still.
-                let newest = self.job_cache.jobs.get(request.job()).cloned();
+                let newest = self.job_cache.job(request.job()).cloned();
                 match (request.request(), newest) {
                     (UserRequest::Cancel(_), Some(known)) if !known.record.is_final() => {
                         self.cancel_job(request, known, None, now)
@@ -139,7 +139,7 @@
                 }
             }
             // It was read before what the cache has learned since.
-            StoreAnswer::Missing if self.job_cache.jobs.contains_key(request.job()) => {
+            StoreAnswer::Missing if self.job_cache.contains_job(request.job()) => {
                 self.retry(request, now)
             }
             StoreAnswer::Missing => self.job_missing(request, now),
@@ -189,7 +189,7 @@
     /// There was no such job when that was asked. If one was accepted since, an answer that says so may
     /// have been given by now.
     pub(crate) fn no_such_job(&mut self, request: PendingRequest, now: Now) {
-        if self.job_cache.jobs.contains_key(request.job()) {
+        if self.job_cache.contains_job(request.job()) {
             return self.retry(request, now);
         }
         self.refuse(request.id(), Refusal::NoSuchJob);
@@ -199,7 +199,7 @@
     pub(crate) fn respond_to_read(&mut self, mut request: PendingRequest, now: Now) {
         let needs_confirmation =
             |known: &KnownJob| !known.record.is_final() && !known.dependencies().is_empty();
-        let known = self.job_cache.jobs.get(request.job());
+        let known = self.job_cache.job(request.job());
         if !known.is_some_and(needs_confirmation) {
             return self.respond(request, now);
         }
@@ -212,7 +212,7 @@
     /// Answers by what is known of a job, which is fresh, or final. That a job is cancelled is acknowledged only
     /// once enough nodes know it.
     pub(crate) fn respond(&mut self, request: PendingRequest, now: Now) {
-        match self.job_cache.jobs.get(request.job()) {
+        match self.job_cache.job(request.job()) {
             Some(known) if known.record.state == JobState::Cancelled => {
                 let version = known.version;
                 self.respond_cancelled(request, version, now);
@@ -223,7 +223,7 @@
 
     /// The one place where a job's state is told: by the newest that is known at this moment.
     pub(crate) fn respond_now(&mut self, request: &PendingRequest, now: Now) {
-        let Some(known) = self.job_cache.jobs.get(request.job()) else {
+        let Some(known) = self.job_cache.job(request.job()) else {
             return self.refuse(request.id(), Refusal::JobNotCached);
         };
         let body = request.answer_body(&known.record, self.task_progress(request.job()));
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -8,7 +8,7 @@
 /// A leader that has just won, on a node that has read everything.
 fn leading_node() -> Node {
     let mut node = node();
-    node.job_cache.is_complete = true;
+    node.job_cache.set_complete(true);
     node.leader = Some(leader());
     node
 }
@@ -26,10 +26,10 @@
     let before = fenced_at(&mut alone).expect("a moment");
     assert!(before < NOW.time + LEADER_LEASE_TTL);
     let mut after = leading_node();
-    after.job_cache.dependencies_seen = true;
+    after.job_cache.set_dependencies_seen();
     assert!(fenced_at(&mut after).expect("a moment") > NOW.time + LEADER_LEASE_TTL);
     let mut unread = leading_node();
-    unread.job_cache.is_complete = false;
+    unread.job_cache.set_complete(false);
     assert!(fenced_at(&mut unread).expect("a moment") > NOW.time + LEADER_LEASE_TTL);
 }
 
@@ -50,7 +50,7 @@
         cache.leader_slot(),
         LeaderSlot::Held(LeaderKey::Common)
     ));
-    cache.dependencies_seen = true;
+    cache.set_dependencies_seen();
     assert!(matches!(
         cache.leader_slot(),
         LeaderSlot::Outdated(leader) if leader.version == Version(3)
@@ -74,7 +74,7 @@
 #[test]
 fn a_leader_finds_out_that_its_key_was_moved_after_all() {
     let mut node = leading_node();
-    node.job_cache.dependencies_seen = true;
+    node.job_cache.set_dependencies_seen();
     node.close_version_gate(NOW);
     node.version_gate_answered(StoreAnswer::Unknown, NOW);
     let gate = |node: &Node| {
@@ -111,7 +111,7 @@
     );
     // Another's key there means that it has lost.
     let mut lost = leading_node();
-    lost.job_cache.dependencies_seen = true;
+    lost.job_cache.set_dependencies_seen();
     lost.close_version_gate(NOW);
     lost.version_gate_answered(StoreAnswer::Conflict(vec![LEADER_KEY.into()]), NOW);
     lost.version_gate_answered(StoreAnswer::Missing, NOW);
