--- a/crates/controller/tests/loopback/workers.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -1,4 +1,4 @@
-//! Workers on loopback, by the protocol: sessions, leases, tokens and commands, without images.
+//! Agents on loopback, by the protocol: incarnations, leases, tokens and commands, without images.
 
 use crate::history::{Change, Event, History};
 use rudderreel_core::Value;
@@ -17,15 +17,15 @@
 use ureq::Agent;
 
 /// Interval of reports, and how long a lease lasts.
-pub const REPORT: Duration = Duration::from_millis(500);
-pub const LEADER_LEASE_TTL: Duration = Duration::from_secs(6);
-/// How long a worker waits for an answer, and before it tries another node.
-const ANSWER: Duration = Duration::from_secs(4);
-const NEXT_NODE: Duration = Duration::from_millis(300);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+pub const AGENT_LEASE: Duration = Duration::from_secs(6);
+/// How long an agent waits for an answer, and before it tries another node.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const NEXT_NODE_PAUSE: Duration = Duration::from_millis(300);
 /// How often it looks for tasks that are over.
-const LEADER_KEY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const TASK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What all workers share.
+/// What all agents share.
 pub struct Shared {
     pub history: History,
     /// What users have submitted.
@@ -43,7 +43,7 @@
     until: Instant,
 }
 
-/// What a worker knows.
+/// What an agent knows.
 struct Memory {
     incarnation: Incarnation,
     seq: u64,
@@ -53,8 +53,8 @@
     tasks: BTreeMap<(TaskId, Attempt), Task>,
 }
 
-/// A worker, which runs on threads of its own until its machine is gone.
-pub struct Worker {
+/// An agent, which runs on threads of its own until its machine is gone.
+pub struct LoopbackAgent {
     id: MachineId,
     rent: Rent,
     addr: SocketAddr,
@@ -63,7 +63,7 @@
     gone: AtomicBool,
 }
 
-impl Worker {
+impl LoopbackAgent {
     /// Starts one.
     pub fn start(id: MachineId, rent: Rent, shared: Arc<Shared>) -> Arc<Self> {
         let server = Server::http("127.0.0.1:0").expect("it listens");
@@ -75,7 +75,7 @@
             answered: Instant::now(),
             tasks: BTreeMap::new(),
         };
-        let worker = Arc::new(Self {
+        let agent = Arc::new(Self {
             id,
             rent,
             addr,
@@ -83,10 +83,10 @@
             memory: Mutex::new(memory),
             gone: AtomicBool::new(false),
         });
-        let (commanded, reporting) = (worker.clone(), worker.clone());
+        let (commanded, reporting) = (agent.clone(), agent.clone());
         std::thread::spawn(move || commanded.take_commands(&server));
         std::thread::spawn(move || reporting.report_for_ever());
-        worker
+        agent
     }
 
     /// Its machine is gone, and everything on it.
@@ -105,7 +105,7 @@
     fn current(&self) -> MutexGuard<'_, Memory> {
         let mut memory = self.memory.lock().expect("the memory");
         let now = Instant::now();
-        let lease_end = memory.answered + LEADER_LEASE_TTL;
+        let lease_end = memory.answered + AGENT_LEASE;
         let over = now.min(lease_end);
         let ended: Vec<TaskId> = (memory.tasks.iter_mut())
             .filter(|(_, task)| task.state == TaskState::Running)
@@ -213,7 +213,7 @@
     /// Answers direct commands.
     fn take_commands(&self, server: &Server) {
         while !self.is_gone() {
-            let Ok(Some(mut request)) = server.recv_timeout(LEADER_KEY_POLL_INTERVAL) else {
+            let Ok(Some(mut request)) = server.recv_timeout(TASK_POLL_INTERVAL) else {
                 drop(self.current());
                 continue;
             };
@@ -239,7 +239,7 @@
     fn report_for_ever(&self) {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_global(Some(ANSWER))
+            .timeout_global(Some(ANSWER_TIMEOUT))
             .build()
             .into();
         let mut node = 0;
@@ -247,12 +247,12 @@
             let controllers = self.shared.controllers.lock().expect("controllers").clone();
             let (_, addr) = &controllers[node % controllers.len()];
             match self.report_once(&agent, *addr) {
-                Outcome::Answered => std::thread::sleep(REPORT),
+                Outcome::Answered => std::thread::sleep(REPORT_INTERVAL),
                 Outcome::Elsewhere(name) => {
                     let named = (controllers.iter()).position(|(n, _)| Some(n) == name.as_ref());
                     let other = named.filter(|at| *at != node % controllers.len());
                     if other.is_none() {
-                        std::thread::sleep(NEXT_NODE);
+                        std::thread::sleep(NEXT_NODE_PAUSE);
                     }
                     node = other.unwrap_or(node + 1);
                 }
@@ -283,7 +283,7 @@
         let reply: StatusReportReply = serde_json::from_str(&body).expect("a reply");
         let mut memory = self.current();
         let meant = reply.token >= memory.token && incarnation == memory.incarnation;
-        if meant && sent.elapsed() < ANSWER && !self.is_gone() {
+        if meant && sent.elapsed() < ANSWER_TIMEOUT && !self.is_gone() {
             memory.token = reply.token;
             memory.answered = memory.answered.max(sent);
             self.obey(&mut memory, &reply.commands);
--- a/crates/controller/tests/loopback/controller.rs
+++ b/crates/controller/tests/loopback/controller.rs
@@ -1,7 +1,7 @@
 //! Real controllers as child processes.
 
+use crate::agents::{AGENT_LEASE, REPORT_INTERVAL};
 use crate::stand_ins::Outside;
-use crate::workers::{LEADER_LEASE_TTL, REPORT};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -25,8 +25,8 @@
     process: Child,
     settings: PathBuf,
     pub name: String,
-    /// Where users and workers come.
-    pub front: SocketAddr,
+    /// Where users and agents come.
+    pub public_address: SocketAddr,
     /// Where peers and administrators come.
     pub peers: SocketAddr,
 }
@@ -41,12 +41,12 @@
 
 /// Starts the controllers of a deployment.
 pub fn start_all(deployment: &Deployment, outside: &Outside) -> Vec<Controller> {
-    let fronts = free_addresses(deployment.controllers);
+    let public_addresses = free_addresses(deployment.controllers);
     let peers = free_addresses(deployment.controllers);
     (0..deployment.controllers)
         .map(|n| {
-            let text = settings(deployment, outside, n, &fronts, &peers);
-            Controller::start(format!("n{n}"), &text, fronts[n], peers[n])
+            let text = settings(deployment, outside, n, &public_addresses, &peers);
+            Controller::start(format!("n{n}"), &text, public_addresses[n], peers[n])
         })
         .collect()
 }
@@ -55,13 +55,13 @@
     deployment: &Deployment,
     outside: &Outside,
     me: usize,
-    fronts: &[SocketAddr],
+    public_addresses: &[SocketAddr],
     peers: &[SocketAddr],
 ) -> String {
     let zone = |n: usize| ["a", "b"][n % 2];
-    let (front, peer) = (fronts[me], peers[me]);
+    let (public_address, peer) = (public_addresses[me], peers[me]);
     let mut text = format!(
-        "node = \"n{me}\"\ndomain = \"{}\"\nfront = \"{front}\"\npeer_bind = \"{peer}\"\n",
+        "node = \"n{me}\"\ndomain = \"{}\"\nfront = \"{public_address}\"\npeer_bind = \"{peer}\"\n",
         zone(me)
     );
     for (n, addr) in peers.iter().enumerate().filter(|(n, _)| *n != me) {
@@ -83,15 +83,15 @@
         "[params.workers]\nreport_s = {:.1}\nlease_s = {:.1}\ngang_wait_s = 10.0\ngang_peer_s = 2.0\n\
         cancel_s = 20.0\n[params.state]\nrps = 600.0\nwrite_rps = 200.0\nvalue_kb = 32.0\ntxn_ops = 20\n\
         [params.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[params.machine_limits]\nfd_limit = {}\n",
-        REPORT.as_secs_f64(),
-        LEADER_LEASE_TTL.as_secs_f64(),
+        REPORT_INTERVAL.as_secs_f64(),
+        AGENT_LEASE.as_secs_f64(),
         deployment.sockets
     );
     text
 }
 
 impl Controller {
-    fn start(name: String, text: &str, front: SocketAddr, peers: SocketAddr) -> Self {
+    fn start(name: String, text: &str, public_address: SocketAddr, peers: SocketAddr) -> Self {
         let file = format!(
             "rudderreel-{}-{}.toml",
             std::process::id(),
@@ -104,7 +104,7 @@
             process,
             settings,
             name,
-            front,
+            public_address,
             peers,
         }
     }
--- a/crates/controller/tests/loopback/costs.rs
+++ b/crates/controller/tests/loopback/costs.rs
@@ -1,10 +1,10 @@
 //! What the controllers take from their machines under an ordinary load: processor time by thread, wake-ups
 //! and memory. It is measured, not judged, so it is run by hand; `docs/measuring.md` has the command.
 
+use crate::agents::Shared;
 use crate::controller::{start_all, Controller, Deployment};
 use crate::history::History;
 use crate::stand_ins::Outside;
-use crate::workers::Shared;
 use rudderreel_wire::job::JobSpec;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use ureq::Agent;
 
 const CONTROLLERS: usize = 5;
-/// Machines; their workers report twice a second, so this is the load of five times as many that report
+/// Machines; their agents report twice a second, so this is the load of five times as many that report
 /// every 2.5 s.
 const MACHINES: usize = 125;
 /// Jobs that fill the machines, one task each, and that users ask about.
@@ -87,7 +87,7 @@
 }
 
 /// Submits all jobs, and then asks about one after the other until it is over.
-fn submit_and_ask(fronts: &[SocketAddr], specs: &[JobSpec], over: &AtomicBool) {
+fn submit_and_ask(public_addresses: &[SocketAddr], specs: &[JobSpec], over: &AtomicBool) {
     let agent: Agent = Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(Duration::from_secs(2)))
@@ -96,7 +96,10 @@
     for (n, spec) in specs.iter().enumerate() {
         let text = serde_json::to_string(spec).expect("JSON");
         let accepted = |at: usize| {
-            let url = format!("http://{}/v1/jobs", fronts[at % fronts.len()]);
+            let url = format!(
+                "http://{}/v1/jobs",
+                public_addresses[at % public_addresses.len()]
+            );
             let status = agent
                 .post(&url)
                 .send(text.as_bytes())
@@ -113,9 +116,9 @@
         if over.load(Ordering::Relaxed) {
             return;
         }
-        let front = fronts[n % fronts.len()];
+        let public_address = public_addresses[n % public_addresses.len()];
         let answer = agent
-            .get(format!("http://{front}/v1/jobs/{}", spec.id))
+            .get(format!("http://{public_address}/v1/jobs/{}", spec.id))
             .call();
         if let Ok(mut response) = answer {
             let _ = response.body_mut().read_to_string();
@@ -165,15 +168,15 @@
         teams: vec![("red", 1_000.0)],
     };
     let controllers = start_all(&deployment, &outside);
-    let fronts: Vec<SocketAddr> = controllers.iter().map(|c| c.front).collect();
+    let public_addresses: Vec<SocketAddr> = controllers.iter().map(|c| c.public_address).collect();
     *shared.controllers.lock().expect("controllers") = controllers
         .iter()
-        .map(|c| (c.name.clone(), c.front))
+        .map(|c| (c.name.clone(), c.public_address))
         .collect();
     let over = Arc::new(AtomicBool::new(false));
     let user = {
         let (over, specs) = (over.clone(), specs.clone());
-        std::thread::spawn(move || submit_and_ask(&fronts, &specs, &over))
+        std::thread::spawn(move || submit_and_ask(&public_addresses, &specs, &over))
     };
     std::thread::sleep(WARM_UP);
     let before: Vec<_> = controllers.iter().map(|c| usage(c.process_id())).collect();
--- a/crates/controller/tests/loopback/fleet.rs
+++ b/crates/controller/tests/loopback/fleet.rs
@@ -1,9 +1,9 @@
 //! A whole fleet comes to one controller at once.
 
+use crate::agents::Shared;
 use crate::controller::{start_all, Controller, Deployment};
 use crate::history::History;
 use crate::stand_ins::Outside;
-use crate::workers::Shared;
 use rudderreel_wire::ids::{Epoch, Incarnation, Seq};
 use rudderreel_wire::worker::StatusReport;
 use std::io::{Read, Write};
@@ -12,7 +12,7 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::{Duration, Instant};
 
-/// Workers that come at once.
+/// Agents that come at once.
 const WORKERS: usize = 4_000;
 /// Threads that play them.
 const THREADS: usize = 16;
@@ -99,17 +99,17 @@
         teams: vec![("red", 100.0)],
     };
     let controller = start_all(&deployment, &outside).remove(0);
-    wait_until_up(controller.front);
+    wait_until_up(controller.public_address);
     (outside, controller)
 }
 
 /// Waits until the controller leads and answers.
-fn wait_until_up(front: SocketAddr) {
+fn wait_until_up(public_address: SocketAddr) {
     let until = Instant::now() + PATIENCE;
     while Instant::now() < until {
-        if let Ok(stream) = TcpStream::connect(front) {
+        if let Ok(stream) = TcpStream::connect(public_address) {
             drop(stream);
-            let mut client = Client::open(front);
+            let mut client = Client::open(public_address);
             client.send("POST /v1/report", &report(999_999, 1));
             if client.status() == 200 {
                 return;
@@ -122,7 +122,7 @@
 
 /// What a fleet that came at once met with.
 struct Rush {
-    workers: usize,
+    agents: usize,
     answered: usize,
     elsewhere: usize,
     /// The longest that a health check took meanwhile, and how many there were.
@@ -131,15 +131,15 @@
     took: Duration,
 }
 
-/// Has workers connect and report twice, all at the same time, while health is checked.
-fn rush(controller: &Controller, workers: usize) -> Rush {
+/// Has agents connect and report twice, all at the same time, while health is checked.
+fn rush(controller: &Controller, agents: usize) -> Rush {
     let over = Arc::new(AtomicBool::new(false));
-    let (front, ended) = (controller.front, over.clone());
+    let (public_address, ended) = (controller.public_address, over.clone());
     let health = std::thread::spawn(move || {
         let (mut slowest, mut checks) = (Duration::ZERO, 0);
         while !ended.load(Ordering::Relaxed) {
             let begun = Instant::now();
-            assert_eq!(Client::open(front).ask("GET /up"), 200);
+            assert_eq!(Client::open(public_address).ask("GET /up"), 200);
             slowest = slowest.max(begun.elapsed());
             checks += 1;
         }
@@ -151,9 +151,9 @@
         let start = start.clone();
         std::thread::spawn(move || {
             start.wait();
-            let mine = (0..workers).filter(move |n| n % THREADS == thread);
+            let mine = (0..agents).filter(move |n| n % THREADS == thread);
             let mut clients: Vec<(usize, Client)> =
-                mine.map(|n| (n, Client::open(front))).collect();
+                mine.map(|n| (n, Client::open(public_address))).collect();
             let mut statuses = Vec::new();
             for seq in 1..=2 {
                 for (n, client) in &mut clients {
@@ -178,7 +178,7 @@
     let (slowest_check, checks) = health.join().expect("health is checked");
     let count = |status: u16| statuses.iter().filter(|s| **s == status).count();
     let rush = Rush {
-        workers,
+        agents,
         answered: count(200),
         elsewhere: count(421),
         slowest_check,
@@ -189,29 +189,29 @@
     let memory = controller.memory().unwrap_or(0) / (1 << 20);
     println!(
         "{} workers at once: {} answered, {} sent elsewhere, in {:?}; {} health checks, the slowest {:?}; {memory} MiB",
-        rush.workers, rush.answered, rush.elsewhere, rush.took, rush.checks, rush.slowest_check
+        rush.agents, rush.answered, rush.elsewhere, rush.took, rush.checks, rush.slowest_check
     );
     rush
 }
 
-/// As many workers as descriptors are permitted for, at most those wanted.
+/// As many agents as descriptors are permitted for, at most those wanted.
 fn permitted(wanted: usize) -> usize {
     let limit = rlimit::increase_nofile_limit(wanted as u64 + OTHER_DESCRIPTORS).unwrap_or(1_024);
-    let workers = wanted.min(limit.saturating_sub(OTHER_DESCRIPTORS) as usize);
-    if workers < wanted {
-        println!("descriptors for {workers} of {wanted} workers are permitted");
+    let agents = wanted.min(limit.saturating_sub(OTHER_DESCRIPTORS) as usize);
+    if agents < wanted {
+        println!("descriptors for {agents} of {wanted} agents are permitted");
     }
-    workers
+    agents
 }
 
 /// The listener had room for 1,024 connections that wait to be accepted, and the core for as many reports:
 /// what did not fit was dropped or refused.
 #[test]
 fn a_fleet_that_comes_at_once_is_answered() {
-    let workers = permitted(WORKERS);
-    let (_outside, controller) = alone(2 * workers as u64);
-    let rush = rush(&controller, workers);
-    assert_eq!(rush.answered, workers);
+    let agents = permitted(WORKERS);
+    let (_outside, controller) = alone(2 * agents as u64);
+    let rush = rush(&controller, agents);
+    assert_eq!(rush.answered, agents);
     assert!(rush.checks > 0);
     let mut admin = Client::open(controller.peers);
     assert_eq!(admin.ask("GET /admin/machines?after=vm-000100"), 200);
@@ -225,7 +225,7 @@
     let (_outside, controller) = alone(400);
     let rush = rush(&controller, 260);
     assert_eq!(rush.answered + rush.elsewhere, 260);
-    // 400 sockets are for 300 connections, of which 225 are for workers.
+    // 400 sockets are for 300 connections, of which 225 are for agents.
     assert!((200..=225).contains(&rush.answered), "{}", rush.answered);
 }
 
@@ -233,11 +233,11 @@
 #[test]
 #[ignore = "judges by the clock"]
 fn health_is_answered_within_a_second_while_a_fleet_comes() {
-    for workers in [4_000, 6_000] {
-        let workers = permitted(workers);
-        let (_outside, controller) = alone(2 * workers as u64);
-        let rush = rush(&controller, workers);
-        assert_eq!(rush.answered, workers);
+    for agents in [4_000, 6_000] {
+        let agents = permitted(agents);
+        let (_outside, controller) = alone(2 * agents as u64);
+        let rush = rush(&controller, agents);
+        assert_eq!(rush.answered, agents);
         assert!(rush.slowest_check < Duration::from_secs(1));
     }
 }
--- a/crates/controller/tests/loopback/history.rs
+++ b/crates/controller/tests/loopback/history.rs
@@ -1,4 +1,4 @@
-//! What workers ran, as they saw it themselves, and a check of every instant.
+//! What agents ran, as they saw it themselves, and a check of every instant.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,7 +11,7 @@
     Began,
 }
 
-/// Something that a worker did.
+/// Something that an agent did.
 #[derive(Clone, Debug)]
 pub struct Event {
     pub at: Instant,
@@ -32,7 +32,7 @@
     RanTwice { task: String, machine: String },
 }
 
-/// What workers did, in the order in which they noted it.
+/// What agents did, in the order in which they noted it.
 #[derive(Default)]
 pub struct History {
     events: Mutex<Vec<Event>>,
@@ -61,13 +61,13 @@
 
 /// The result of a check.
 #[derive(Debug, Default)]
-pub struct Checked {
+pub struct CheckedHistory {
     pub violations: Vec<Violation>,
     pub starts: usize,
     by_team: BTreeMap<String, Use>,
 }
 
-impl Checked {
+impl CheckedHistory {
     /// What a team used at most at any instant.
     pub fn most_used(&self, team: &str) -> f64 {
         self.by_team.get(team).map_or(0.0, |used| used.most)
@@ -75,8 +75,8 @@
 }
 
 /// Checks events in the order of their times against the limits of teams.
-pub fn check(events: &[Event], limits: &BTreeMap<String, f64>) -> Checked {
-    let mut checked = Checked::default();
+pub fn check(events: &[Event], limits: &BTreeMap<String, f64>) -> CheckedHistory {
+    let mut checked = CheckedHistory::default();
     let mut running: BTreeMap<&str, u32> = BTreeMap::new();
     for event in events {
         let used = checked.by_team.entry(event.team.clone()).or_default();
--- a/crates/controller/tests/loopback/main.rs
+++ b/crates/controller/tests/loopback/main.rs
@@ -1,12 +1,12 @@
 //! Real controllers on loopback, with stand-ins for the services outside.
 
+mod agents;
 mod controller;
 mod costs;
 mod fleet;
 mod history;
 mod stand_ins;
 mod team_limits;
-mod workers;
 
 // The same stand-ins as those of the simulated world, which uses more of them.
 #[allow(dead_code)]
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -1,8 +1,8 @@
-//! The state service and the cloud over HTTP, on loopback.
+//! The store and the cloud over HTTP, on loopback.
 
+use crate::agents::{LoopbackAgent, Shared};
 use crate::cloud::Cloud;
 use crate::store::{Limits, Store};
-use crate::workers::{Shared, Worker};
 use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::{LeaseId, MachineId, Version};
 use rudderreel_wire::state::{Committed, Events, Lease, LeaseRequest};
@@ -21,7 +21,7 @@
 const WATCH_LOOKS: Duration = Duration::from_millis(5);
 
 /// How often a thread looks whether the test is over.
-const LEADER_KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const TASK_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long machines take to come up, at least and at most.
 const BOOT_MS: (u64, u64) = (200, 500);
 
@@ -42,9 +42,9 @@
     store: Mutex<Store>,
     cloud: Mutex<Cloud>,
     started: Instant,
-    workers: Mutex<BTreeMap<MachineId, Arc<Worker>>>,
+    agents: Mutex<BTreeMap<MachineId, Arc<LoopbackAgent>>>,
     shared: Arc<Shared>,
-    /// By controller: whether the state service refuses it.
+    /// By controller: whether the store refuses it.
     refused: Vec<AtomicBool>,
     over: AtomicBool,
 }
@@ -64,7 +64,7 @@
             store: Mutex::new(Store::of(AMPLE)),
             cloud: Mutex::new(Cloud::of(machines, BOOT_MS, &["a", "b"])),
             started: Instant::now(),
-            workers: Mutex::default(),
+            agents: Mutex::default(),
             shared,
             refused: (0..controllers).map(|_| AtomicBool::new(false)).collect(),
             over: AtomicBool::new(false),
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Whether the state service refuses a controller from now on.
+    /// Whether the store refuses a controller from now on.
     pub fn refuse(&self, controller: usize, refused: bool) {
         self.stand_ins.refused[controller].store(refused, Ordering::SeqCst);
     }
 
-    /// Who leads, by the state service.
+    /// Who leads, by the store.
     pub fn leader(&self) -> Option<String> {
         let store = self.stand_ins.store();
         store.text("pub/leader", "node")
@@ -97,8 +97,8 @@
 impl Drop for Outside {
     fn drop(&mut self) {
         self.stand_ins.over.store(true, Ordering::SeqCst);
-        let workers = self.stand_ins.workers.lock().expect("the workers");
-        workers.values().for_each(|worker| worker.end());
+        let agents = self.stand_ins.agents.lock().expect("the workers");
+        agents.values().for_each(|agent| agent.end());
     }
 }
 
@@ -113,7 +113,7 @@
         let (server, stand_ins, answer) = (server.clone(), stand_ins.clone(), answer.clone());
         std::thread::spawn(move || {
             while !stand_ins.is_over() {
-                let Ok(Some(mut request)) = server.recv_timeout(LEADER_KEY_POLL_INTERVAL) else {
+                let Ok(Some(mut request)) = server.recv_timeout(TASK_POLL_INTERVAL) else {
                     continue;
                 };
                 let mut body = String::new();
@@ -246,8 +246,8 @@
             let answer = cloud.call(&call, self.now());
             // By the time of the answer the machines and everything on them are gone.
             for id in cloud.gone() {
-                if let Some(worker) = self.workers.lock().expect("the workers").remove(&id) {
-                    worker.end();
+                if let Some(agent) = self.agents.lock().expect("the workers").remove(&id) {
+                    agent.end();
                 }
             }
             answer
@@ -265,18 +265,18 @@
 }
 
 impl StandIns {
-    /// Starts the workers of machines that have come up.
+    /// Starts the agents of machines that have come up.
     fn boot_for_ever(&self) {
         while !self.is_over() {
             {
                 let mut cloud = self.cloud.lock().expect("the cloud");
                 for (id, rent) in cloud.booted(self.now()) {
-                    let worker = Worker::start(id.clone(), rent, self.shared.clone());
-                    let mut workers = self.workers.lock().expect("the workers");
-                    workers.insert(id, worker);
+                    let agent = LoopbackAgent::start(id.clone(), rent, self.shared.clone());
+                    let mut agents = self.agents.lock().expect("the workers");
+                    agents.insert(id, agent);
                 }
             }
-            std::thread::sleep(LEADER_KEY_POLL_INTERVAL);
+            std::thread::sleep(TASK_POLL_INTERVAL);
         }
     }
 }
--- a/crates/controller/tests/loopback/team_limits.rs
+++ b/crates/controller/tests/loopback/team_limits.rs
@@ -1,12 +1,12 @@
-//! Team limits with several controllers, of which some freeze, end, or lose the state service.
+//! Team limits with several controllers, of which some freeze, end, or lose the store.
 //!
-//! Three controllers take a burst of submissions at once. What counts is what the workers ran: at no
+//! Three controllers take a burst of submissions at once. What counts is what the agents ran: at no
 //! instant may a team's tasks use more than its limit, and no task may be on two machines.
 
+use crate::agents::Shared;
 use crate::controller::{start_all, Controller, Deployment};
-use crate::history::{check, Checked, History};
+use crate::history::{check, CheckedHistory, History};
 use crate::stand_ins::Outside;
-use crate::workers::Shared;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -32,7 +32,7 @@
 const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
 /// How long a controller stands still: longer than the leader's lease or not.
 const FREEZE_MS: std::ops::Range<u64> = 500..6_000;
-/// How long the state service refuses one.
+/// How long the store refuses one.
 const REFUSAL_MS: std::ops::Range<u64> = 500..5_000;
 /// Users ask so often, and the whole run ends by then at the latest.
 const POLL: Duration = Duration::from_millis(150);
@@ -41,17 +41,20 @@
 /// A user, who submits and asks until a job is done.
 struct User {
     agent: Agent,
-    fronts: Vec<SocketAddr>,
+    public_addresses: Vec<SocketAddr>,
 }
 
 impl User {
-    fn new(fronts: Vec<SocketAddr>) -> Self {
+    fn new(public_addresses: Vec<SocketAddr>) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_secs(2)))
             .build()
             .into();
-        Self { agent, fronts }
+        Self {
+            agent,
+            public_addresses,
+        }
     }
 
     /// Status and state of a job, if there was an answer.
@@ -68,16 +71,19 @@
     }
 
     fn submit(&self, at: usize, spec: &JobSpec) -> Option<(u16, String)> {
-        let url = format!("http://{}/v1/jobs", self.fronts[at % self.fronts.len()]);
+        let url = format!(
+            "http://{}/v1/jobs",
+            self.public_addresses[at % self.public_addresses.len()]
+        );
         let text = serde_json::to_string(spec).expect("JSON");
         self.answer(self.agent.post(&url).send(text.as_bytes()))
     }
 
     fn ask(&self, at: usize, id: &JobId) -> Option<(u16, String)> {
-        let front = self.fronts[at % self.fronts.len()];
+        let public_address = self.public_addresses[at % self.public_addresses.len()];
         self.answer(
             self.agent
-                .get(format!("http://{front}/v1/jobs/{id}"))
+                .get(format!("http://{public_address}/v1/jobs/{id}"))
                 .call(),
         )
     }
@@ -101,7 +107,7 @@
                 Some((200, state)) if state == "done" => {
                     // Every controller says so from now on.
                     let took = *done.get_or_insert_with(|| begun.elapsed());
-                    if at >= first + 2 * self.fronts.len() {
+                    if at >= first + 2 * self.public_addresses.len() {
                         return Some(took);
                     }
                 }
@@ -129,15 +135,15 @@
 
 /// What a run came to.
 struct Run {
-    checked: Checked,
+    checked: CheckedHistory,
     unfinished: usize,
     /// Milliseconds from submission to done.
     done_ms: Histogram<u64>,
     leaders: usize,
 }
 
-/// One trouble: the leader or any controller freezes, ends, or is refused by the state service.
-fn trouble(rng: &mut StdRng, controllers: &mut [Controller], outside: &Outside) {
+/// One fault: the leader or any controller freezes, ends, or is refused by the store.
+fn inject_fault(rng: &mut StdRng, controllers: &mut [Controller], outside: &Outside) {
     let leader = outside.leader();
     let leadership_condition = controllers
         .iter()
@@ -165,7 +171,7 @@
     std::thread::sleep(Duration::from_millis(ms));
 }
 
-/// Plays a burst with troubles drawn by a seed.
+/// Plays a burst with faults drawn by a seed.
 fn play(seed: u64) -> Run {
     let mut rng = StdRng::seed_from_u64(seed);
     let specs: Vec<JobSpec> = (0..JOBS).map(|n| spec(n, &mut rng)).collect();
@@ -183,13 +189,15 @@
         teams: TEAMS.to_vec(),
     };
     let mut controllers = start_all(&deployment, &outside);
-    let fronts: Vec<SocketAddr> = controllers.iter().map(|c| c.front).collect();
-    let named = controllers.iter().map(|c| (c.name.clone(), c.front));
+    let public_addresses: Vec<SocketAddr> = controllers.iter().map(|c| c.public_address).collect();
+    let named = controllers
+        .iter()
+        .map(|c| (c.name.clone(), c.public_address));
     *shared.controllers.lock().expect("controllers") = named.collect();
     let until = Instant::now() + PATIENCE;
     let users: Vec<_> = (specs.into_iter().enumerate())
         .map(|(n, spec)| {
-            let user = User::new(fronts.clone());
+            let user = User::new(public_addresses.clone());
             std::thread::spawn(move || user.see_through(n, &spec, until))
         })
         .collect();
@@ -197,7 +205,7 @@
     for _ in 0..TROUBLES {
         sleep_ms(rng.random_range(PAUSE_MS));
         leaders.extend(outside.leader());
-        trouble(&mut rng, &mut controllers, &outside);
+        inject_fault(&mut rng, &mut controllers, &outside);
     }
     let took: Vec<Option<Duration>> = (users.into_iter())
         .map(|user| user.join().expect("answers that keep the rules"))
