--- a/crates/core/src/agents/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -1,115 +1,94 @@
-//! Whose fault is an error: the machine's, or the job's?
+//! Attributes the failures of tasks to machines or to jobs.
 //!
-//! A task's error speaks against its machine and against its job. A job that has failed on several
-//! machines and never got anywhere was probably submitted with a mistake; a machine on which several
-//! jobs that nothing else speaks against have failed is probably faulty. Only the suspected side pays:
-//! a machine is not blamed for what a suspected job does there, and a suspected job is tried with one
-//! task (a gang with all) after growing pauses, holds no room and rents none. It is never given up,
-//! for faulty machines may have deceived us: its first success clears it.
+//! A task's error speaks against its machine and against its job. A job that has failed on several machines and
+//! never got anywhere was probably submitted with a mistake; a machine on which several jobs have failed that nothing
+//! else speaks against is probably faulty. Only the suspected side pays: a machine is not blamed for what a suspected
+//! job does there; a suspected job is tried with one task (a gang with all) after growing pauses, holds no room and
+//! causes no scale-out. It is never given up, since faulty machines may have misled us: its first success clears it.
 
 use crate::fleet::blame::JOBS_TO_SUSPECT_MACHINE;
-use crate::fleet::machine::Phase;
-use crate::jobs::failures::{Failures, MAX_DOUBLINGS};
-use crate::jobs::job::JobStage;
+use crate::fleet::{Fleet, Phase, Stop, StopReason, TaskExit};
+use crate::jobs::failures::Failures;
+use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
 
-/// A job is suspected after failures on so many machines that nothing else speaks against, or on
-/// one more of any.
+/// A job is suspected after failures on so many machines that nothing else speaks against, or on one more of any.
 const MACHINES_TO_SUSPECT_JOB: usize = 2;
-/// What has run for so long is not broken.
+/// A job with a task that has run for so long has no mistake.
 const PROVEN_AFTER: Span = Span(30_000);
-/// Pauses before another try: for a job that is not suspected, and the first for one that is. They
-/// double with each try that fails, so many times at most.
-const RETRY_PAUSE: Span = Span(300);
-const SUSPECTED_RETRY_PAUSE: Span = Span(2_000);
+/// The counter of jobs that have become suspected.
+const SUSPECTED_JOBS_COUNTER: &str = "suspected jobs";
 
 impl Leader {
     /// A task failed on a machine.
-    pub(crate) fn task_failed(
-        &mut self,
-        machine: &MachineId,
-        task: &TaskId,
-        attempt: Attempt,
-        ran: Option<Span>,
-        now: Now,
-    ) {
-        let lasted = ran.is_some_and(|r| r >= PROVEN_AFTER) || self.runs_elsewhere(task, now.time);
-        let (machines, Some(job)) = (&self.fleet.machines, self.jobs.get_mut(&task.job)) else {
+    pub(super) fn task_failed(&mut self, machine: &MachineId, exit: &TaskExit, now: Now) {
+        let job_id = &exit.task.job;
+        let ran_long = exit.ran.is_some_and(|ran| ran >= PROVEN_AFTER)
+            || self.replica_runs_long(&exit.task, now.time);
+        let Some(job) = self.jobs.get_mut(job_id) else {
             return;
         };
-        job.failures.proven |= lasted;
-        let was = job.is_suspected();
-        let new = job.failures.record(machine, attempt, now.time);
-        let others = |id: &MachineId| {
-            machines.get(id).map_or(0, |m| {
-                m.failed_jobs.iter().filter(|(j, _)| *j != task.job).count()
-            })
-        };
-        let on = &job.failures.on;
-        let clean = on
-            .iter()
-            .filter(|(m, _)| others(m) < JOBS_TO_SUSPECT_MACHINE)
-            .count();
-        let many = clean >= MACHINES_TO_SUSPECT_JOB || on.len() > MACHINES_TO_SUSPECT_JOB;
-        job.failures.suspected |= many && !job.failures.proven;
-        let suspected = job.is_suspected();
-        if new {
-            let times = job.failures.tries.min(MAX_DOUBLINGS + 1).saturating_sub(1);
-            let pause = if suspected {
-                Span(SUSPECTED_RETRY_PAUSE.0 << times)
-            } else {
-                RETRY_PAUSE
-            };
-            job.retry_at = now.time + pause;
-        } else if suspected && !was {
-            job.retry_at = job.retry_at.max(now.time + SUSPECTED_RETRY_PAUSE);
+        if ran_long {
+            job.failures.mark_proven();
+        }
+        let was_suspected = job.is_suspected();
+        let is_first_of_attempt = job.failures.record(machine, exit.attempt, now.time);
+        if !job.failures.is_proven() && fails_wherever_tried(job, &self.fleet) {
+            job.failures.suspect();
         }
-        if !suspected {
-            let sound = job.failures.proven;
-            if let Some(m) = self.fleet.machines.get_mut(machine) {
-                m.record_failure(&task.job, sound, now.time);
+        let became_suspected = job.is_suspected() && !was_suspected;
+        if is_first_of_attempt {
+            job.pause_after_failure(now.time);
+        } else if became_suspected {
+            job.pause_as_suspected(now.time);
+        }
+        if !job.is_suspected() {
+            let job_is_proven = job.failures.is_proven();
+            if let Some(machine) = self.fleet.machines.get_mut(machine) {
+                machine.record_failure(job_id, job_is_proven, now.time);
             }
-        } else if !was {
-            self.suspect(&task.job, now.time);
+        } else if became_suspected {
+            self.job_became_suspected(job_id, now.time);
         }
     }
 
-    /// Whether another task of the job has been running for long.
-    fn runs_elsewhere(&self, task: &TaskId, now: Time) -> bool {
+    /// Whether some replica of a task's service has been running for long.
+    fn replica_runs_long(&self, task: &TaskId, now: Time) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        job.spec.kind == Kind::Service
-            && (job.placements.values().flatten()).any(|(id, attempt)| {
-                let machine = self.fleet.machines.get(id);
-                machine.is_some_and(|m| {
-                    (m.tasks.iter())
-                        .filter(|e| e.attempt == *attempt && e.task.job == task.job)
-                        .any(|e| e.running_since.is_some_and(|t| now - t >= PROVEN_AFTER))
-                })
+        let runs_long = |machine: &MachineId, attempt: Attempt| {
+            (self.fleet.machines.get(machine)).is_some_and(|machine| {
+                (machine.tasks.iter())
+                    .filter(|placed| placed.attempt == attempt && placed.task.job == task.job)
+                    .filter_map(|placed| placed.running_since)
+                    .any(|since| now - since >= PROVEN_AFTER)
             })
+        };
+        job.spec.kind == Kind::Service
+            && (job.placements.values().flatten())
+                .any(|(machine, attempt)| runs_long(machine, *attempt))
     }
 
-    /// A job has become suspected: no machine is blamed for it, and what of it has not been sent
-    /// yet is taken back.
-    fn suspect(&mut self, id: &JobId, now: Time) {
-        log::info!("{id} fails wherever it is tried; it may have been submitted with a mistake");
-        self.metrics.count("suspected jobs");
-        let mut planned = Vec::new();
+    /// A job has become suspected: no machine is blamed for it, and what of it has not been recorded yet is taken
+    /// back.
+    fn job_became_suspected(&mut self, id: &JobId, now: Time) {
+        log::info!("job suspected: it fails wherever it is tried job={id}");
+        self.metrics.count(SUSPECTED_JOBS_COUNTER);
+        let mut planned: Vec<(MachineId, Attempt)> = Vec::new();
         for machine in self.fleet.machines.values_mut() {
             machine.clear_blame(id, now);
-            let waits = |e: &&crate::fleet::machine::PlacedTask| {
-                e.task.job == *id && e.phase == Phase::Planned && !e.is_recorded()
-            };
-            planned.extend(
-                (machine.tasks.iter().filter(waits)).map(|e| (machine.id.clone(), e.attempt)),
-            );
+            let tasks = (machine.tasks.iter()).filter(|placed| {
+                placed.task.job == *id && placed.phase == Phase::Planned && !placed.is_recorded()
+            });
+            planned.extend(tasks.map(|placed| (machine.id.clone(), placed.attempt)));
         }
+        let stop = Stop::without_grace(StopReason::JobSuspected, now);
         for (machine, attempt) in planned {
-            self.stop_attempt_on(&machine, id, attempt, 0.0, "its job is suspected", now);
+            self.stop_attempt_on(&machine, id, attempt, stop);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             // So that the next leader knows.
@@ -118,20 +97,32 @@
     }
 
     /// A task was completed on a machine: neither is to blame for what failed before.
-    pub(crate) fn task_succeeded(&mut self, machine: &MachineId, job: &JobId, now: Time) {
-        if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.task_succeeded(now);
+    pub(super) fn clear_suspicions(&mut self, machine: &MachineId, job: &JobId, now: Time) {
+        if let Some(machine) = self.fleet.machines.get_mut(machine) {
+            machine.task_succeeded(now);
         }
-        if let Some(job) = self
-            .jobs
-            .get_mut(job)
-            .filter(|j| j.stage == JobStage::Active)
-        {
+        if let Some(job) = self.jobs.get_mut(job).filter(|job| job.is_active()) {
             job.failures = Failures::cleared();
             job.retry_at = job.retry_at.min(now);
         }
     }
 }
 
+/// Whether a job has failed on enough machines. One that several other jobs failed on counts for less.
+fn fails_wherever_tried(job: &Job, fleet: &Fleet) -> bool {
+    let failed_others = |id: &MachineId| {
+        fleet.machines.get(id).map_or(0, |machine| {
+            (machine.failed_jobs.iter())
+                .filter(|failure| failure.job != job.spec.id)
+                .count()
+        })
+    };
+    let machines = job.failures.machines().count();
+    let sound_machines = (job.failures.machines())
+        .filter(|id| failed_others(id) < JOBS_TO_SUSPECT_MACHINE)
+        .count();
+    sound_machines >= MACHINES_TO_SUSPECT_JOB || machines > MACHINES_TO_SUSPECT_JOB
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -9,6 +9,7 @@
 //! If the leader says nothing, workers get 503 at once and try another node.
 
 use crate::cache::job_cache::JobCache;
+use crate::fleet::MessageOrder;
 use crate::io::{json, CallId, ReqId};
 use crate::leader::Leader;
 use crate::leadership::peers::PeerStatus;
@@ -170,8 +171,8 @@
         let answer = self.answer_report(&report, job_cache, now);
         if let Some(machine) = self.fleet.machines.get_mut(&id).filter(|_| whole) {
             // What the peer may refer to from now on.
-            if machine.last_message == (report.incarnation, report.seq) {
-                machine.last_task_list.0 = machine.last_message;
+            if machine.last_message == MessageOrder::of(&report) {
+                machine.reported_tasks.message = machine.last_message;
             }
         }
         match answer {
@@ -192,7 +193,9 @@
         seq: Seq,
     ) -> Option<StatusReport> {
         let machine = self.fleet.machines.get(id)?;
-        if machine.last_task_list.0 != (incarnation, seq) || !self.recovery.is_complete {
+        if machine.reported_tasks.message != (MessageOrder { incarnation, seq })
+            || !self.recovery.is_complete
+        {
             return None;
         }
         Some(StatusReport {
@@ -205,7 +208,7 @@
             seq,
             token: self.term.epoch(),
             notice_s: None,
-            tasks: machine.last_task_list.1.to_vec(),
+            tasks: machine.reported_tasks.tasks.to_vec(),
         })
     }
 }
--- a/crates/core/src/api/admin/views.rs
+++ b/crates/core/src/api/admin/views.rs
@@ -2,7 +2,7 @@
 //!
 //! Lists are answered in pages or cut, and always say how many there are in all.
 
-use crate::fleet::machine::{Machine, Phase};
+use crate::fleet::{Machine, Phase};
 use crate::leader::Leader;
 use crate::scheduling::snapshot::Snapshot;
 use crate::units::Now;
@@ -82,7 +82,7 @@
         "free_cpus": free.cpus as f64 / 1000.0,
         "free_gpus": free.gpus as f64 / 1000.0,
         "going": m.retire_reason, "price_per_hour": price_of(leader, m),
-        "failed_jobs": m.failed_jobs.iter().map(|(j, _)| j).collect::<Vec<_>>(),
+        "failed_jobs": m.failed_jobs.iter().map(|f| &f.job).collect::<Vec<_>>(),
         "quarantined_s": (m.quarantined_until - now.time).as_secs(),
     })
 }
--- a/crates/core/src/capacity/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -4,7 +4,7 @@
 //! it depends on still runs, but not before all of that runs: until then nothing is known of when it ends, and a machine
 //! that waits for it would cost money for nothing.
 
-use crate::fleet::machine::PlacedTask;
+use crate::fleet::PlacedTask;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
--- a/crates/core/src/capacity/machine_list.rs
+++ b/crates/core/src/capacity/machine_list.rs
@@ -1,6 +1,6 @@
 //! Applying the cloud's list of machines, whose pages may be older than what is known.
 
-use crate::fleet::machine::Machine;
+use crate::fleet::{Machine, MachineDescription, RetireReason};
 use crate::leader::Leader;
 use crate::units::{Now, Wall};
 use rudderreel_wire::cloud::{ListedMachine, ListedState};
@@ -12,26 +12,25 @@
     /// those that failed.
     pub(crate) fn apply_cloud_list(&mut self, listed: &[ListedMachine], now: Now) {
         for found in listed {
-            if self.fleet.returned.contains_key(&found.id) {
+            if self.fleet.is_returned(&found.id) {
                 continue;
             }
             let capacity = self.policy.capacity_of(&found.machine_type);
             let machine = (self.fleet.machines.entry(found.id.clone())).or_insert_with(|| {
-                Machine::new(
-                    found.id.clone(),
-                    found.machine_type.clone(),
-                    found.zone.clone(),
-                    found.spot,
+                Machine::new(MachineDescription {
+                    id: found.id.clone(),
+                    machine_type: found.machine_type.clone(),
+                    zone: found.zone.clone(),
+                    is_spot: found.spot,
                     capacity,
-                    requested_at(found, now),
-                )
+                    known_since: requested_at(found, now),
+                })
             });
-            machine.in_cloud_list = true;
             if machine.addr.is_none() {
                 machine.addr = found.addr.clone();
             }
             if found.state == ListedState::Failed {
-                machine.retire_reason.get_or_insert("failed");
+                machine.retire(RetireReason::Failed);
             }
         }
     }
--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -91,7 +91,7 @@
     /// Whether an offer may be requested for a job. What comes up in a partitioned zone can't report.
     fn may_request(&self, job: &Job, offer: &InstanceOffer, now: Time) -> bool {
         self.scale_out.may_request(offer, now)
-            && !self.fleet.partitioned_zones.contains_key(&offer.zone)
+            && !self.fleet.partitioned_zones.contains(&offer.zone)
             && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
     }
 
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -6,7 +6,7 @@
 
 use super::offers::price;
 use crate::cloud::scale_out_requests::InstanceOffer;
-use crate::fleet::machine::Machine;
+use crate::fleet::{Machine, RetireReason, Stop, StopReason};
 use crate::leader::Leader;
 use crate::scheduling::actions::should_avoid_gpus;
 use crate::units::{Now, Span, Time};
@@ -33,8 +33,6 @@
 const LEASES_BEFORE_STUCK: u64 = 2;
 /// A return without an answer is repeated after so long.
 const RETURN_RETRY_INTERVAL: Span = Span(5_000);
-/// Why idle machines are retired.
-pub(crate) const IDLE: &str = "idle";
 
 /// Whether machines must be returned at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +61,7 @@
     /// Machines with GPUs that count as idle although something runs there.
     misused: BTreeSet<MachineId>,
     /// Machines that were declared dead, and why.
-    dead: BTreeMap<MachineId, &'static str>,
+    dead: BTreeMap<MachineId, RetireReason>,
     /// Whether the leader has led for long enough to know that a machine is stuck.
     knows_stuck_machines: bool,
 }
@@ -82,7 +80,9 @@
             stuck_after,
             retention: leader.idle_retention(),
             default_retention: leader.policy.idle_retention,
-            partitioned_zones: leader.fleet.partitioned_zones.keys().cloned().collect(),
+            partitioned_zones: (leader.fleet.partitioned_zones.iter())
+                .map(|(zone, _)| zone.clone())
+                .collect(),
             misused: leader.misused_gpu_machines(),
             dead: leader.machines_declared_dead(now.time),
             knows_stuck_machines: led_for
@@ -94,12 +94,12 @@
     fn update_retirement(&self, machine: &mut Machine) {
         let age = Leader::age(machine, self.now.wall);
         if let Some(reason) = self.dead.get(&machine.id) {
-            machine.retire_reason.get_or_insert(reason);
+            machine.retire(*reason);
         }
         if machine.last_heard_at.is_none() && self.knows_stuck_machines {
             let limit = self.stuck_after.get(&machine.machine_type).copied();
             if age > limit.unwrap_or(STUCK_BOOT_OF_UNKNOWN_TYPE) {
-                machine.retire_reason.get_or_insert("never came up");
+                machine.retire(RetireReason::NeverCameUp);
             }
         }
         if !self.is_idle(machine) {
@@ -109,7 +109,7 @@
         let idle_for = self.now.time - *machine.idle_since.get_or_insert(self.now.time);
         let is_paid_for = machine.last_heard_at.is_some() && age > MIN_CHARGED_TIME;
         if is_paid_for && idle_for > self.retention_of(machine) {
-            machine.retire_reason.get_or_insert(IDLE);
+            machine.retire(RetireReason::Idle);
         }
     }
 
@@ -136,7 +136,7 @@
 
 /// Whether a machine is retired for another reason than that it is idle.
 fn is_urgent(machine: &Machine) -> bool {
-    machine.retire_reason.is_some_and(|reason| reason != IDLE)
+    (machine.retire_reason).is_some_and(|reason| !reason.waits_until_empty())
 }
 
 impl Leader {
@@ -196,7 +196,7 @@
         for id in machines {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.return_requested_at = Some(now.time);
-                let reason = machine.retire_reason.unwrap_or("");
+                let reason = machine.retire_reason.map_or("", RetireReason::as_str);
                 log::info!("scale-in requested: machine={id} reason={reason:?}");
             }
         }
@@ -212,15 +212,15 @@
     /// Stops what is left on machines that are to be returned as idle once they are empty.
     pub fn stop_tasks_on_retired(&mut self, now: Time) {
         let left: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
-            .filter(|machine| machine.retire_reason == Some(IDLE))
+            .filter(|machine| machine.retire_reason == Some(RetireReason::Idle))
             .flat_map(|machine| machine.tasks.iter().map(move |placed| (machine, placed)))
             .filter(|(_, placed)| placed.occupies_capacity() && placed.stop.is_none())
             .map(|(machine, placed)| (machine.id.clone(), placed.task.job.clone(), placed.attempt))
             .collect();
         for (machine, job, attempt) in left {
             let grace_s = self.jobs.get(&job).map_or(0.0, |job| job.spec.save_s);
-            let reason = "its machine is returned";
-            self.stop_attempt_on(&machine, &job, attempt, grace_s, reason, now);
+            let stop = Stop::with_grace(StopReason::MachineReturned, grace_s, now);
+            self.stop_attempt_on(&machine, &job, attempt, stop);
         }
     }
 }
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -2,7 +2,7 @@
 
 use super::bin_packing::{Bin, Bins};
 use crate::cloud::scale_out_requests::{InstanceOffer, WantedMachines};
-use crate::fleet::machine::Machine;
+use crate::fleet::Machine;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Wall};
 use std::collections::BTreeMap;
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -3,7 +3,7 @@
 //! A request has a name that is never given out twice. The cloud carries out a request of one name once, so a request
 //! whose answer was lost is repeated under its name until the cloud has answered it.
 
-use crate::fleet::machine::Machine;
+use crate::fleet::Machine;
 use crate::units::{Span, Time};
 use rudderreel_wire::cloud::{Rent, MACHINES_PER_RENTAL};
 use rudderreel_wire::ids::{Epoch, TypeName, Zone};
--- /dev/null
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -0,0 +1,170 @@
+//! Direct calls to agents: commands that can't wait for the next report, and probes without commands.
+//!
+//! Each machine has at most one call open. While a call with a start is open, or has ended without an answer, the
+//! start may still be carried out: the placed task keeps that (`open_direct_starts`, `start_may_arrive_late`).
+
+use super::team_usage::TeamUsage;
+use crate::fleet::{DirectCallBudget, Machine, Phase};
+use crate::io::DirectOutcome;
+use crate::leader::Leader;
+use crate::units::{Now, Span, Time};
+use rudderreel_wire::ids::{Epoch, MachineId};
+use rudderreel_wire::worker::{Command, DirectCommands};
+
+/// The least time between two direct calls to a machine.
+const MIN_CALL_INTERVAL: Span = Span(200);
+/// A call that the node could not make is tried again after so long.
+const NOT_CALLED_RETRY_INTERVAL: Span = Span(300);
+
+/// A call to an agent.
+pub(crate) struct DirectCall {
+    pub(crate) machine: MachineId,
+    pub(crate) addr: String,
+    pub(crate) body: DirectCommands,
+}
+
+/// Whether a direct call was possibly carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum CallEnd {
+    /// Answered, or surely not made.
+    Known,
+    /// It may have been carried out, or may yet be.
+    Unknown,
+}
+
+impl Leader {
+    /// Calls with the commands that wait for some machines, non-preemptible starts first. `only_non_preemptible`:
+    /// the rest is sent when the machines report, which is soon.
+    pub(crate) fn direct_calls(
+        &mut self,
+        machines: &[MachineId],
+        only_non_preemptible: bool,
+        now: Time,
+    ) -> Vec<DirectCall> {
+        let (urgent, others): (Vec<&MachineId>, Vec<&MachineId>) = (machines.iter())
+            .filter(|id| self.fleet.machines.contains_key(*id))
+            .partition(|id| self.fleet.machines[*id].awaits_non_preemptible_start());
+        let others = others.into_iter().filter(|_| !only_non_preemptible);
+        // Sending a start places nothing and frees nothing.
+        let usage = TeamUsage::default();
+        (urgent.into_iter().chain(others))
+            .filter_map(|id| self.direct_call(id, &usage, now))
+            .collect()
+    }
+
+    /// A call with the commands that wait for a machine, if it may be made now.
+    fn direct_call(&mut self, id: &MachineId, usage: &TeamUsage, now: Time) -> Option<DirectCall> {
+        let machine = self.fleet.machines.get(id)?;
+        let addr = machine.addr.clone()?;
+        if !self.needs_direct_call(machine, now) || !self.may_call_directly(now) {
+            return None;
+        }
+        let commands = self.direct_commands(id, usage, now);
+        if commands.is_empty() {
+            return None;
+        }
+        self.fleet.direct_calls.take_call();
+        let epoch = self.term.epoch();
+        let machine = self.fleet.machines.get_mut(id)?;
+        machine.next_direct_call_at = now + MIN_CALL_INTERVAL;
+        Some(open_call(machine, addr, epoch, commands))
+    }
+
+    /// A probe: a call without commands, which asks an agent for a report.
+    pub(crate) fn probe(&mut self, id: &MachineId) -> Option<DirectCall> {
+        let machine = self.fleet.machines.get_mut(id)?;
+        if machine.direct_call_open {
+            return None;
+        }
+        let addr = machine.addr.clone()?;
+        Some(open_call(machine, addr, self.term.epoch(), Vec::new()))
+    }
+
+    /// Whether the budget allows another direct call now. A node with little processor time makes fewer.
+    fn may_call_directly(&mut self, now: Time) -> bool {
+        let calls_per_s = DirectCallBudget::calls_per_s(self.fleet.machines.len());
+        let calls_per_s = self.processor_share.slowed(calls_per_s);
+        self.fleet.direct_calls.has_call(calls_per_s, now)
+    }
+
+    /// Whether commands are waiting that a direct call would speed up.
+    pub fn needs_direct_call(&self, machine: &Machine, now: Time) -> bool {
+        let may_be_called = !machine.direct_call_open
+            && machine.next_direct_call_at <= now
+            && machine.is_reconciled(self.term.epoch());
+        may_be_called
+            && machine.tasks.iter().any(|placed| {
+                let awaits_start =
+                    placed.is_recorded() && placed.phase == Phase::Planned && placed.stop.is_none();
+                awaits_start || placed.awaits_stop()
+            })
+    }
+
+    /// Applies the outcome of a direct call.
+    pub(crate) fn direct_call_ended(
+        &mut self,
+        id: &MachineId,
+        body: &DirectCommands,
+        outcome: DirectOutcome,
+        now: Now,
+    ) {
+        let end = match outcome {
+            DirectOutcome::Unknown => CallEnd::Unknown,
+            _ => CallEnd::Known,
+        };
+        self.close_call(id, &body.commands, end);
+        match outcome {
+            DirectOutcome::Executed(report) => self.direct_call_answered(&report, now),
+            DirectOutcome::Rejected(Some(report)) if report.token > self.term.epoch() => {
+                log::warn!(
+                    "agent follows a later leader machine={id} epoch={}",
+                    report.token.0
+                );
+            }
+            DirectOutcome::Rejected(Some(report)) => self.direct_call_answered(&report, now),
+            DirectOutcome::NotCalled => {
+                // Too many calls wait already: it is tried again, but not at once.
+                if let Some(machine) = self.fleet.machines.get_mut(id) {
+                    machine.next_direct_call_at = now.time + NOT_CALLED_RETRY_INTERVAL;
+                }
+            }
+            DirectOutcome::Rejected(None) | DirectOutcome::NotSent | DirectOutcome::Unknown => {
+                self.direct_call_unanswered(id, now.time);
+            }
+        }
+    }
+
+    fn close_call(&mut self, id: &MachineId, commands: &[Command], end: CallEnd) {
+        let Some(machine) = self.fleet.machines.get_mut(id) else {
+            return;
+        };
+        machine.direct_call_open = false;
+        for command in commands {
+            let Command::Start { task, attempt } = command else {
+                continue;
+            };
+            if let Some(placed) = machine.task_mut(task, *attempt) {
+                placed.open_direct_starts = placed.open_direct_starts.saturating_sub(1);
+                placed.start_may_arrive_late |= end == CallEnd::Unknown;
+            }
+        }
+    }
+}
+
+fn open_call(
+    machine: &mut Machine,
+    addr: String,
+    epoch: Epoch,
+    commands: Vec<Command>,
+) -> DirectCall {
+    machine.direct_call_open = true;
+    DirectCall {
+        machine: machine.id.clone(),
+        addr,
+        body: DirectCommands {
+            token: epoch,
+            incarnation: machine.last_message.incarnation,
+            commands,
+        },
+    }
+}
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,43 +1,48 @@
 //! The machines of the fleet, as the leader knows them, and what its calls to their agents show.
+//!
+//! **What it owns.** [`Machine`]s with the tasks that may be on them ([`PlacedTask`]); the machines that the cloud
+//! has taken back; partitioned zones; the budget and the outcome of direct calls to agents.
+//!
+//! **Invariants.** Capacity is free only once what took it is surely gone (see `machine`). A machine that was
+//! returned is never added again: whatever still names it is late.
+//!
+//! **In and out.** `agents` applies status reports and answers, `placement_log` marks what is recorded, `dispatch`
+//! what is sent, `scheduling` and `capacity` what is decided. Nothing here sends anything.
 
 pub mod blame;
+pub mod direct_calls;
 pub mod machine;
+pub mod placed_task;
+pub mod reasons;
+pub mod zone_partitions;
+
+pub use self::direct_calls::{AgentReachability, DirectCallBudget};
+pub use self::machine::{Machine, MachineDescription, MessageOrder};
+pub use self::placed_task::{Phase, PlacedTask, StartSent, Stop, TaskChange, TaskExit};
+pub use self::reasons::{RetireReason, StopReason};
+pub use self::zone_partitions::ZonePartitions;
 
 use crate::overload::fleet_limits::FleetLimits;
 use crate::units::{Span, Time};
-use machine::Machine;
-use rudderreel_wire::ids::{MachineId, Zone};
-use std::collections::BTreeMap;
-
-/// Direct calls to agents a second. They make a start sooner than the next status report would; each costs a
-/// connection, so in a rush what can wait is told when the agent reports.
-pub const DIRECT_CALLS_PER_S: f64 = 50.0;
+use rudderreel_wire::ids::MachineId;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// The machines, and what is known of reaching them.
 pub struct Fleet {
     /// Machines by name.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Machines that were returned to the cloud, and when that was known.
-    pub returned: BTreeMap<MachineId, Time>,
+    /// Zones that are partitioned from this node.
+    pub partitioned_zones: ZonePartitions,
     /// Machines that the nodes' connections don't suffice for.
     pub beyond_connections: usize,
-    /// Zones that are partitioned from this node, and since when nothing was heard of them, as far as is
-    /// known: a leader before this one may have noticed.
-    pub partitioned_zones: BTreeMap<Zone, Time>,
-    /// The same as an earlier leader saw it.
-    pub previously_partitioned_zones: BTreeMap<Zone, Time>,
-    /// Since when zones that were partitioned no longer are.
-    pub healed_zones: BTreeMap<Zone, Time>,
     /// Until when machines are suspect that have not missed a status report yet.
     pub suspect_until: Time,
-    /// Direct calls that may be made now.
-    pub direct_calls_left: f64,
-    /// When that was counted.
-    pub direct_calls_counted_at: Time,
-    /// When any agent last answered a direct call.
-    pub last_direct_answer_at: Time,
-    /// How many direct calls have had no answer since.
-    pub unanswered_calls: u32,
+    /// The budget of direct calls to agents.
+    pub direct_calls: DirectCallBudget,
+    /// Whether this node reaches agents at all.
+    pub reachability: AgentReachability,
+    /// Machines that were returned to the cloud.
+    returned: BTreeSet<MachineId>,
 }
 
 impl Fleet {
@@ -45,21 +50,28 @@
     pub fn new(now: Time) -> Self {
         Self {
             machines: BTreeMap::new(),
-            returned: BTreeMap::new(),
+            partitioned_zones: ZonePartitions::default(),
             beyond_connections: 0,
-            partitioned_zones: BTreeMap::new(),
-            previously_partitioned_zones: BTreeMap::new(),
-            healed_zones: BTreeMap::new(),
             suspect_until: now,
-            direct_calls_left: DIRECT_CALLS_PER_S,
-            direct_calls_counted_at: now,
-            last_direct_answer_at: now,
-            unanswered_calls: 0,
+            direct_calls: DirectCallBudget::new(now),
+            reachability: AgentReachability::new(now),
+            returned: BTreeSet::new(),
         }
     }
 
-    /// Notes how many machines the connections of all nodes don't suffice for, and says so when some
-    /// are first beyond them.
+    /// Whether a machine was returned to the cloud: a message that names it is late.
+    pub fn is_returned(&self, id: &MachineId) -> bool {
+        self.returned.contains(id)
+    }
+
+    /// Removes a machine that was returned to the cloud.
+    pub fn remove_returned(&mut self, id: &MachineId) {
+        self.returned.insert(id.clone());
+        self.machines.remove(id);
+    }
+
+    /// Updates how many machines the connections of all nodes don't suffice for, and warns when there are first
+    /// some.
     pub(crate) fn update_beyond_connections(&mut self, limits: Option<FleetLimits>) {
         let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
         if beyond > 0 && self.beyond_connections == 0 {
--- /dev/null
+++ b/crates/core/src/fleet/placed_task/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+
+fn in_phase(phase: Phase) -> PlacedTask {
+    let task = "wk-000001/0".parse().expect("a task id");
+    let mut placed = PlacedTask::planned(task, Attempt(7), None, Time(1_000_000));
+    placed.phase = phase;
+    placed
+}
+
+/// After a `Forget` command an agent no longer knows the attempt: a start that arrives late would run it again, so
+/// nothing is forgotten while one may be under way.
+#[test]
+fn nothing_is_forgotten_while_a_start_may_be_under_way() {
+    let mut placed = in_phase(Phase::Exited(Cause::Done));
+    placed.outcome_recorded = true;
+    assert!(placed.may_forget());
+    placed.open_direct_starts = 1;
+    assert!(!placed.may_forget());
+    placed.open_direct_starts = 0;
+    placed.start_may_arrive_late = true;
+    assert!(!placed.may_forget());
+}
+
+/// The outcome of a task may be needed until it is committed.
+#[test]
+fn nothing_is_forgotten_before_its_outcome_is_recorded() {
+    assert!(!in_phase(Phase::Exited(Cause::Done)).may_forget());
+    assert!(!in_phase(Phase::On(TaskState::Running)).may_forget());
+}
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -183,7 +183,7 @@
         }
         let free = self.unplaced.len();
         let open = self.spec.tasks.saturating_sub(free + self.done.len());
-        self.on_trial(free, open)
+        self.startable_of(free, open)
     }
 
     /// Notes that a task is done.
@@ -192,6 +192,19 @@
         self.unplaced.remove(index);
     }
 
+    /// A task has completed after running for some time, as far as that is known. A gang is done when the first of
+    /// its tasks says so.
+    pub fn task_completed(&mut self, index: u32, ran: Option<Span>) {
+        self.has_started = true;
+        self.has_unrecorded_progress = true;
+        self.longest_run_s = self.longest_run_s.max(ran.unwrap_or_default().as_secs());
+        if self.spec.kind == Kind::Gang {
+            (0..self.spec.tasks).for_each(|task| self.finish(task));
+        } else {
+            self.finish(index);
+        }
+    }
+
     /// The first tasks that are neither done nor anywhere, after so many, at most `most`.
     pub fn next_startable(&self, skip: usize, most: usize) -> Vec<u32> {
         let free = (self.startable_tasks() as usize).saturating_sub(skip);
@@ -212,6 +225,12 @@
         }
     }
 
+    /// Whether a task may be on another machine than one, or in another attempt.
+    pub fn may_be_elsewhere(&self, index: u32, machine: &MachineId, attempt: Attempt) -> bool {
+        (self.placements.get(&index))
+            .is_some_and(|places| places.iter().any(|(m, a)| m != machine || *a != attempt))
+    }
+
     /// Notes that a task is surely not on a machine any more.
     pub fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
         if let Some(places) = self.placements.get_mut(&index) {
@@ -247,7 +266,9 @@
     pub fn restore_progress(&mut self, page: SegmentId, ranges: &[(u32, u32)]) {
         self.segment = self.segment.max(page);
         self.has_started = true;
-        self.failures.proven |= !ranges.is_empty();
+        if !ranges.is_empty() {
+            self.failures.mark_proven();
+        }
         let last = self.spec.tasks.saturating_sub(1);
         for &(from, to) in ranges {
             for index in from..=to.min(last) {
--- a/crates/core/src/leader/recovery.rs
+++ b/crates/core/src/leader/recovery.rs
@@ -5,7 +5,7 @@
 //! leader's epoch shows what became of it.
 
 use super::Leader;
-use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::fleet::{Machine, MachineDescription, Phase, PlacedTask, StartSent};
 use crate::store::records::{SegmentId, SegmentMachine, SegmentRecord};
 use crate::units::Now;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, MachineId, TaskId};
@@ -46,16 +46,14 @@
     fn recover_machine(&mut self, segment: SegmentId, line: &SegmentMachine) {
         let capacity = self.policy.capacity_of(&line.machine_type);
         let machine = (self.fleet.machines.entry(line.id.clone())).or_insert_with(|| {
-            let mut machine = Machine::new(
-                line.id.clone(),
-                line.machine_type.clone(),
-                line.zone.clone(),
-                line.spot,
+            Machine::new(MachineDescription {
+                id: line.id.clone(),
+                machine_type: line.machine_type.clone(),
+                zone: line.zone.clone(),
+                is_spot: line.spot,
                 capacity,
-                line.since,
-            );
-            machine.in_cloud_list = true;
-            machine
+                known_since: line.since,
+            })
         });
         machine.segment = machine.segment.max(segment);
     }
@@ -87,7 +85,10 @@
         placed.phase = Phase::Sent;
         // The agent's incarnation at that time is not known: only a status report that acknowledges this epoch shows
         // that the task is gone.
-        placed.start_sent = (earlier_epoch, UNKNOWN_INCARNATION);
+        placed.start_sent = StartSent {
+            epoch: earlier_epoch,
+            incarnation: UNKNOWN_INCARNATION,
+        };
         found.tasks.push(placed);
     }
 }
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity::scale_in::{MachinesToReturn, Urgency};
 use crate::cloud::calls::PendingCloudCall;
-use crate::fleet::machine::Machine;
+use crate::fleet::{Machine, MachineDescription};
 use crate::io::{CallId, CloudAnswer};
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
@@ -184,14 +184,14 @@
             CloudAnswer::Rented(MachineNames { machines }) => {
                 leader.scale_out.fulfil(request, machines.len(), now.time);
                 for id in machines {
-                    let machine = Machine::new(
+                    let machine = Machine::new(MachineDescription {
                         id,
-                        request.machine_type.clone(),
-                        request.zone.clone(),
-                        request.spot,
-                        leader.policy.capacity_of(&request.machine_type),
-                        now.wall,
-                    );
+                        machine_type: request.machine_type.clone(),
+                        zone: request.zone.clone(),
+                        is_spot: request.spot,
+                        capacity: leader.policy.capacity_of(&request.machine_type),
+                        known_since: now.wall,
+                    });
                     leader.add_machine(machine);
                 }
                 leader.request_cycle(now.time);
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -3,7 +3,7 @@
 //! Each job's record is replaced under the condition that it still has the version that the leader knows, so a
 //! cancellation that was committed first wins. A commit of unknown outcome is followed by reading the jobs' keys.
 
-use crate::fleet::machine::Phase;
+use crate::fleet::Phase;
 use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -83,8 +83,8 @@
             .policy
             .apply(self.tree.clone(), &self.admin_settings.settings);
         leader.store_limits = self.limits;
-        leader.fleet.previously_partitioned_zones =
-            std::mem::take(&mut self.leader_partitioned_zones);
+        let seen = std::mem::take(&mut self.leader_partitioned_zones);
+        (leader.fleet.partitioned_zones).set_seen_by_earlier_leader(seen);
         if let Some(catalog) = &self.catalog {
             leader.set_catalog(catalog.clone());
         }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -65,8 +65,8 @@
             workers,
             forwards_reports: leader.is_some() || self.reachable_leader(now.time).is_some(),
             worker_silence_ms: self.agent_silence(now.time).0,
-            partitioned_zones: (leader.iter().flat_map(|l| &l.fleet.partitioned_zones))
-                .map(|(zone, since)| (zone.to_string(), (now.time - *since).0))
+            partitioned_zones: (leader.iter().flat_map(|l| l.fleet.partitioned_zones.iter()))
+                .map(|(zone, since)| (zone.to_string(), (now.time - since).0))
                 .collect(),
             counts,
             cancellation_watermark: self.cancellations.watermark(),
--- a/crates/core/src/node/leadership_transfer.rs
+++ b/crates/core/src/node/leadership_transfer.rs
@@ -67,7 +67,7 @@
     /// In a large fleet hardly any agent may have been sent to this node: then direct calls must fail, too.
     fn is_lack_of_reports_conclusive(&self, leader: &Leader, now: Time) -> bool {
         !self.is_report_forwarding_on(leader.fleet.machines.len() as u32)
-            || leader.reaches_no_agent(now)
+            || leader.fleet.reachability.reaches_no_agent(now)
     }
 }
 
--- a/crates/core/src/placement_log/compaction.rs
+++ b/crates/core/src/placement_log/compaction.rs
@@ -2,8 +2,7 @@
 
 use super::segment::{machine_bytes, max_entry_bytes, progress_bytes, task_bytes, PendingSegment};
 use super::{LogContext, PlacementLog, SegmentCommit};
-use crate::fleet::machine::Machine;
-use crate::fleet::Fleet;
+use crate::fleet::{Fleet, Machine};
 use crate::jobs::job_table::JobTable;
 use crate::store::limits::StoreLimits;
 use crate::store::records::SegmentId;
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -3,8 +3,7 @@
 //! Sizes are estimated as the segment's JSON will have them: encoding it after each entry would cost by the
 //! square of its length. The estimates are upper bounds, which the tests compare with the encoded size.
 
-use crate::fleet::machine::{Machine, PlacedTask};
-use crate::fleet::Fleet;
+use crate::fleet::{Fleet, Machine, PlacedTask};
 use crate::jobs::job::{is_non_preemptible, Job};
 use crate::jobs::job_table::JobTable;
 use crate::store::limits::StoreLimits;
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::fleet::machine::PlacedTask;
+use crate::fleet::PlacedTask;
 use crate::leader::Leader;
 use crate::testing::{job_of, leader, up, NOW};
 use proptest::prelude::*;
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -6,7 +6,7 @@
 
 use super::predicates::fits;
 use super::scenario::{Eviction, EvictionReason, Scenario};
-use crate::fleet::machine::{Phase, PlacedTask};
+use crate::fleet::{Phase, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::{Snapshot, Victim};
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -12,7 +12,7 @@
 use super::scenario::{Eviction, EvictionReason, Scenario};
 use super::scoring::{rank_machines, task_slots};
 use super::victims::{eviction_loss, is_evictable};
-use crate::fleet::machine::{Machine, PlacedTask};
+use crate::fleet::{Machine, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::{Snapshot, Victim};
--- a/crates/core/src/scheduling/actions/scenario.rs
+++ b/crates/core/src/scheduling/actions/scenario.rs
@@ -1,5 +1,6 @@
 //! What reclaiming, preempting and consolidating come to.
 
+use crate::fleet::StopReason;
 use crate::scheduling::snapshot::{Snapshot, Victim};
 use crate::scheduling::statement::Placement;
 use rudderreel_wire::ids::{Attempt, MachineId, TaskId};
@@ -16,11 +17,11 @@
 }
 
 impl EvictionReason {
-    fn as_str(self) -> &'static str {
+    fn stop_reason(self) -> StopReason {
         match self {
-            Self::Reclaimed => "reclaimed",
-            Self::Preempted => "preempted",
-            Self::Moved => "moved",
+            Self::Reclaimed => StopReason::Reclaimed,
+            Self::Preempted => StopReason::Preempted,
+            Self::Moved => StopReason::Moved,
         }
     }
 }
@@ -35,7 +36,7 @@
     /// Its machine.
     pub machine: MachineId,
     /// Why, for people.
-    pub reason: &'static str,
+    pub reason: StopReason,
 }
 
 impl Eviction {
@@ -45,7 +46,7 @@
             task: victim.task.clone(),
             attempt: victim.attempt,
             machine: snapshot.candidates[victim.at].id.clone(),
-            reason: reason.as_str(),
+            reason: reason.stop_reason(),
         }
     }
 }
--- a/crates/core/src/scheduling/actions/victims.rs
+++ b/crates/core/src/scheduling/actions/victims.rs
@@ -2,7 +2,7 @@
 
 use super::evict::EvictionPolicy;
 use super::predicates::should_avoid_gpus;
-use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::fleet::{Machine, Phase, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::{Snapshot, Victim};
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -4,7 +4,7 @@
 //! A stop command is sent to each machine that may hold a task. Where that can't succeed in time the machine is
 //! returned to the cloud, which ends everything on it: [`CancelledTaskDeadline`] decides when.
 
-use crate::fleet::machine::Machine;
+use crate::fleet::{Machine, RetireReason, Stop, StopReason};
 use crate::jobs::job::{Job, JobStage};
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
@@ -103,8 +103,9 @@
         };
         let places: Vec<(MachineId, Attempt)> =
             job.placements.values().flatten().cloned().collect();
+        let stop = Stop::without_grace(StopReason::JobCancelled, now);
         for (machine, attempt) in &places {
-            self.stop_attempt_on(machine, id, *attempt, 0.0, "cancelled", now);
+            self.stop_attempt_on(machine, id, *attempt, stop);
         }
         places.into_iter().map(|(machine, _)| machine).collect()
     }
@@ -129,14 +130,14 @@
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
         };
-        let lease_ends_task = self.fleet.partitioned_zones.contains_key(&machine.zone)
+        let lease_ends_task = self.fleet.partitioned_zones.contains(&machine.zone)
             && machine.is_lease_expired(
                 now + deadline.time_left(),
                 self.agent_timings.lease,
                 self.term.old_leaders_fenced_at(),
             );
         if !lease_ends_task && deadline.requires_return(machine, now) {
-            (machine.retire_reason).get_or_insert("holds a cancelled job");
+            machine.retire(RetireReason::HoldsCancelledJob);
         }
     }
 }
--- a/crates/core/src/scheduling/ended_jobs/tests.rs
+++ b/crates/core/src/scheduling/ended_jobs/tests.rs
@@ -1,12 +1,18 @@
 use super::*;
+use crate::fleet::MachineDescription;
 use crate::units::{Resources, Wall};
 
 const NOW: Time = Time(1_000_000);
 
 fn machine(last_heard_at: Option<Time>) -> Machine {
-    let (machine_type, zone) = ("m4".into(), "a".into());
-    let capacity = Resources::default();
-    let mut machine = Machine::new("vm-1".into(), machine_type, zone, false, capacity, Wall(0));
+    let mut machine = Machine::new(MachineDescription {
+        id: "vm-1".into(),
+        machine_type: "m4".into(),
+        zone: "a".into(),
+        is_spot: false,
+        capacity: Resources::default(),
+        known_since: Wall(0),
+    });
     machine.last_heard_at = last_heard_at;
     machine
 }
--- a/crates/core/src/scheduling/machine_lifecycle.rs
+++ b/crates/core/src/scheduling/machine_lifecycle.rs
@@ -5,7 +5,7 @@
 //! [`Machine::is_lease_expired`]) or the cloud has confirmed its return. Until then each of them occupies its room
 //! and counts as running, so that no task can run twice.
 
-use crate::fleet::machine::Machine;
+use crate::fleet::Machine;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Wall};
 use rudderreel_wire::ids::MachineId;
@@ -38,15 +38,14 @@
     /// Forgets a machine that is surely gone.
     pub fn forget_machine(&mut self, id: &MachineId, now: Now) {
         self.clear_machine(id, now);
-        self.fleet.returned.insert(id.clone(), now.time);
         self.request_cycle(now.time);
-        self.fleet.machines.remove(id);
+        self.fleet.remove_returned(id);
     }
 
     /// Adds a machine that has become known in some other way than by a status report, unless it was returned.
     pub fn add_machine(&mut self, machine: Machine) {
         self.placement_log.mark_unrecorded();
-        if !self.fleet.returned.contains_key(&machine.id) {
+        if !self.fleet.is_returned(&machine.id) {
             (self.fleet.machines.entry(machine.id.clone())).or_insert(machine);
         }
     }
--- a/crates/core/src/scheduling/placements.rs
+++ b/crates/core/src/scheduling/placements.rs
@@ -6,7 +6,7 @@
 
 use super::actions::Eviction;
 use super::statement::Placement;
-use crate::fleet::machine::{Phase, PlacedTask, Stop};
+use crate::fleet::{Phase, PlacedTask, Stop, StopReason};
 use crate::leader::Leader;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
@@ -26,7 +26,8 @@
             .map(|(machine, task)| (machine.id.clone(), task.task.job.clone(), task.attempt))
             .collect();
         for (machine, job, attempt) in stalled {
-            self.stop_attempt_on(&machine, &job, attempt, 0.0, "stalled", now);
+            let stop = Stop::without_grace(StopReason::Stalled, now);
+            self.stop_attempt_on(&machine, &job, attempt, stop);
         }
     }
 
@@ -73,11 +74,7 @@
             let task = (self.fleet.machines.get_mut(&eviction.machine))
                 .and_then(|machine| machine.task_mut(&eviction.task, eviction.attempt));
             if let Some(task) = task {
-                task.stop = Some(Stop {
-                    grace_s,
-                    since: now,
-                    why: eviction.reason,
-                });
+                task.stop = Some(Stop::with_grace(eviction.reason, grace_s, now));
             }
         }
     }
--- a/crates/core/src/scheduling/snapshot/candidate_machine.rs
+++ b/crates/core/src/scheduling/snapshot/candidate_machine.rs
@@ -2,7 +2,7 @@
 
 use super::name_index::NameIndex;
 use super::reservations::GangReservation;
-use crate::fleet::machine::{Machine, PlacedTask};
+use crate::fleet::{Machine, PlacedTask};
 use crate::jobs::job::{is_non_preemptible, Job};
 use crate::leader::Leader;
 use crate::units::{Resources, Time};
--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -19,7 +19,7 @@
 pub use candidate_machine::CandidateMachine;
 pub use simulation::Victim;
 
-use crate::fleet::machine::Machine;
+use crate::fleet::Machine;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::teams::team_tree::{amounts, Amounts};
@@ -59,7 +59,7 @@
 fn is_usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
     let max_silence = Span(leader.agent_timings.lease.0 / 2);
     let heard_lately = (machine.last_heard_at).is_some_and(|at| now - at < max_silence);
-    let is_partitioned = leader.fleet.partitioned_zones.contains_key(&machine.zone);
+    let is_partitioned = leader.fleet.partitioned_zones.contains(&machine.zone);
     // Being heard is not enough: while its agent leaves calls unanswered it gets nothing new.
     let is_commanded = machine.unanswered_calls == 0;
     let is_leaving = machine.reclaim_at.is_some()
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -7,7 +7,7 @@
 //!
 //! Fair shares count work on GPUs apart (see [`QuotaAccount::counted_for_shares`]).
 
-use crate::fleet::machine::Machine;
+use crate::fleet::Machine;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::teams::fair_share::{fair_shares, saturation};
--- a/crates/core/src/scheduling/snapshot/simulation.rs
+++ b/crates/core/src/scheduling/snapshot/simulation.rs
@@ -3,7 +3,7 @@
 //! Each change has an exact reverse, and nothing outside the snapshot is touched.
 
 use super::{has_zone_rules, Snapshot};
-use crate::fleet::machine::PlacedTask;
+use crate::fleet::PlacedTask;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::teams::team_tree::amounts;
--- a/crates/core/src/scheduling/spot_reclaim.rs
+++ b/crates/core/src/scheduling/spot_reclaim.rs
@@ -1,6 +1,6 @@
 //! Draining spot machines of which the cloud has announced that it will reclaim them.
 
-use crate::fleet::machine::PlacedTask;
+use crate::fleet::{PlacedTask, Stop, StopReason};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Span, Time};
@@ -41,14 +41,8 @@
             }
         }
         for task in drained {
-            self.stop_attempt_on(
-                &task.machine,
-                &task.job,
-                task.attempt,
-                task.grace_s,
-                "machine is taken back",
-                now,
-            );
+            let stop = Stop::with_grace(StopReason::MachineReclaimed, task.grace_s, now);
+            self.stop_attempt_on(&task.machine, &task.job, task.attempt, stop);
         }
     }
 }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -1,6 +1,6 @@
 //! A small leader for unit tests.
 
-use crate::fleet::machine::{Machine, Phase, PlacedTask};
+use crate::fleet::{Machine, MachineDescription, Phase, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::leadership::election::ElectionWin;
@@ -87,7 +87,14 @@
 /// Adds a machine that was just heard.
 pub fn up(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
     let room = leader.policy.capacity_of(&"m4".into());
-    let mut machine = Machine::new(id.into(), "m4".into(), zone.into(), false, room, NOW.wall);
+    let mut machine = Machine::new(MachineDescription {
+        id: id.into(),
+        machine_type: "m4".into(),
+        zone: zone.into(),
+        is_spot: false,
+        capacity: room,
+        known_since: NOW.wall,
+    });
     machine.last_heard_at = Some(NOW.time);
     machine.acknowledged_epoch = leader.term.epoch();
     machine.addr = Some("10.0.0.1:1".into());
