--- /dev/null
+++ b/crates/core/src/agents/forwarded_reports.rs
@@ -0,0 +1,90 @@
+//! Status reports that a peer forwards to the leader.
+
+use crate::cache::job_cache::JobCache;
+use crate::fleet::MessageOrder;
+use crate::io::json;
+use crate::leader::Leader;
+use crate::units::Now;
+use rudderreel_wire::ids::{Epoch, Incarnation, MachineId, Seq};
+use rudderreel_wire::peer::{ForwardedAnswer, ForwardedReport, ForwardedTasks};
+use rudderreel_wire::worker::{StatusReport, StatusReportReply};
+
+impl Leader {
+    /// Reconciles a forwarded report, and decides what the peer answers the agent.
+    pub(crate) fn apply_forwarded_report(
+        &mut self,
+        forwarded: ForwardedReport,
+        job_cache: &JobCache,
+        now: Now,
+    ) -> ForwardedAnswer {
+        let is_whole = matches!(forwarded.tasks, ForwardedTasks::Whole(_));
+        let report = match self.restore_report(forwarded) {
+            Ok(report) => report,
+            Err(answer) => return answer,
+        };
+        let answer = self.answer_report(&report, job_cache, now);
+        if is_whole {
+            self.remember_forwarded_list(&report);
+        }
+        match answer {
+            Some(commands) if commands.is_empty() => ForwardedAnswer::Answered(None),
+            Some(commands) => {
+                let token = self.term.epoch();
+                ForwardedAnswer::Answered(Some(json(&StatusReportReply { token, commands })))
+            }
+            None => ForwardedAnswer::Refused,
+        }
+    }
+
+    /// The agent's report, or what to answer the peer without one.
+    fn restore_report(&self, forwarded: ForwardedReport) -> Result<StatusReport, ForwardedAnswer> {
+        let id = MachineId::from(forwarded.machine.as_str());
+        match forwarded.tasks {
+            ForwardedTasks::Whole(text) => (serde_json::from_str::<StatusReport>(&text).ok())
+                .filter(|report| report.machine == id)
+                .ok_or(ForwardedAnswer::Refused),
+            ForwardedTasks::SameAs(seq) => {
+                let list = MessageOrder {
+                    incarnation: Incarnation(forwarded.incarnation),
+                    seq: Seq(seq),
+                };
+                let repeated = (self.report_with_list(&id, list)).ok_or(ForwardedAnswer::Whole)?;
+                Ok(StatusReport {
+                    seq: Seq(forwarded.seq),
+                    token: Epoch(forwarded.token),
+                    notice_s: forwarded.notice_s,
+                    ..repeated
+                })
+            }
+        }
+    }
+
+    /// A report with the list of tasks of an earlier message, if that is the last list that this leader has applied.
+    fn report_with_list(&self, id: &MachineId, list: MessageOrder) -> Option<StatusReport> {
+        let machine = self.fleet.machines.get(id)?;
+        if machine.reported_tasks.message != list || !self.recovery.is_complete {
+            return None;
+        }
+        Some(StatusReport {
+            machine: id.clone(),
+            addr: machine.addr.clone()?,
+            machine_type: machine.machine_type.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.is_spot,
+            incarnation: list.incarnation,
+            seq: list.seq,
+            token: self.term.epoch(),
+            notice_s: None,
+            tasks: machine.reported_tasks.tasks.to_vec(),
+        })
+    }
+
+    /// The peer refers to the list of a whole report from now on, also if an earlier message had the same list.
+    fn remember_forwarded_list(&mut self, report: &StatusReport) {
+        if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
+            if machine.last_message == MessageOrder::of(report) {
+                machine.reported_tasks.message = machine.last_message;
+            }
+        }
+    }
+}
--- a/crates/core/src/agents/mod.rs
+++ b/crates/core/src/agents/mod.rs
@@ -2,14 +2,16 @@
 //!
 //! **Parts.** `reconciliation` compares a report with the placements; `task_outcomes` draws the consequences of
 //! exits and losses; `fault_attribution` says whether a machine or a job is to blame; `failure_detection`,
-//! `zone_partitions` and `probing` deal with machines that are silent or can't be reached; `report_forwarding` and
-//! `peer_selection` bring the reports of a large fleet to the leader by way of all nodes.
+//! `zone_partitions` and `probing` deal with machines that are silent or can't be reached; `peer_selection`,
+//! `report_forwarding` and `forwarded_reports` bring the reports of a large fleet to the leader by way of all nodes.
 //!
 //! **Invariants.** Nothing counts as gone without proof (see `fleet::machine`). An agent is answered only when the
 //! leader's term allows it, since an answer renews the agent's lease.
 
 pub mod failure_detection;
 pub mod fault_attribution;
+pub mod forwarded_reports;
+pub mod peer_selection;
 pub mod probing;
 pub mod reconciliation;
 pub mod report_forwarding;
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -1,135 +1,200 @@
-//! Workers' reports at nodes that don't lead.
+//! Forwards status reports from a node that does not lead to the leader.
 //!
-//! Several hundred workers are too many for one node, so from a certain size on every node takes
-//! reports. It passes them on to the leader, many at once and shortened, and answers each worker only
-//! with what the leader says. That a worker is answered stays a decision of the leader alone: a
-//! worker's lease counts from the sending of the report, which came before that decision, so however
-//! late this node answers, it does not renew a lease for longer than the leader reckons with.
+//! Several hundred agents are too many for one node, so from a certain size of the fleet on every node takes
+//! reports. It forwards them to the leader, many at once and shortened, and answers each agent only with what the
+//! leader says.
 //!
-//! If the leader says nothing, workers get 503 at once and try another node.
+//! **Safety.** Whether an agent is answered stays a decision of the leader alone. An agent's lease counts from the
+//! sending of its report, which came before that decision; so however late this node answers, it does not renew a
+//! lease for longer than the leader reckons with. If the leader says nothing, agents get 503 at once and try another
+//! node.
+//!
+//! **Shortening.** A report whose list of tasks the leader has applied already refers to that list. A leader that
+//! does not have it asks for the whole report.
 
-use crate::cache::job_cache::JobCache;
 use crate::fleet::MessageOrder;
 use crate::io::{json, CallId, ReqId};
-use crate::leader::Leader;
-use crate::leadership::peers::PeerStatus;
-use crate::units::{Now, Span, Time};
-use rudderreel_wire::ids::{Epoch, Incarnation, MachineId, NodeName, Seq};
-use rudderreel_wire::peer::{ForwardedAnswer, ForwardedReport, ForwardedTasks, MAX_MESSAGE_BYTES};
+use crate::units::{Span, Time};
+use rudderreel_wire::ids::{Epoch, MachineId, NodeName};
+use rudderreel_wire::peer::{
+    ForwardedAnswer, ForwardedReport, ForwardedReportsReply, ForwardedTasks, MAX_MESSAGE_BYTES,
+};
 use rudderreel_wire::worker::{StatusReport, StatusReportReply, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Bytes that the reports of a batch have, roughly, and how many there are: their answers have to fit
-/// into a message, too.
-const BATCH_BYTES: usize = MAX_MESSAGE_BYTES / 2;
-const BATCH_REPORTS: usize = 1_000;
-/// Bytes of a report that is passed on, without its list.
+/// Bytes that the reports of a batch have, roughly.
+const MAX_BATCH_BYTES: usize = MAX_MESSAGE_BYTES / 2;
+/// Reports of a batch: their answers have to fit into a message, too.
+const MAX_BATCH_REPORTS: usize = 1_000;
+/// Bytes of a forwarded report without its list of tasks.
 const REPORT_BYTES: usize = 80;
-/// A worker that has missed a report, with so much to spare, reports elsewhere; but not before the
-/// least.
-pub(crate) const LEFT_SPARE: Span = Span(2_000);
-pub(crate) const LEFT_LEAST: Span = Span(8_000);
-/// How often workers that have left are looked for.
-const PRUNE: Span = Span(200);
-/// A node with workers that none of them has reached for so long is perhaps cut off from them; with
-/// few workers, for so many times the usual pause between their reports.
-const UNREACHED: Span = Span(1_500);
-const PAUSES: u64 = 5;
-/// To a node that no worker reaches one is sent on trial, so often.
-const TRIAL: Span = Span(1_000);
-pub(crate) const SILENT: Span = Span(3_000);
-
-/// A report that waits to be passed on, or for the leader's answer.
+/// Batches that may be open at once.
+const MAX_OPEN_BATCHES: usize = 3;
+/// An agent gives up after 4 s. While the oldest report has waited for so long, another would only be answered too
+/// late, and is refused at once. How many wait follows from how fast they are forwarded, and from the connections
+/// that agents may have: each has one report under way.
+pub(crate) const MAX_WAIT: Span = Span(2_000);
+
+/// A report whose agent waits for an answer.
 pub(crate) struct HeldReport {
+    req: ReqId,
+    report: StatusReport,
+    /// Whether the leader has asked for its whole list of tasks.
+    must_be_whole: bool,
+    received_at: Time,
+}
+
+impl HeldReport {
+    /// The request to answer.
+    pub(crate) fn req(&self) -> ReqId {
+        self.req
+    }
+
+    /// The machine whose agent waits.
+    pub(crate) fn machine(&self) -> &MachineId {
+        &self.report.machine
+    }
+}
+
+/// The leader that reports are forwarded to.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct ForwardingTarget {
+    /// Its node.
+    pub(crate) node: NodeName,
+    /// Its epoch.
+    pub(crate) epoch: Epoch,
+}
+
+/// A list of tasks that the leader has applied.
+struct AppliedList {
+    message: MessageOrder,
+    tasks: Vec<TaskStatus>,
+}
+
+impl AppliedList {
+    fn is_repeated_by(&self, report: &StatusReport) -> bool {
+        self.message.incarnation == report.incarnation && self.tasks == report.tasks
+    }
+}
+
+/// Reports that are forwarded together.
+pub(crate) struct ReportBatch {
+    held: Vec<HeldReport>,
+    reports: Vec<ForwardedReport>,
+}
+
+impl ReportBatch {
+    /// The reports, if they can't be forwarded.
+    pub(crate) fn into_held(self) -> Vec<HeldReport> {
+        self.held
+    }
+}
+
+/// What an agent is answered after its report was forwarded.
+pub(crate) struct AgentAnswer {
+    /// Its request.
     pub(crate) req: ReqId,
-    pub(crate) report: StatusReport,
-    pub(crate) whole: bool,
-    /// When it came.
-    pub(crate) since: Time,
+    /// The body of the answer; none if the leader refuses to answer.
+    pub(crate) body: Option<String>,
 }
 
-/// What a follower remembers of reports.
-#[derive(Default)]
-pub struct ReportForwarding {
-    pub(crate) waiting: Vec<HeldReport>,
-    pub(crate) since: Option<Time>,
-    pub(crate) open: BTreeMap<CallId, Vec<HeldReport>>,
-    pub(crate) next: u64,
-    /// By machine: the last list that the leader took in whole.
-    pub(crate) taken: BTreeMap<MachineId, (Incarnation, Seq, Vec<TaskStatus>)>,
-    /// Whose memory that is.
-    pub(crate) leader: Option<(NodeName, Epoch)>,
-    /// When each worker last reported here, and when those that have left were last looked for.
-    pub(crate) workers: BTreeMap<MachineId, Time>,
-    pruned: Time,
-    /// Workers sent to each peer since it last said how many it has.
-    pub sent: BTreeMap<NodeName, u32>,
-    /// When a worker was last sent to a peer that none reached.
-    pub(crate) trials: BTreeMap<NodeName, Time>,
+/// What the end of a forwarded batch means.
+pub(crate) enum BatchResult {
+    /// The leader gave no answer: nobody is answered.
+    Unanswered(Vec<HeldReport>),
+    /// The leader has answered under an epoch.
+    Answered {
+        /// Its epoch.
+        epoch: Epoch,
+        /// The answers. Reports that it asked for whole wait again.
+        answers: Vec<AgentAnswer>,
+    },
 }
 
-/// Bytes of a report in a message, roughly.
-fn bytes_of(report: &ForwardedReport) -> usize {
-    let list = match &report.tasks {
-        ForwardedTasks::SameAs(_) => 0,
-        ForwardedTasks::Whole(text) => text.len(),
-    };
-    REPORT_BYTES + report.machine.len() + list
+/// Reports that wait to be forwarded, or for the leader's answer.
+#[derive(Default)]
+pub struct ReportForwarding {
+    /// The oldest first.
+    waiting: Vec<HeldReport>,
+    /// Since when reports are collected for the next batch.
+    collecting_since: Option<Time>,
+    open: BTreeMap<CallId, Vec<HeldReport>>,
+    last_call: u64,
+    /// By machine: the last list that `applied_by` has applied in whole.
+    applied: BTreeMap<MachineId, AppliedList>,
+    applied_by: Option<ForwardingTarget>,
 }
 
 impl ReportForwarding {
-    /// How many workers report here.
-    pub fn workers(&mut self, now: Time, report: Span) -> u32 {
-        // Asked for with every report, so looking through all of them each time would cost by the
-        // square of the fleet.
-        if now - self.pruned >= PRUNE {
-            let left = LEFT_LEAST.max(Span(report.0 * 5 / 4) + LEFT_SPARE);
-            self.workers.retain(|_, heard| now - *heard < left);
-            self.pruned = now;
-        }
-        self.workers.len() as u32
+    /// Whether reports wait for so long that another would be answered too late.
+    pub(crate) fn is_overloaded(&self, now: Time) -> bool {
+        (self.waiting.first()).is_some_and(|held| now > held.received_at + MAX_WAIT)
     }
 
-    /// Whether a worker may be sent to a peer: if none reaches it, only one now and then, to see
-    /// whether it can be reached again. A leader that was cut off from workers looked idle to the
-    /// others, and they sent it all of theirs, again and again, until their leases ran out.
-    pub(crate) fn may_send(
-        &self,
-        name: &NodeName,
-        peer: &PeerStatus,
-        report: Span,
+    /// Keeps a report until it is forwarded and answered. Another leader than before knows no lists.
+    pub(crate) fn enqueue(
+        &mut self,
+        req: ReqId,
+        report: StatusReport,
+        target: ForwardingTarget,
         now: Time,
-    ) -> bool {
-        let pause = PAUSES * report.0 / u64::from(peer.workers.max(1));
-        let reached = peer.workers > 0 && peer.agent_silence < UNREACHED.max(Span(pause));
-        reached || self.trials.get(name).is_none_or(|t| now - *t > TRIAL)
+    ) {
+        if self.applied_by.as_ref() != Some(&target) {
+            self.applied.clear();
+            self.applied_by = Some(target);
+        }
+        self.wait(
+            HeldReport {
+                req,
+                report,
+                must_be_whole: false,
+                received_at: now,
+            },
+            now,
+        );
     }
 
-    /// The reports that wait longest, as many as a message holds; one at least if any wait.
-    pub(crate) fn next_batch(&self) -> Vec<ForwardedReport> {
+    fn wait(&mut self, held: HeldReport, now: Time) {
+        self.collecting_since.get_or_insert(now);
+        self.waiting.push(held);
+    }
+
+    /// Takes the batch that is due: the reports that wait longest, as many as a message holds.
+    pub(crate) fn take_due_batch(&mut self, interval: Span, now: Time) -> Option<ReportBatch> {
+        let is_due = (self.collecting_since).is_some_and(|since| now >= since + interval);
+        if !is_due || self.open.len() >= MAX_OPEN_BATCHES {
+            return None;
+        }
+        let batch = self.take_batch();
+        self.collecting_since = (!self.waiting.is_empty()).then_some(now);
+        Some(batch)
+    }
+
+    /// Takes one report at least, if any wait.
+    fn take_batch(&mut self) -> ReportBatch {
         let mut bytes = 0;
-        let mut batch = Vec::new();
-        for held in self.waiting.iter().take(BATCH_REPORTS) {
-            let report = self.shortened(held);
-            bytes += bytes_of(&report);
-            if bytes > BATCH_BYTES && !batch.is_empty() {
+        let mut reports = Vec::new();
+        for held in self.waiting.iter().take(MAX_BATCH_REPORTS) {
+            let report = self.shorten(held);
+            bytes += estimated_bytes(&report);
+            if bytes > MAX_BATCH_BYTES && !reports.is_empty() {
                 break;
             }
-            batch.push(report);
+            reports.push(report);
         }
-        batch
+        let rest = self.waiting.split_off(reports.len());
+        let held = std::mem::replace(&mut self.waiting, rest);
+        ReportBatch { held, reports }
     }
 
-    fn shortened(&self, held: &HeldReport) -> ForwardedReport {
+    /// A report as it is forwarded: with its list of tasks, or by reference to one that the leader has.
+    fn shorten(&self, held: &HeldReport) -> ForwardedReport {
         let report = &held.report;
-        let as_in = (self.taken.get(&report.machine))
-            .filter(|(incarnation, _, tasks)| {
-                *incarnation == report.incarnation && *tasks == report.tasks
-            })
-            .map(|(_, seq, _)| seq.0);
-        let tasks = match as_in {
-            Some(seq) if !held.whole => ForwardedTasks::SameAs(seq),
-            _ => ForwardedTasks::Whole(json(report)),
+        let applied = (self.applied.get(&report.machine))
+            .filter(|applied| applied.is_repeated_by(report) && !held.must_be_whole);
+        let tasks = match applied {
+            Some(applied) => ForwardedTasks::SameAs(applied.message.seq.0),
+            None => ForwardedTasks::Whole(json(report)),
         };
         ForwardedReport {
             machine: report.machine.to_string(),
@@ -140,75 +205,92 @@
             tasks,
         }
     }
-}
 
-impl Leader {
-    pub(crate) fn apply_forwarded_report(
+    /// A batch is sent: returns the call and what to send.
+    pub(crate) fn open_batch(&mut self, batch: ReportBatch) -> (CallId, Vec<ForwardedReport>) {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
+        self.open.insert(call, batch.held);
+        (call, batch.reports)
+    }
+
+    /// A batch was answered, or was not. None if the call is not open.
+    pub(crate) fn batch_answered(
         &mut self,
-        passed: ForwardedReport,
-        job_cache: &JobCache,
-        now: Now,
-    ) -> ForwardedAnswer {
-        let id = MachineId::from(passed.machine.as_str());
-        let whole = matches!(passed.tasks, ForwardedTasks::Whole(_));
-        let report = match passed.tasks {
-            ForwardedTasks::Whole(text) => match serde_json::from_str::<StatusReport>(&text) {
-                Ok(report) if report.machine == id => report,
-                _ => return ForwardedAnswer::Refused,
-            },
-            ForwardedTasks::SameAs(seq) => {
-                match self.repeat_report(&id, Incarnation(passed.incarnation), Seq(seq)) {
-                    Some(mut report) => {
-                        report.seq = Seq(passed.seq);
-                        report.token = Epoch(passed.token);
-                        report.notice_s = passed.notice_s;
-                        report
-                    }
-                    None => return ForwardedAnswer::Whole,
-                }
-            }
+        call: CallId,
+        reply: Option<ForwardedReportsReply>,
+        now: Time,
+    ) -> Option<BatchResult> {
+        let held = self.open.remove(&call)?;
+        let Some(ForwardedReportsReply {
+            token: Some(epoch),
+            answers,
+        }) = reply.filter(|reply| reply.answers.len() == held.len())
+        else {
+            return Some(BatchResult::Unanswered(held));
         };
-        let answer = self.answer_report(&report, job_cache, now);
-        if let Some(machine) = self.fleet.machines.get_mut(&id).filter(|_| whole) {
-            // What the peer may refer to from now on.
-            if machine.last_message == MessageOrder::of(&report) {
-                machine.reported_tasks.message = machine.last_message;
+        let answers = (held.into_iter().zip(answers))
+            .filter_map(|(held, answer)| self.report_answered(held, answer, epoch, now))
+            .collect();
+        Some(BatchResult::Answered { epoch, answers })
+    }
+
+    /// The leader's answer to one report; none if it is to be sent again.
+    fn report_answered(
+        &mut self,
+        mut held: HeldReport,
+        answer: ForwardedAnswer,
+        epoch: Epoch,
+        now: Time,
+    ) -> Option<AgentAnswer> {
+        let req = held.req;
+        let body = match answer {
+            ForwardedAnswer::Answered(commands) => {
+                self.remember_applied(held);
+                Some(commands.unwrap_or_else(|| no_commands(epoch)))
             }
-        }
-        match answer {
-            Some(commands) if commands.is_empty() => ForwardedAnswer::Answered(None),
-            Some(commands) => {
-                let token = self.term.epoch();
-                ForwardedAnswer::Answered(Some(json(&StatusReportReply { token, commands })))
+            ForwardedAnswer::Whole if !held.must_be_whole => {
+                held.must_be_whole = true;
+                self.applied.remove(&held.report.machine);
+                self.wait(held, now);
+                return None;
             }
-            None => ForwardedAnswer::Refused,
-        }
+            ForwardedAnswer::Whole | ForwardedAnswer::Refused => None,
+        };
+        Some(AgentAnswer { req, body })
     }
 
-    /// A report that lists what an earlier one did, which this leader took in last.
-    fn repeat_report(
-        &self,
-        id: &MachineId,
-        incarnation: Incarnation,
-        seq: Seq,
-    ) -> Option<StatusReport> {
-        let machine = self.fleet.machines.get(id)?;
-        if machine.reported_tasks.message != (MessageOrder { incarnation, seq })
-            || !self.recovery.is_complete
-        {
-            return None;
+    /// The leader has applied a report. Its list is the last one that was forwarded whole.
+    fn remember_applied(&mut self, held: HeldReport) {
+        let report = held.report;
+        let is_known = (self.applied.get(&report.machine))
+            .is_some_and(|applied| applied.is_repeated_by(&report));
+        if !is_known || held.must_be_whole {
+            let list = AppliedList {
+                message: MessageOrder::of(&report),
+                tasks: report.tasks,
+            };
+            self.applied.insert(report.machine, list);
         }
-        Some(StatusReport {
-            machine: id.clone(),
-            addr: machine.addr.clone()?,
-            machine_type: machine.machine_type.clone(),
-            zone: machine.zone.clone(),
-            spot: machine.is_spot,
-            incarnation,
-            seq,
-            token: self.term.epoch(),
-            notice_s: None,
-            tasks: machine.reported_tasks.tasks.to_vec(),
-        })
     }
 }
+
+/// The body of an answer without commands.
+fn no_commands(epoch: Epoch) -> String {
+    json(&StatusReportReply {
+        token: epoch,
+        commands: Vec::new(),
+    })
+}
+
+/// Bytes of a report in a message, roughly.
+fn estimated_bytes(report: &ForwardedReport) -> usize {
+    let list = match &report.tasks {
+        ForwardedTasks::SameAs(_) => 0,
+        ForwardedTasks::Whole(text) => text.len(),
+    };
+    REPORT_BYTES + report.machine.len() + list
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -134,7 +134,7 @@
         self.peers
             .record_contact(&name, heartbeat.store_reachable, silence, now.time);
         self.peers.record_heartbeat(&name, heartbeat);
-        self.forwarding.sent.remove(&name);
+        self.agent_balancer.peer_load_updated(&name);
     }
 
     /// Notes what the leader says of the fleet, which a node that follows it could not tell by itself.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -23,6 +23,7 @@
 mod user_requests;
 mod version_gate;
 
+use crate::agents::peer_selection::AgentBalancer;
 use crate::agents::report_forwarding::ReportForwarding;
 use crate::api::cancellation_replication::CancellationReplicator;
 use crate::api::user_requests::TaskProgress;
@@ -73,6 +74,7 @@
     pub(crate) cancellations: CancellationReplicator,
     pub(crate) leader: Option<Leader>,
     pub(crate) forwarding: ReportForwarding,
+    pub(crate) agent_balancer: AgentBalancer,
     /// Machines that the leader said it knows.
     pub(crate) leader_machines: u32,
     /// Zones that the leader said are cut off, and since when.
@@ -129,6 +131,7 @@
             cancellations,
             leader: None,
             forwarding: ReportForwarding::default(),
+            agent_balancer: AgentBalancer::default(),
             leader_machines: 0,
             leader_partitioned_zones: BTreeMap::new(),
             peers,
