--- a/crates/core/src/jobs/effective_urgency/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -17,7 +17,7 @@
     spec
 }
 
-/// A leader and its cache, which learn of jobs as the core has them do.
+/// A leader and its cache, which are told of jobs as the node does it.
 struct Pipeline {
     leader: Leader,
     job_cache: JobCache,
@@ -33,29 +33,8 @@
         self.job_cache
             .update_job(id(n), Version(version), record.clone());
         self.leader.update_job(&id(n), Version(version), &record);
-        let graph = self.job_cache.graph();
-        let dependents: Vec<JobId> = graph.dependents_of(&id(n)).cloned().collect();
-        for dependent in dependents.iter().chain([&id(n)]) {
-            let needs = self
-                .leader
-                .jobs
-                .get(dependent)
-                .map(|j| j.spec.dependencies.clone());
-            if let Some(needs) = needs.filter(|n| !n.is_empty()) {
-                let readiness = self.job_cache.readiness(&needs);
-                let jobs = &mut self.leader.jobs;
-                jobs.update_readiness(dependent, readiness, NOW);
-            }
-        }
-        let known = self.job_cache.job(&id(n)).expect("a job");
-        let start = known
-            .dependencies()
-            .iter()
-            .cloned()
-            .chain([id(n)])
-            .collect();
         let catalog = &self.leader.policy.catalog;
-        self.leader.jobs.inherit_urgency(graph, catalog, start);
+        (self.leader.jobs).refresh_dependencies(&[id(n)], &self.job_cache, catalog, NOW);
     }
 
     fn submit(&mut self, spec: JobSpec) {
@@ -63,7 +42,7 @@
         self.learn(n, 1, JobRecord::queued(&spec, NOW.wall));
     }
 
-    fn goal(&self, n: u32) -> EffectiveUrgency {
+    fn urgency(&self, n: u32) -> EffectiveUrgency {
         self.leader.jobs[&id(n)].urgency
     }
 }
@@ -72,38 +51,38 @@
 const EACH: Span = Span(9_000);
 
 #[test]
-fn priority_and_deadline_of_the_last_job_work_back() {
+fn priority_and_deadline_of_the_last_job_are_inherited() {
     let mut p = Pipeline::new();
     p.submit(spec(1, "low", &[], None));
     p.submit(spec(2, "low", &[1], None));
     p.submit(spec(3, "normal", &[1], None));
-    assert_eq!(p.goal(1).priority, Priority::Normal);
+    assert_eq!(p.urgency(1).priority, Priority::Normal);
     p.submit(spec(4, "urgent", &[2, 3], Some(100.0)));
     let due = NOW.wall + Span(100_000);
     for (n, after) in [(4, 0), (3, 1), (2, 1), (1, 2)] {
-        assert_eq!(p.goal(n).priority, Priority::High, "job {n}");
+        assert_eq!(p.urgency(n).priority, Priority::High, "job {n}");
         let finish_by = Wall(due.0 - after * EACH.0);
-        assert_eq!(p.goal(n).deadline, Some(finish_by), "job {n}");
+        assert_eq!(p.urgency(n).deadline, Some(finish_by), "job {n}");
     }
     // What is evictable, and what may exceed a quota, stays with a job's own priority.
     assert!(p.leader.jobs[&id(1)].is_preemptible());
 }
 
 #[test]
-fn a_cancelled_last_job_asks_for_nothing_any_more() {
+fn nothing_is_inherited_from_a_cancelled_job() {
     let mut p = Pipeline::new();
     p.submit(spec(1, "low", &[], None));
     p.submit(spec(2, "urgent", &[1], Some(50.0)));
-    assert_eq!(p.goal(1).priority, Priority::High);
+    assert_eq!(p.urgency(1).priority, Priority::High);
     let record = JobRecord::queued(&spec(2, "urgent", &[1], Some(50.0)), NOW.wall);
     let limits = p.leader.store_limits;
     p.learn(2, 2, record.cancelled(NOW.wall, None, &limits));
-    assert_eq!(p.goal(1).priority, Priority::Low);
-    assert_eq!(p.goal(1).deadline, None);
+    assert_eq!(p.urgency(1).priority, Priority::Low);
+    assert_eq!(p.urgency(1).deadline, None);
 }
 
 #[test]
-fn a_waiting_job_takes_part_in_nothing_until_all_it_needs_is_done() {
+fn a_job_is_not_startable_until_all_its_dependencies_are_done() {
     let mut p = Pipeline::new();
     p.submit(spec(1, "low", &[], None));
     p.submit(spec(2, "low", &[], None));
@@ -131,5 +110,5 @@
         p.submit(spec(n + 1, "low", &[n - 2, n - 1], None));
     }
     p.submit(spec(1_000, "urgent", &[599, 600], Some(1_000.0)));
-    assert_eq!(p.goal(1).priority, Priority::High);
+    assert_eq!(p.urgency(1).priority, Priority::High);
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,4 +1,27 @@
 //! A job as the leader sees it.
+//!
+//! ```text
+//!            known ──► Active: waits for dependencies       (ready_since is none)
+//!                         │ the last one is done            update_readiness
+//!                         ▼
+//!                      Active: ready                        its tasks may be started
+//!                         │ the first task runs             has_started
+//!                         ▼
+//!                      Active: started ──────────┐
+//!                         │ all tasks done       │ its owner, or a cancelled dependency
+//!                         ▼                      │
+//!                      Active: completion is     │ (also from each state before)
+//!                         │ being committed      │
+//!              committed  ▼                      ▼
+//!                      Finished               Cancelled     what may be left of it is stopped
+//!                         └──────────┬───────────┘
+//!                                    ▼
+//!                     forgotten, once nothing of it may be on a machine
+//! ```
+//!
+//! **Invariants.** Each task is done, or in `placements` while it may be on some machine, or unplaced. A task is placed
+//! again only after [`Job::unplace`]. Done and cancelled exclude one another: the store's transaction decides, and the
+//! first commit wins. `recorded_done` is the part of `done` that the placement log has, or is being sent.
 
 use crate::jobs::failures::Failures;
 use crate::store::records::SegmentId;
@@ -11,24 +34,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Whether a job's work goes on.
+/// Whether a job's work goes on (see the module's page).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStage {
     /// It is neither done nor cancelled.
     Active,
-    /// Its user withdrew it; what is left of it is being stopped.
+    /// It is cancelled, since this moment; what is left of it is being stopped.
     Cancelled(Wall),
-    /// It is done, but some of its tasks may still be somewhere and count for its team: a gang is
-    /// done when the first of its tasks says so.
+    /// It is done, but some of its tasks may still be on machines and count for its team: a gang is done when the first
+    /// of its tasks says so.
     Finished,
 }
 
-/// Where a job stands among others.
+/// Where a job stands among waiting jobs: the least first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueOrder {
     /// The highest priority first.
     priority: Reverse<Priority>,
-    /// What has waited too long for its first start comes before the rest.
+    /// Overdue jobs come before the rest.
     in_time: bool,
     /// When an overdue job became ready; the work that is left of another one.
     rank: u64,
@@ -36,16 +59,16 @@
     id: JobId,
 }
 
-/// What is expected of a job for its own sake and for that of the jobs that need it.
+/// The urgency of a job, for its own sake and for that of the jobs that need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveUrgency {
     /// The highest priority among them.
     pub priority: Priority,
-    /// When it has to be done for all of them to be in time.
+    /// When it has to be done for all of them to meet their deadlines.
     pub deadline: Option<Wall>,
 }
 
-/// A job as the leader sees it. Done jobs are not kept.
+/// A job as the leader sees it. Done jobs are kept only while tasks of them may be on machines.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The submission.
@@ -58,7 +81,7 @@
     pub unmet_dependencies: BTreeSet<JobId>,
     /// Since when all that it depends on is done; none while something is not.
     pub ready_since: Option<Wall>,
-    /// What is expected of it.
+    /// Its priority and deadline, with what it inherits from the jobs that need it.
     pub urgency: EffectiveUrgency,
     /// Whether its work goes on.
     pub stage: JobStage,
@@ -66,7 +89,7 @@
     pub need: Resources,
     /// Tasks that are done.
     pub done: TaskSet,
-    /// Where tasks may be: everything that is not surely gone.
+    /// By task: the machines that it may be on. Everything that is not surely gone.
     pub placements: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
     /// No start before this moment, after failures.
     pub retry_at: Time,
@@ -74,11 +97,11 @@
     pub failures: Failures,
     /// Tasks that are neither done nor anywhere.
     unplaced: TaskSet,
-    /// Where tasks may be, each place counted.
+    /// How many machines its tasks may be on, each counted for each task.
     placement_count: u32,
     /// Tasks that are done and recorded, or being recorded.
     pub recorded_done: TaskSet,
-    /// The newest page that names all of its recorded progress.
+    /// The newest segment, which names all of its recorded progress.
     pub segment: SegmentId,
     /// Whether `done` holds more than is recorded or being recorded.
     pub has_unrecorded_progress: bool,
@@ -98,7 +121,7 @@
             need: Resources::of_task(&spec),
             unmet_dependencies: spec.dependencies.iter().cloned().collect(),
             ready_since: ready.then_some(submitted),
-            urgency: own_goal(&spec, submitted),
+            urgency: own_urgency(&spec, submitted),
             unplaced: TaskSet::below(spec.tasks),
             spec: Arc::new(spec),
             version,
@@ -118,24 +141,24 @@
         }
     }
 
-    /// Whether it may start tasks.
+    /// Whether it is neither done nor cancelled.
     pub fn is_active(&self) -> bool {
         self.stage == JobStage::Active
     }
 
-    /// Whether all that it depends on is done. Before, it takes part in nothing.
+    /// Whether all that it depends on is done. Before that, none of its tasks is started or counted as waiting.
     pub fn is_ready(&self) -> bool {
         self.ready_since.is_some()
     }
 
-    /// Since when it waits for room: what it depends on does not count.
+    /// Since when it waits for capacity: the time that it waited for dependencies does not count.
     pub fn waiting_since(&self) -> Wall {
         self.ready_since.unwrap_or(self.submitted)
     }
 
-    /// What is expected of it for its own sake.
+    /// Its urgency for its own sake.
     pub fn own_urgency(&self) -> EffectiveUrgency {
-        own_goal(&self.spec, self.submitted)
+        own_urgency(&self.spec, self.submitted)
     }
 
     /// How long it takes once it is ready, by its owner's estimate, with its image fetched first.
@@ -148,27 +171,27 @@
         self.spec.kind != Kind::Service && self.done.len() >= self.spec.tasks
     }
 
-    /// Where it stands among waiting jobs: by priority, then what has waited too long for its first
-    /// start, then the one with the least work left. Users count jobs that are done in time, and in
-    /// a rush one large job costs many small ones their time, but not the other way round. Without
-    /// the second part a large job would never begin while small ones keep coming.
+    /// Where it stands among waiting jobs: by priority, then those that are overdue, then by the work that is left,
+    /// the least first. Users count jobs that are done in time, and in a rush one large job costs many small ones
+    /// their time, but not the other way round. Without the second rule a large job would never begin while small
+    /// ones keep coming.
     pub fn queue_order(&self, overdue: bool) -> QueueOrder {
-        let tasks = f64::from(self.spec.tasks.saturating_sub(self.done.len()));
-        let left = (tasks * self.spec.estimate_s.max(0.0) * 1000.0) as u64;
+        let tasks_left = f64::from(self.spec.tasks.saturating_sub(self.done.len()));
+        let work_left_ms = (tasks_left * self.spec.estimate_s.max(0.0) * 1000.0) as u64;
         QueueOrder {
             priority: Reverse(self.urgency.priority),
             in_time: !overdue,
             rank: if overdue {
                 self.waiting_since().0
             } else {
-                left
+                work_left_ms
             },
             submitted: self.submitted,
             id: self.spec.id.clone(),
         }
     }
 
-    /// Whether it has waited too long for its first start.
+    /// Whether it has waited for its first start for longer than `patience`.
     pub fn is_overdue(&self, now: Wall, patience: Span) -> bool {
         !self.has_started
             && !self.is_suspected()
@@ -176,17 +199,17 @@
             && now.0 > self.waiting_since().0 + patience.0
     }
 
-    /// How many tasks are neither done nor anywhere, and may be started.
+    /// How many unplaced tasks may be started.
     pub fn startable_tasks(&self) -> u32 {
         if !self.is_ready() {
             return 0;
         }
-        let free = self.unplaced.len();
-        let open = self.spec.tasks.saturating_sub(free + self.done.len());
-        self.startable_of(free, open)
+        let unplaced = self.unplaced.len();
+        let placed = self.spec.tasks.saturating_sub(unplaced + self.done.len());
+        self.startable_of(unplaced, placed)
     }
 
-    /// Notes that a task is done.
+    /// Records that a task is done.
     pub fn finish(&mut self, index: u32) {
         self.done.insert(index);
         self.unplaced.remove(index);
@@ -205,21 +228,21 @@
         }
     }
 
-    /// The first tasks that are neither done nor anywhere, after so many, at most `most`.
+    /// The next tasks that may be started: at most `most`, without the first `skip` ones.
     pub fn next_startable(&self, skip: usize, most: usize) -> Vec<u32> {
-        let free = (self.startable_tasks() as usize).saturating_sub(skip);
+        let startable = (self.startable_tasks() as usize).saturating_sub(skip);
         self.unplaced
             .iter()
             .skip(skip)
-            .take(most.min(free))
+            .take(most.min(startable))
             .collect()
     }
 
-    /// Notes that a task may be on a machine.
+    /// Records that a task may be on a machine.
     pub fn place(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
         self.unplaced.remove(index);
         let places = self.placements.entry(index).or_default();
-        if !places.iter().any(|p| p.0 == *machine && p.1 == attempt) {
+        if !places.iter().any(|(m, a)| m == machine && *a == attempt) {
             places.push((machine.clone(), attempt));
             self.placement_count += 1;
         }
@@ -231,28 +254,29 @@
             .is_some_and(|places| places.iter().any(|(m, a)| m != machine || *a != attempt))
     }
 
-    /// Notes that a task is surely not on a machine any more.
+    /// Records that a task is surely not on a machine any more.
     pub fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
-        if let Some(places) = self.placements.get_mut(&index) {
-            let before = places.len();
-            places.retain(|p| !(p.0 == *machine && p.1 == attempt));
-            self.placement_count -= (before - places.len()) as u32;
-            if places.is_empty() {
-                self.placements.remove(&index);
-                if !self.done.contains(index) && index < self.spec.tasks {
-                    self.unplaced.insert(index);
-                }
+        let Some(places) = self.placements.get_mut(&index) else {
+            return;
+        };
+        let before = places.len();
+        places.retain(|(m, a)| !(m == machine && *a == attempt));
+        self.placement_count -= (before - places.len()) as u32;
+        if places.is_empty() {
+            self.placements.remove(&index);
+            if !self.done.contains(index) && index < self.spec.tasks {
+                self.unplaced.insert(index);
             }
         }
     }
 
-    /// How many tasks may be somewhere, each counted as often as it may be.
+    /// How many machines its tasks may be on, each counted for each task.
     pub fn placement_count(&self) -> u32 {
         self.placement_count
     }
 
-    /// Whether it may be evicted to make room. Work at priority 100 or above is not, and in
-    /// exchange runs only within its team's quota.
+    /// Whether its tasks may be evicted to make room. Production work is not, and in exchange runs only within its
+    /// team's quota.
     pub fn is_preemptible(&self) -> bool {
         !is_non_preemptible(&self.spec)
     }
@@ -262,9 +286,9 @@
         self.recorded_done.len() == self.done.len()
     }
 
-    /// Takes in recorded progress.
-    pub fn restore_progress(&mut self, page: SegmentId, ranges: &[(u32, u32)]) {
-        self.segment = self.segment.max(page);
+    /// Restores the progress that a segment records: ranges of done tasks, both ends included.
+    pub fn restore_progress(&mut self, segment: SegmentId, ranges: &[(u32, u32)]) {
+        self.segment = self.segment.max(segment);
         self.has_started = true;
         if !ranges.is_empty() {
             self.failures.mark_proven();
@@ -279,7 +303,7 @@
     }
 }
 
-fn own_goal(spec: &JobSpec, submitted: Wall) -> EffectiveUrgency {
+fn own_urgency(spec: &JobSpec, submitted: Wall) -> EffectiveUrgency {
     let deadline = spec.deadline_s.map(Span::secs);
     EffectiveUrgency {
         priority: spec.priority,
@@ -287,7 +311,7 @@
     }
 }
 
-/// Whether work is never evicted to make room: at priority 100 or above.
+/// Whether a job's tasks are never evicted to make room: those of production priority.
 pub fn is_non_preemptible(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production
 }
--- a/crates/core/src/jobs/job_table.rs
+++ b/crates/core/src/jobs/job_table.rs
@@ -1,5 +1,5 @@
-//! The jobs that a leader works on: all that are not done, and those of which something may still be on a
-//! machine.
+//! The jobs that a leader works on: all that are neither done nor cancelled, and those of which something may still be
+//! on a machine.
 
 use super::job::Job;
 use rudderreel_wire::ids::JobId;
@@ -12,7 +12,7 @@
 pub struct JobTable {
     by_id: BTreeMap<JobId, Job>,
     /// Jobs whose cancellation with a dependency is being committed.
-    pub cascading: BTreeSet<JobId>,
+    pub(super) cascading: BTreeSet<JobId>,
 }
 
 impl JobTable {
@@ -31,7 +31,7 @@
         self.by_id.insert(id, job);
     }
 
-    /// Forgets a job of which nothing is left.
+    /// Removes a job of which nothing is left.
     pub fn remove(&mut self, id: &JobId) {
         self.by_id.remove(id);
     }
