--- a/crates/core/src/api/admin.rs
+++ b/crates/core/src/api/admin.rs
@@ -1,46 +1,25 @@
-//! The administration API: operators' settings, and explanations. Any node answers; what only the
-//! leader knows is asked of it.
+//! The administration API: operators' settings, and what administrators are shown.
+//!
+//! Any node answers for the settings and, while it does not lead, for the overview; what only the leader knows is
+//! asked of it. Each answer is a struct in a module of its own. Lists are answered in pages or cut at
+//! [`MAX_LISTED`], and always say how many entries there are in all.
+//!
+//! Names and texts in the answers are part of the documented API.
 
-pub(crate) mod views;
+pub mod jobs;
+pub mod machines;
+pub mod overview;
+pub mod settings;
+pub mod stops;
+pub mod teams;
+pub mod wait_reason;
 
-use crate::teams::team_tree::TeamTree;
-use rudderreel_wire::admin::AdminSettings;
+use serde::Serialize;
 
-/// Names the first setting that can't be, and why.
-pub fn check(settings: &AdminSettings, platform: &TeamTree) -> Result<TeamTree, String> {
-    let bounds = [
-        ("period_s", settings.period_s, 0.1, 60.0),
-        (
-            "reclaim_multiplier",
-            settings.reclaim_multiplier,
-            1.0,
-            100.0,
-        ),
-        (
-            "reclaim_min_runtime_s",
-            settings.reclaim_min_runtime_s,
-            0.0,
-            86_400.0,
-        ),
-        (
-            "preempt_min_runtime_s",
-            settings.preempt_min_runtime_s,
-            0.0,
-            86_400.0,
-        ),
-        ("keep_idle_s", settings.keep_idle_s, 0.0, 86_400.0),
-        ("reserve_factor", settings.reserve_factor, 0.0, 100.0),
-        (
-            "spread_reports_from",
-            settings.spread_reports_from,
-            0.0,
-            1e6,
-        ),
-    ];
-    for (name, value, least, most) in bounds {
-        if !(least..=most).contains(&value) {
-            return Err(format!("{name}: must be from {least} to {most}"));
-        }
-    }
-    (platform.with(&settings.teams)).map_err(|error| error.to_string())
+/// Entries of a list in one answer.
+pub(crate) const MAX_LISTED: usize = 200;
+
+/// An answer as JSON. Its fields stand in alphabetical order, as an object of `serde_json` keeps them.
+pub(crate) fn to_json(answer: &impl Serialize) -> String {
+    serde_json::to_value(answer).unwrap_or_default().to_string()
 }
--- a/crates/core/src/api/admin/views/tests.rs
+++ b/crates/core/src/api/admin/machines/tests.rs
@@ -11,7 +11,8 @@
         }
         let (mut seen, mut after) = (0, None);
         loop {
-            let page = machines(&leader, after.as_ref(), NOW);
+            let page = MachinesPage::of(&leader, after.as_ref(), NOW);
+            let page = serde_json::to_value(page).expect("JSON");
             seen += page["machines"].as_array().map_or(0, Vec::len);
             assert_eq!(page["of"], fleet);
             assert_eq!(page["price_per_hour"], fleet as f64);
@@ -23,16 +24,3 @@
         assert_eq!(seen, fleet);
     }
 }
-
-#[test]
-fn a_page_is_asked_for_by_its_path() {
-    use crate::io::AdminRequest;
-    let after = AdminRequest::Machines(Some("vm-000200".into()));
-    for request in [AdminRequest::Machines(None), after] {
-        let path = request.path();
-        let read = AdminRequest::of_path(&path).expect("a request");
-        assert_eq!(read.path(), path);
-    }
-    assert!(AdminRequest::of_path("/admin/machines?after=").is_none());
-    assert!(AdminRequest::of_path("/admin/machinesx").is_none());
-}
--- /dev/null
+++ b/crates/core/src/api/admin/overview.rs
@@ -0,0 +1,69 @@
+//! How the deployment is doing, as one node sees it.
+
+use crate::leader::Leader;
+use crate::metrics::LatencySummary;
+use crate::overload::fleet_limits::FleetLimits;
+use rudderreel_wire::ids::{Epoch, NodeName};
+use serde::Serialize;
+use serde_json::Value;
+use std::collections::BTreeMap;
+
+/// The overview. What only the leader knows is null elsewhere.
+#[derive(Serialize)]
+pub struct Overview<'a> {
+    /// The node that answers.
+    pub node: &'a NodeName,
+    /// The node that leads by its key in the state service, if one does.
+    pub leader: Option<&'a NodeName>,
+    /// The leader's epoch.
+    pub epoch: Option<Epoch>,
+    /// Whether the node that answers leads.
+    pub leads: bool,
+    /// Whether the state service answers this node.
+    pub state_service_answers: bool,
+    /// Jobs in the node's cache.
+    pub jobs_known: usize,
+    /// Records that could not be read since the node started.
+    pub unreadable_records: u64,
+    /// How many workers the nodes' connections suffice for.
+    pub connections_for: Option<FleetLimits>,
+    /// Whether the node keeps up with its inputs.
+    pub backlog: Value,
+    /// How long answers to users took.
+    pub answers_ms: LatencySummary,
+    /// What only the leader knows.
+    #[serde(flatten)]
+    pub leader_view: LeaderOverview<'a>,
+}
+
+/// What only the leader knows. Without a leader all is null.
+#[derive(Default, Serialize)]
+pub struct LeaderOverview<'a> {
+    jobs_unfinished: Option<usize>,
+    machines: Option<usize>,
+    machines_beyond_connections: Option<usize>,
+    /// Segments of the placement log.
+    #[serde(rename = "pages")]
+    placement_log_segments: Option<usize>,
+    counters: Option<&'a BTreeMap<&'static str, u64>>,
+    start_waits_ms: Option<BTreeMap<String, LatencySummary>>,
+}
+
+impl<'a> LeaderOverview<'a> {
+    /// What a leader knows.
+    pub fn of(leader: &'a Leader) -> Self {
+        let start_waits = leader.metrics.start_waits.iter();
+        Self {
+            jobs_unfinished: Some(leader.jobs.len()),
+            machines: Some(leader.fleet.machines.len()),
+            machines_beyond_connections: Some(leader.fleet.beyond_connections),
+            placement_log_segments: Some(leader.placement_log.len()),
+            counters: Some(&leader.metrics.counters),
+            start_waits_ms: Some(
+                start_waits
+                    .map(|(class, waits)| (class.to_string(), waits.summary()))
+                    .collect(),
+            ),
+        }
+    }
+}
--- a/crates/core/src/api/refusal.rs
+++ b/crates/core/src/api/refusal.rs
@@ -3,19 +3,22 @@
 //! Status, text and the time to come back of a refusal stand here and nowhere else. The texts are part of the
 //! documented API. A refusal with a time to come back is temporary: the request may be sent again as it is.
 
+use crate::api::admin::settings::SettingsError;
 use crate::api::admission::NeverRuns;
 use rudderreel_wire::ids::JobId;
 use serde::Serialize;
 
 /// Statuses of HTTP.
+const BAD_REQUEST: u16 = 400;
 const NOT_FOUND: u16 = 404;
+const CONFLICT: u16 = 409;
 const UNPROCESSABLE: u16 = 422;
 const UNAVAILABLE: u16 = 503;
 /// When to send a request again that was refused for now.
 const RETRY_AFTER_S: u32 = 1;
 
 /// Why a request is refused.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
     /// The calls that this node has under way for users take all that the state service admits.
     #[error("too many requests are open")]
@@ -71,6 +74,15 @@
     /// The job can never run.
     #[error(transparent)]
     NeverRuns(#[from] NeverRuns),
+    /// Operators' settings that can't be.
+    #[error(transparent)]
+    InvalidSettings(#[from] SettingsError),
+    /// Operators' settings that the state service would not store.
+    #[error("the settings are larger than the state service stores")]
+    SettingsTooLarge,
+    /// A change of the operators' settings names an older version.
+    #[error("the settings have changed meanwhile: read them again")]
+    SettingsChanged,
 }
 
 /// The JSON body of a refusal.
@@ -83,7 +95,9 @@
     /// The HTTP status.
     pub fn status(&self) -> u16 {
         match self {
+            Self::InvalidSettings(_) | Self::SettingsTooLarge => BAD_REQUEST,
             Self::NoSuchJob => NOT_FOUND,
+            Self::SettingsChanged => CONFLICT,
             Self::UnknownDependency(_) | Self::NeverRuns(_) => UNPROCESSABLE,
             _ => UNAVAILABLE,
         }
--- a/crates/core/src/io/admin_request.rs
+++ b/crates/core/src/io/admin_request.rs
@@ -1,4 +1,4 @@
-//! What administrators ask for, and the paths by which they ask.
+//! What administrators ask for, and the paths by which they ask. A node forwards a request to the leader by its path.
 
 use rudderreel_wire::admin::Versioned;
 use rudderreel_wire::ids::{JobId, MachineId};
@@ -6,6 +6,7 @@
 /// Path of the list of machines, and what asks for those after a name.
 const MACHINES: &str = "/admin/machines";
 const AFTER: &str = "?after=";
+
 /// What an administrator asks for.
 #[derive(Clone, Debug)]
 pub enum AdminRequest {
@@ -57,3 +58,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -219,8 +219,3 @@
 pub(crate) fn json<T: serde::Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_else(|_| "{}".into())
 }
-
-/// The JSON body of an error.
-pub(crate) fn error_body(text: &str) -> String {
-    serde_json::json!({ "error": text }).to_string()
-}
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -3,7 +3,6 @@
 use crate::units::{Span, Wall};
 use rudderreel_wire::ids::{Class, MachineId, TaskId};
 use serde::Serialize;
-use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Stops that are remembered.
@@ -16,6 +15,21 @@
 /// A histogram of milliseconds.
 pub struct Latency(hdrhistogram::Histogram<u32>);
 
+/// What a histogram says, in milliseconds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+pub struct LatencySummary {
+    /// How many times were recorded.
+    pub count: u64,
+    /// The median.
+    pub p50: u64,
+    /// The 95th percentile.
+    pub p95: u64,
+    /// The 99th percentile.
+    pub p99: u64,
+    /// The longest.
+    pub max: u64,
+}
+
 impl Default for Latency {
     fn default() -> Self {
         let bounds = hdrhistogram::Histogram::new_with_bounds(LEAST_MS, MOST_MS, DIGITS);
@@ -29,15 +43,15 @@
         self.0.saturating_record(span.0.max(LEAST_MS));
     }
 
-    /// Its quantiles.
-    pub fn summary(&self) -> Value {
-        json!({
-            "count": self.0.len(),
-            "p50": self.0.value_at_quantile(0.5),
-            "p95": self.0.value_at_quantile(0.95),
-            "p99": self.0.value_at_quantile(0.99),
-            "max": self.0.max(),
-        })
+    /// How many times were recorded, and their quantiles.
+    pub fn summary(&self) -> LatencySummary {
+        LatencySummary {
+            count: self.0.len(),
+            p50: self.0.value_at_quantile(0.5),
+            p95: self.0.value_at_quantile(0.95),
+            p99: self.0.value_at_quantile(0.99),
+            max: self.0.max(),
+        }
     }
 }
 
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -1,10 +1,14 @@
-//! Administrators' requests.
+//! Carries out administrators' requests: answers them, asks the leader, and replaces the operators' settings.
 
-use crate::api::admin::check;
-use crate::api::admin::views;
+use crate::api::admin::jobs::JobView;
+use crate::api::admin::machines::MachinesPage;
+use crate::api::admin::overview::{LeaderOverview, Overview};
+use crate::api::admin::settings;
+use crate::api::admin::stops::RecentStops;
+use crate::api::admin::teams::TeamsView;
+use crate::api::admin::to_json;
 use crate::api::refusal::Refusal;
-use crate::io::AdminRequest;
-use crate::io::{error_body, json, Output, ReqId, StoreAnswer, StoreCall};
+use crate::io::{json, AdminRequest, Output, ReqId, StoreAnswer, StoreCall};
 use crate::leader::Leader;
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
@@ -16,42 +20,58 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::peer::Forward;
 use rudderreel_wire::state::{Change, Condition, Transaction};
-use serde_json::{json, Value};
+
+/// HTTP status.
+const OK: u16 = 200;
 
 impl Node {
     /// An administrator's request.
     pub(crate) fn admin(&mut self, req: ReqId, request: AdminRequest, local: bool, now: Now) {
         match request {
-            AdminRequest::Settings => {
-                let body = json(&self.admin_settings);
-                self.answer(req, 200, body);
-            }
+            AdminRequest::Settings => self.answer_settings(req),
             AdminRequest::Replace(new) => self.replace_settings(req, *new, now),
             AdminRequest::Overview if self.leader.is_none() && local => {
-                let body = self.overview(now);
-                self.answer(req, 200, body.to_string());
+                let body = to_json(&self.overview(now));
+                self.answer(req, OK, body);
             }
             request => match &self.leader {
-                Some(leader) if !self.leads_surely(leader, now) => {
-                    self.refuse(req, Refusal::LeadershipUncertain);
-                }
-                Some(leader) => {
-                    let (status, body) = match request {
-                        AdminRequest::Teams => (200, views::teams(leader, now)),
-                        AdminRequest::Machines(after) => {
-                            (200, views::machines(leader, after.as_ref(), now))
-                        }
-                        AdminRequest::Stops => (200, json!({ "stops": leader.metrics.stops })),
-                        AdminRequest::Job(id) => self.explain(leader, &id, now),
-                        _ => (200, self.overview(now)),
-                    };
-                    self.answer(req, status, body.to_string());
-                }
+                Some(leader) => match self.answer_as_leader(leader, request, now) {
+                    Ok(body) => self.answer(req, OK, body),
+                    Err(refusal) => self.refuse(req, refusal),
+                },
                 None => self.ask_leader(req, &request, local),
             },
         }
     }
 
+    fn answer_settings(&mut self, req: ReqId) {
+        let body = json(&self.admin_settings);
+        self.answer(req, OK, body);
+    }
+
+    /// The answer that only a leader can give, as JSON.
+    fn answer_as_leader(
+        &self,
+        leader: &Leader,
+        request: AdminRequest,
+        now: Now,
+    ) -> Result<String, Refusal> {
+        if !self.leads_surely(leader, now) {
+            return Err(Refusal::LeadershipUncertain);
+        }
+        Ok(match request {
+            AdminRequest::Teams => to_json(&TeamsView::of(leader, now)),
+            AdminRequest::Machines(after) => {
+                to_json(&MachinesPage::of(leader, after.as_ref(), now))
+            }
+            AdminRequest::Stops => to_json(&RecentStops {
+                stops: &leader.metrics.stops,
+            }),
+            AdminRequest::Job(id) => to_json(&JobView::of(&id, leader, &self.job_cache, now)?),
+            _ => to_json(&self.overview(now)),
+        })
+    }
+
     fn leads_surely(&self, leader: &Leader, now: Now) -> bool {
         let store_reachable = self.election.store_reachable(now.time);
         leader
@@ -60,7 +80,7 @@
     }
 
     fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool) {
-        let leader = self.job_cache.leader().map(|r| r.node.clone());
+        let leader = self.job_cache.leader().map(|record| record.node.clone());
         match leader {
             Some(leader) if local && self.peers.contains(&leader) => {
                 let forward = Forward::Admin(request.path());
@@ -72,12 +92,11 @@
     }
 
     fn replace_settings(&mut self, req: ReqId, new: Versioned, now: Now) {
-        if let Err(text) = check(&new.settings, &self.platform_tree) {
-            return self.answer(req, 400, error_body(&text));
+        if let Err(error) = settings::check(&new.settings, &self.platform_tree) {
+            return self.refuse(req, error);
         }
         if !self.limits.fits(&new.settings) {
-            let text = "the settings are larger than the state service stores";
-            return self.answer(req, 400, error_body(text));
+            return self.refuse(req, Refusal::SettingsTooLarge);
         }
         if !self.election.store_reachable(now.time) {
             return self.refuse(req, Refusal::StoreUnreachable);
@@ -108,29 +127,27 @@
         match answer {
             StoreAnswer::Committed(version) => {
                 self.apply_admin_settings(version, settings);
-                let body = json(&self.admin_settings);
-                self.answer(req, 200, body);
-            }
-            StoreAnswer::Conflict(_) => {
-                let text = "the settings have changed meanwhile: read them again";
-                self.answer(req, 409, error_body(text));
+                self.answer_settings(req);
             }
+            StoreAnswer::Conflict(_) => self.refuse(req, Refusal::SettingsChanged),
             StoreAnswer::Unknown => self.refuse(req, Refusal::SettingsOutcomeUnknown),
             _ => self.refuse(req, Refusal::StoreUnreachable),
         }
     }
 
-    /// Takes up settings that were stored.
+    /// Applies settings that were stored, unless newer ones are applied already.
     pub(crate) fn apply_admin_settings(&mut self, version: Version, settings: AdminSettings) {
         if version <= self.admin_settings.version {
             return;
         }
-        match check(&settings, &self.platform_tree) {
+        match settings::check(&settings, &self.platform_tree) {
             Ok(tree) => self.tree = tree,
             // The platform's file may have changed since they were stored.
-            Err(text) => return log::error!("stored settings don't fit the platform's: {text}"),
+            Err(error) => {
+                return log::error!("operators' settings not applied: version={version} {error}");
+            }
         }
-        log::info!("operators' settings of version {version} are taken up");
+        log::info!("operators' settings applied: version={version}");
         self.admin_settings = Versioned { version, settings };
         if let Some(leader) = self.leader.as_mut() {
             leader
@@ -139,30 +156,21 @@
         }
     }
 
-    fn overview(&self, now: Now) -> Value {
-        let leader_record = self.job_cache.leader();
+    fn overview(&self, now: Now) -> Overview<'_> {
+        let record = self.job_cache.leader();
         let leader = self.leader.as_ref();
-        json!({
-            "node": self.settings.node,
-            "leader": leader_record.map(|r| &r.node),
-            "epoch": leader_record.map(|r| r.epoch),
-            "leads": leader.is_some(),
-            "state_service_answers": self.election.store_reachable(now.time),
-            "jobs_known": self.job_cache.job_count(),
-            "unreadable_records": self.job_cache.unreadable_records(),
-            "jobs_unfinished": leader.map(|l| l.jobs.len()),
-            "machines": leader.map(|l| l.fleet.machines.len()),
-            "connections_for": FleetLimits::of(&self.settings),
-            "machines_beyond_connections": leader.map(|l| l.fleet.beyond_connections),
-            "pages": leader.map(|l| l.placement_log.len()),
-            "backlog": self.backlog.summary(now.time),
-            "counters": leader.map(|l| &l.metrics.counters),
-            "answers_ms": self.user_requests.latency().summary(),
-            "start_waits_ms": leader.map(|l| {
-                (l.metrics.start_waits.iter())
-                    .map(|(class, waits)| (class.to_string(), waits.summary()))
-                    .collect::<serde_json::Map<_, _>>()
-            }),
-        })
+        Overview {
+            node: &self.settings.node,
+            leader: record.map(|record| &record.node),
+            epoch: record.map(|record| record.epoch),
+            leads: leader.is_some(),
+            state_service_answers: self.election.store_reachable(now.time),
+            jobs_known: self.job_cache.job_count(),
+            unreadable_records: self.job_cache.unreadable_records(),
+            connections_for: FleetLimits::of(&self.settings),
+            backlog: self.backlog.summary(now.time),
+            answers_ms: self.user_requests.latency().summary(),
+            leader_view: leader.map_or_else(LeaderOverview::default, LeaderOverview::of),
+        }
     }
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -11,7 +11,6 @@
 mod direct_calls;
 mod election;
 mod epoch_bump;
-mod explanations;
 mod heartbeats;
 mod leader_tick;
 mod leadership_transfer;
