--- a/crates/core/src/agents/peer_selection.rs
+++ b/crates/core/src/agents/peer_selection.rs
@@ -123,7 +123,7 @@
     ) -> Option<NodeName> {
         let is_counted = self.reporting.contains_key(machine);
         let agents = self.agent_count(cluster.report_interval, cluster.now);
-        let load = cluster.backlog.load_of(agents) + u32::from(!is_counted);
+        let load = cluster.backlog.load_for_agents(agents) + u32::from(!is_counted);
         let own_load = load * cluster.weight(cluster.own_name, cluster.own_leads);
         let (peer_load, peer) = self.least_loaded_peer(cluster)?;
         // Agents that are here already move only if it is worth while.
--- a/crates/core/src/api/admin/settings.rs
+++ b/crates/core/src/api/admin/settings.rs
@@ -52,7 +52,7 @@
         settings.spread_reports_from,
         &MACHINES,
     )?;
-    Ok(platform.with(&settings.teams)?)
+    Ok(platform.with_settings(&settings.teams)?)
 }
 
 fn check_range(
--- a/crates/core/src/api/admin/wait_reason.rs
+++ b/crates/core/src/api/admin/wait_reason.rs
@@ -64,7 +64,7 @@
         }
         if has_room(leader, &snapshot, job) {
             Self::NextCycle
-        } else if leader.scale_out.open.is_empty() && !leader.is_booting() {
+        } else if leader.scale_out.open_requests().is_empty() && !leader.is_booting() {
             Self::NoRoom
         } else {
             Self::ScalingOut
--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -3,7 +3,7 @@
 use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::actions::{allowed, should_avoid_gpus};
+use crate::scheduling::actions::{satisfies_node_affinity, should_avoid_gpus};
 use crate::scheduling::snapshot::CandidateMachine;
 use crate::units::Resources;
 use rudderreel_wire::ids::Zone;
@@ -88,7 +88,7 @@
     /// Whether a job may use machines of this kind.
     fn is_allowed(&self, job: &Job) -> bool {
         let offer = &self.offer;
-        allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
+        satisfies_node_affinity(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
     }
 
     /// Whether work that could run without GPUs would hold them back.
--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -4,7 +4,7 @@
 use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
-use crate::scheduling::actions::{allowed, should_avoid_gpus};
+use crate::scheduling::actions::{satisfies_node_affinity, should_avoid_gpus};
 use crate::units::{Resources, Time};
 use rudderreel_wire::cloud::MachineType;
 use rudderreel_wire::ids::Zone;
@@ -92,7 +92,7 @@
     fn may_request(&self, job: &Job, offer: &InstanceOffer, now: Time) -> bool {
         self.scale_out.may_request(offer, now)
             && !self.fleet.partitioned_zones.contains(&offer.zone)
-            && allowed(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
+            && satisfies_node_affinity(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
     }
 
     /// Whether a machine for a job costs so little beside the dearest ones that there is nothing to weigh: then all
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -26,7 +26,7 @@
         for machine in machines.filter(|machine| self.is_booting_in_time(machine, now.wall)) {
             *counts.entry(InstanceOffer::from(machine)).or_default() += 1;
         }
-        for request in &self.scale_out.open {
+        for request in self.scale_out.open_requests() {
             *counts.entry(InstanceOffer::from(request)).or_default() += request.count;
         }
         (counts.into_iter())
--- a/crates/core/src/capacity/scale_out/tests.rs
+++ b/crates/core/src/capacity/scale_out/tests.rs
@@ -19,8 +19,12 @@
         let mut leader = leader();
         leader.cloud_calls_per_s = calls_per_s;
         leader.request_machines(BTreeMap::from([(offer.clone(), wanted)]));
-        assert_eq!(leader.scale_out.open.len(), open);
-        let mut counts = leader.scale_out.open.iter().map(|request| request.count);
+        assert_eq!(leader.scale_out.open_requests().len(), open);
+        let mut counts = leader
+            .scale_out
+            .open_requests()
+            .iter()
+            .map(|request| request.count);
         assert!(counts.all(|count| count == MACHINES_PER_RENTAL));
         assert!(leader.scale_out.may_request(&offer, NOW.time));
     }
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -87,6 +87,13 @@
         self.open.remove(&id)
     }
 
+    /// Forgets all calls, and reads the catalog and the machine list as soon as possible.
+    pub(crate) fn restart(&mut self, now: Time) {
+        self.clear();
+        self.next_catalog = now;
+        self.next_list = now;
+    }
+
     /// Forgets all calls, those included that have gone out.
     pub fn clear(&mut self) {
         self.queue.clear();
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -83,12 +83,17 @@
 #[derive(Default)]
 pub struct ScaleOutRequests {
     /// Requests that wait to go out, are out, or must be repeated.
-    pub open: Vec<Rent>,
+    open: Vec<Rent>,
     refused: BTreeMap<InstanceOffer, Refusal>,
     named: u64,
 }
 
 impl ScaleOutRequests {
+    /// Requests that wait to go out, are out, or must be repeated.
+    pub fn open_requests(&self) -> &[Rent] {
+        &self.open
+    }
+
     /// Opens requests for wanted machines: for urgent ones first, then for the largest number, and only so many that
     /// at most `max_open` are open. What is not requested now is counted again in the next cycle.
     pub fn request(
--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -88,7 +88,7 @@
         let may_be_elsewhere = job.may_be_elsewhere(placed.task.index, &machine.id, placed.attempt);
         let is_reconciled = machine.is_reconciled(self.term.epoch())
             && machine.is_heard_within(self.agent_timings.lease, now);
-        let is_allowed = actions::allowed(
+        let is_allowed = actions::satisfies_node_affinity(
             &job.spec,
             &machine.machine_type,
             &machine.zone,
--- a/crates/core/src/node/cache_sync.rs
+++ b/crates/core/src/node/cache_sync.rs
@@ -105,7 +105,7 @@
             };
             leader.update_job(id, known.version, &known.record);
             if known.record.state == JobState::Cancelled {
-                leader.stop_job(id, now.time);
+                leader.stop_ended_job(id, now.time);
             }
             leader.request_cycle(now.time);
         }
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -24,7 +24,7 @@
 
 impl Node {
     /// Sends calls to the cloud that wait, while this node leads.
-    pub(crate) fn cloud_pump(&mut self, now: Now) {
+    pub(crate) fn send_cloud_calls(&mut self, now: Now) {
         if self.leader.is_some() {
             self.cloud.send_queued(now.time, &mut self.out);
         }
@@ -48,7 +48,7 @@
     }
 
     /// Makes the calls of the leader that are due.
-    pub(crate) fn cloud_tick(&mut self, now: Now) {
+    pub(crate) fn call_cloud_if_due(&mut self, now: Now) {
         let Some(leader) = &self.leader else {
             return;
         };
@@ -92,7 +92,7 @@
         let Some(leader) = &self.leader else {
             return;
         };
-        for request in &leader.scale_out.open {
+        for request in leader.scale_out.open_requests() {
             let is_pending = self.cloud.has_pending(|call| {
                 matches!(call, PendingCloudCall::ScaleOut(other) if other.request == request.request)
             });
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -24,7 +24,7 @@
         node.leader = Some(leader());
         node.cloud.next_catalog = NOW.time + Span(3_600_000);
         let (mut now, mut listed, mut refused) = (NOW, 0, 0);
-        node.cloud_tick(now);
+        node.call_cloud_if_due(now);
         for round in 0..200 {
             now.time = now.time + Span(800);
             for (id, call) in calls(&mut node, now) {
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -147,7 +147,7 @@
         log::info!("job is done job={id}");
         job.completion_open = false;
         let record = completed_record(job, &self.store_limits, now);
-        self.finish(id);
+        self.finish_job(id);
         Some(record)
     }
 
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -91,9 +91,7 @@
         self.leader = Some(leader);
         self.store_calls
             .set_rate(store_call_rate(&self.settings, true));
-        self.cloud.clear();
-        self.cloud.next_catalog = now.time;
-        self.cloud.next_list = now.time;
+        self.cloud.restart(now.time);
         self.next_heartbeat_at = now.time;
         self.begin_recovery();
     }
--- a/crates/core/src/node/leader_tick.rs
+++ b/crates/core/src/node/leader_tick.rs
@@ -27,25 +27,25 @@
             self.reconcile_pass(now);
         } else {
             self.flush_leader_commits(now);
-            self.cloud_pump(now);
+            self.send_cloud_calls(now);
         }
     }
 
     fn is_reconcile_pass_due(&mut self, now: Time) -> bool {
         let is_recovered = (self.leader.as_ref()).is_some_and(|leader| leader.recovery.is_complete);
         let is_behind = self.backlog.is_behind(now);
-        is_recovered && now >= self.next_reconcile_at && self.pacing.may_review(now, is_behind)
+        is_recovered && now >= self.next_reconcile_at && self.pacing.may_reconcile(now, is_behind)
     }
 
     /// Looks through all machines and jobs, schedules if that is due, and sends out what was decided.
     fn reconcile_pass(&mut self, now: Now) {
-        self.pacing.begin(LongStep::Review, now.time);
+        self.pacing.begin(LongStep::Reconcile, now.time);
         self.reconcile_fleet(now);
         self.run_cycle_if_due(now);
         self.flush_leader_commits(now);
         self.bump_epoch_if_needed(now);
         self.send_direct_calls(now);
-        self.cloud_tick(now);
+        self.call_cloud_if_due(now);
     }
 
     /// Compares what should run with what agents report, machine by machine, and acts on what is overdue.
@@ -74,7 +74,7 @@
         if is_due && leader.term.is_lease_valid(now.time) {
             self.pacing.begin(LongStep::Cycle, now.time);
             leader.schedule.next_cycle = now.time + leader.policy.cycle_period;
-            leader.cycle(now);
+            leader.run_cycle(now);
         }
     }
 
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -23,7 +23,7 @@
 /// Has inputs wait for so long during so much time; returns when that is over.
 fn wait(node: &mut Node, from: Now, during: Span, waited: Span) -> Now {
     for ms in 0..=during.0 {
-        node.backlog.note_wait(from.time + Span(ms), waited);
+        node.backlog.record_wait(from.time + Span(ms), waited);
     }
     Now {
         time: from.time + during,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -198,12 +198,12 @@
 
     /// Tells how long the input has waited that comes next. A node that is behind answers before it decides.
     pub fn note_wait(&mut self, at: Time, waited: Span) {
-        self.backlog.note_wait(at, waited);
+        self.backlog.record_wait(at, waited);
     }
 
     fn tick(&mut self, now: Now) {
         self.begin_cache_sync_if_due(now);
-        self.backlog.tick(now.time);
+        self.backlog.update_load(now.time);
         self.election_tick(now);
         self.send_due_confirmations(now);
         self.cancellations_tick(now);
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -77,7 +77,7 @@
     pub(crate) fn reported_load(&mut self, now: Time) -> u32 {
         let report_interval = self.report_interval();
         let agents = self.agent_balancer.agent_count(report_interval, now);
-        self.backlog.load_of(agents)
+        self.backlog.load_for_agents(agents)
     }
 
     /// A peer that an agent should rather report to.
--- a/crates/core/src/overload/backlog.rs
+++ b/crates/core/src/overload/backlog.rs
@@ -51,7 +51,7 @@
 
 impl Backlog {
     /// Records how long an input has waited.
-    pub fn note_wait(&mut self, now: Time, waited: Span) {
+    pub fn record_wait(&mut self, now: Time, waited: Span) {
         self.waits.record(waited);
         if waited >= BEHIND_WAIT {
             self.behind_until = now + BEHIND_HOLD;
@@ -79,7 +79,7 @@
     }
 
     /// Estimates the load if that is due.
-    pub fn tick(&mut self, now: Time) {
+    pub fn update_load(&mut self, now: Time) {
         if now < self.next_estimate_at {
             return;
         }
@@ -102,7 +102,7 @@
     }
 
     /// The load that so many agents are for this node, in agents of a node that keeps up.
-    pub fn load_of(&self, agents: u32) -> u32 {
+    pub fn load_for_agents(&self, agents: u32) -> u32 {
         (f64::from(agents) * self.load_factor).round() as u32
     }
 }
--- a/crates/core/src/overload/backlog/tests.rs
+++ b/crates/core/src/overload/backlog/tests.rs
@@ -3,8 +3,8 @@
 /// Runs so many milliseconds in which inputs wait for so long.
 fn run(backlog: &mut Backlog, ms: std::ops::Range<u64>, waited: Span) {
     for now in ms.map(Time) {
-        backlog.note_wait(now, waited);
-        backlog.tick(now);
+        backlog.record_wait(now, waited);
+        backlog.update_load(now);
     }
 }
 
@@ -13,7 +13,7 @@
     let mut backlog = Backlog::default();
     run(&mut backlog, 0..60_000, Span(200));
     assert!(!backlog.is_behind(Time(60_000)));
-    assert_eq!(backlog.load_of(125), 125);
+    assert_eq!(backlog.load_for_agents(125), 125);
     assert_eq!(backlog.far_behind_for(Time(60_000)), Span(0));
 }
 
@@ -23,16 +23,16 @@
     let mut backlog = Backlog::default();
     run(&mut backlog, 0..3_000, Span(400));
     assert!(backlog.is_behind(Time(3_000)));
-    assert!(backlog.load_of(100) > 300);
+    assert!(backlog.load_for_agents(100) > 300);
     run(&mut backlog, 3_000..60_000, Span(400));
-    assert_eq!(backlog.load_of(100), 800, "it is bounded");
+    assert_eq!(backlog.load_for_agents(100), 800, "it is bounded");
     run(&mut backlog, 60_000..62_000, Span(0));
     assert!(
-        backlog.load_of(100) > 600,
+        backlog.load_for_agents(100) > 600,
         "one quiet moment changes little"
     );
     run(&mut backlog, 62_000..110_000, Span(0));
-    assert_eq!(backlog.load_of(100), 100);
+    assert_eq!(backlog.load_for_agents(100), 100);
 }
 
 /// Only a wait that does not end counts.
--- a/crates/core/src/overload/pacing.rs
+++ b/crates/core/src/overload/pacing.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongStep {
     /// A reconcile pass over machines and jobs.
-    Review,
+    Reconcile,
     /// A reconcile pass with a scheduling cycle.
     Cycle,
 }
@@ -58,7 +58,7 @@
 
 impl Pacing {
     /// Whether a reconcile pass may begin.
-    pub fn may_review(&self, now: Time, behind: bool) -> bool {
+    pub fn may_reconcile(&self, now: Time, behind: bool) -> bool {
         (self.reconcile).may_begin(now, behind, RECONCILE_INTERVAL_BEHIND)
     }
 
@@ -71,7 +71,7 @@
     pub fn begin(&mut self, step: LongStep, now: Time) {
         self.current = Some(step);
         match step {
-            LongStep::Review => self.reconcile.last_begun_at = now,
+            LongStep::Reconcile => self.reconcile.last_begun_at = now,
             LongStep::Cycle => self.cycle.last_begun_at = now,
         }
     }
--- a/crates/core/src/overload/pacing/tests.rs
+++ b/crates/core/src/overload/pacing/tests.rs
@@ -6,7 +6,7 @@
     let mut pacing = Pacing::default();
     let (mut now, mut idle) = (Time(0), 0);
     while now < Time(100_000) {
-        if pacing.may_review(now, false) && pacing.may_cycle(now, false) {
+        if pacing.may_reconcile(now, false) && pacing.may_cycle(now, false) {
             pacing.begin(LongStep::Cycle, now);
             now = now + cycle;
             pacing.ended(now, cycle);
@@ -34,7 +34,7 @@
     pacing.begin(LongStep::Cycle, Time(3_000));
     pacing.ended(Time(9_000), Span(6_000));
     assert!(!pacing.may_cycle(Time(9_999), false));
-    assert!(pacing.may_cycle(Time(10_000), false) && pacing.may_review(Time(10_000), false));
+    assert!(pacing.may_cycle(Time(10_000), false) && pacing.may_reconcile(Time(10_000), false));
 }
 
 /// Other steps may take long, too, but they are not followed by a pause.
@@ -42,10 +42,10 @@
 fn only_reconcile_passes_and_cycles_are_followed_by_a_pause() {
     let mut pacing = Pacing::default();
     pacing.ended(Time(1_000), Span(500));
-    assert!(pacing.may_review(Time(1_000), false) && pacing.may_cycle(Time(1_000), false));
-    pacing.begin(LongStep::Review, Time(500));
+    assert!(pacing.may_reconcile(Time(1_000), false) && pacing.may_cycle(Time(1_000), false));
+    pacing.begin(LongStep::Reconcile, Time(500));
     pacing.ended(Time(1_000), Span(500));
-    assert!(!pacing.may_review(Time(1_499), false) && pacing.may_cycle(Time(1_000), false));
+    assert!(!pacing.may_reconcile(Time(1_499), false) && pacing.may_cycle(Time(1_000), false));
 }
 
 /// After a failover with all agents at once a leader decided cycle after cycle while their status reports waited, and
@@ -53,18 +53,18 @@
 #[test]
 fn node_that_is_behind_begins_long_steps_less_often() {
     let mut pacing = Pacing::default();
-    let (mut cycles, mut reviews) = (0, 0);
+    let (mut cycles, mut reconcile_passes) = (0, 0);
     for now in (5_000..25_000).map(Time) {
-        if pacing.may_review(now, true) {
-            pacing.begin(LongStep::Review, now);
-            reviews += 1;
+        if pacing.may_reconcile(now, true) {
+            pacing.begin(LongStep::Reconcile, now);
+            reconcile_passes += 1;
             if pacing.may_cycle(now, true) {
                 pacing.begin(LongStep::Cycle, now);
                 cycles += 1;
             }
         }
     }
-    assert_eq!((cycles, reviews), (10, 40));
+    assert_eq!((cycles, reconcile_passes), (10, 40));
     // Once nothing waits any more, all is as it was.
-    assert!(pacing.may_review(Time(25_000), false) && pacing.may_cycle(Time(25_000), false));
+    assert!(pacing.may_reconcile(Time(25_000), false) && pacing.may_cycle(Time(25_000), false));
 }
--- a/crates/core/src/scheduling/actions/predicates.rs
+++ b/crates/core/src/scheduling/actions/predicates.rs
@@ -12,7 +12,12 @@
 const START_DELAY_S: f64 = 8.0;
 
 /// Node affinity: whether a job may use machines of a type and zone, and spot instances.
-pub fn allowed(spec: &JobSpec, machine_type: &TypeName, zone: &Zone, is_spot: bool) -> bool {
+pub fn satisfies_node_affinity(
+    spec: &JobSpec,
+    machine_type: &TypeName,
+    zone: &Zone,
+    is_spot: bool,
+) -> bool {
     (spec.spot || !is_spot)
         && (spec.types.as_ref()).is_none_or(|types| types.contains(machine_type))
         && (spec.zone.as_ref()).is_none_or(|wanted| wanted == zone)
@@ -30,7 +35,7 @@
     job: &Job,
     candidate: &CandidateMachine,
 ) -> bool {
-    let is_allowed = allowed(
+    let is_allowed = satisfies_node_affinity(
         &job.spec,
         &candidate.machine_type,
         &candidate.zone,
--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -29,7 +29,7 @@
 
 impl Leader {
     /// Decides and applies one cycle.
-    pub fn cycle(&mut self, now: Now) {
+    pub fn run_cycle(&mut self, now: Now) {
         self.withdraw_stalled_placements(now.time);
         let mut snapshot = Snapshot::take(self, now);
         let mut decisions = self.run_actions(&mut snapshot, now);
--- a/crates/core/src/scheduling/cycle/tests.rs
+++ b/crates/core/src/scheduling/cycle/tests.rs
@@ -12,7 +12,7 @@
     ] {
         leader.jobs.insert(job.spec.id.clone(), job);
     }
-    leader.cycle(testing::NOW);
+    leader.run_cycle(testing::NOW);
     let placed = |id: &str| leader.jobs[&id.parse().expect("an id")].placement_count();
     assert_eq!((placed("wk-1"), placed("wk-2")), (0, 4));
 }
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -90,14 +90,14 @@
                 continue;
             }
             let deadline = self.cancelled_task_deadline(job, now);
-            for machine in self.stop_job(&id, now.time) {
+            for machine in self.stop_ended_job(&id, now.time) {
                 self.return_if_required(&machine, deadline, now.time);
             }
         }
     }
 
     /// Stops everything that may be left of a cancelled or finished job; returns the machines that may hold it.
-    pub fn stop_job(&mut self, id: &JobId, now: Time) -> Vec<MachineId> {
+    pub fn stop_ended_job(&mut self, id: &JobId, now: Time) -> Vec<MachineId> {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_active()) else {
             return Vec::new();
         };
--- a/crates/core/src/scheduling/job_records.rs
+++ b/crates/core/src/scheduling/job_records.rs
@@ -12,7 +12,7 @@
         match record.state {
             JobState::Done => {
                 self.restore_ended_job(id, version, record, JobStage::Finished);
-                self.finish(id);
+                self.finish_job(id);
             }
             JobState::Cancelled => {
                 let cancelled_at = record.cancelled.unwrap_or(record.submitted);
@@ -55,7 +55,7 @@
 
     /// Notes that a job is done. It is kept while some of its tasks may still be on a machine, and during failover
     /// state recovery, when the placement log may yet name some.
-    pub fn finish(&mut self, id: &JobId) {
+    pub fn finish_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stage = JobStage::Finished;
             if job.placements.is_empty() && self.recovery.is_complete {
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -129,7 +129,10 @@
 
     /// The platform's tree with the operators' settings laid over it: groups, parents, quotas, weights, priorities, and
     /// limits that may be tightened but not exceeded. Fails with the first setting that is not possible.
-    pub fn with(&self, settings: &BTreeMap<Team, TeamSettings>) -> Result<Self, TeamSettingsError> {
+    pub fn with_settings(
+        &self,
+        settings: &BTreeMap<Team, TeamSettings>,
+    ) -> Result<Self, TeamSettingsError> {
         let mut nodes: Vec<TeamNode> = self.nodes[1..].to_vec();
         for name in settings.keys().filter(|name| self.find(name).is_none()) {
             if name.as_str().is_empty() {
--- a/crates/core/src/teams/team_tree/tests.rs
+++ b/crates/core/src/teams/team_tree/tests.rs
@@ -19,7 +19,7 @@
 fn operators_settings_are_laid_over_those_of_the_platform() {
     let text = r#"{"all":{"quota_cpus":6,"priority":2},
         "red":{"parent":"all","limit_cpus":7.5,"weight":3}}"#;
-    let tree = platform().with(&settings(text)).expect("a tree");
+    let tree = platform().with_settings(&settings(text)).expect("a tree");
     let red = &tree.nodes[tree.find(&"red".into()).expect("red")];
     let all = tree.find(&"all".into()).expect("all");
     assert_eq!(
@@ -40,7 +40,7 @@
         (r#"{"a":{"parent":"b"},"b":{"parent":"a"}}"#, "parent"),
     ];
     for (text, named) in cases {
-        let message = (platform().with(&settings(text)))
+        let message = (platform().with_settings(&settings(text)))
             .expect_err(text)
             .to_string();
         assert!(
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -87,7 +87,7 @@
 /// The same for looks and cycles, by machine.
 fn long_step_us(step: Option<LongStep>, machines: usize) -> u64 {
     let by_machine = match step {
-        Some(LongStep::Review) => 50,
+        Some(LongStep::Reconcile) => 50,
         Some(LongStep::Cycle) => 300,
         None => 0,
     };
