--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -179,3 +179,6 @@
         most - left
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -138,3 +138,6 @@
         self.open.values().any(&is_wanted) || self.queue.iter().any(is_wanted)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -171,3 +171,6 @@
         self.refused.remove(offer);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/scheduling/actions/gang_reservation.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation.rs
@@ -129,3 +129,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/scheduling/actions/predicates.rs
+++ b/crates/core/src/scheduling/actions/predicates.rs
@@ -83,3 +83,6 @@
         (tasks_by_zone.iter().enumerate()).any(|(other, tasks)| other != zone && *tasks > 0);
     tasks_here < spec.zone_cap() && !(spec.one_zone && has_tasks_elsewhere)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -8,20 +8,22 @@
 //! Invariant: every victim's team stays at or above its fair share, and the gang's own within its share, so that
 //! neither can take the room back from the other.
 
+mod victim_group;
+
 use super::predicates::{fits, is_eligible};
 use super::scenario::{Eviction, EvictionReason, Scenario};
 use super::scoring::{rank_machines, task_slots};
-use super::victims::{eviction_loss, is_evictable};
+use super::victims::is_evictable;
 use crate::fleet::{Machine, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::{Snapshot, Victim};
 use crate::scheduling::statement::{Placement, Statement};
-use crate::teams::team_tree::{add_amounts, amounts, NO_AMOUNTS};
-use crate::units::Span;
+use crate::teams::team_tree::amounts;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 use rudderreel_wire::job::Kind;
 use std::collections::{BTreeSet, HashMap};
+use victim_group::VictimGroup;
 
 /// So many waiting gangs are considered in a cycle: each means a search through all that is borrowed.
 const MAX_GANGS_CONSIDERED: usize = 2;
@@ -69,12 +71,6 @@
         && snapshot.within_limits(leader, gang, &amounts(&need))
 }
 
-/// What is stopped together: a task, or a gang with all its tasks.
-struct VictimGroup {
-    tasks: Vec<Victim>,
-    loss: u64,
-}
-
 /// A group that is stopped in the simulation, and how many tasks of the gang find room by that.
 struct StoppedGroup {
     group: VictimGroup,
@@ -319,61 +315,5 @@
     }
 }
 
-impl VictimGroup {
-    fn new(leader: &Leader, snapshot: &Snapshot, tasks: Vec<Victim>) -> Self {
-        let loss = (tasks.iter())
-            .map(|victim| loss_of(leader, snapshot, victim))
-            .sum();
-        Self { tasks, loss }
-    }
-
-    /// Whether its team stays at or above its fair share without it.
-    fn is_borrowed(&self, leader: &Leader, snapshot: &Snapshot, gang: &Job) -> bool {
-        let basis = snapshot.quota.reclaim_basis(gang);
-        let owner = (self.tasks.first()).and_then(|victim| leader.jobs.get(&victim.task.job));
-        let Some(team) = owner.and_then(|job| leader.policy.teams.find(&job.spec.team)) else {
-            return false;
-        };
-        let mut given = NO_AMOUNTS;
-        for victim in &self.tasks {
-            add_amounts(&mut given, &basis.counted(&victim.need));
-        }
-        basis.stays_at_share_without(team, &given)
-    }
-
-    fn loss_per_cpu(&self) -> u64 {
-        let cpus: i64 = self.tasks.iter().map(|victim| victim.need.cpus).sum();
-        self.loss / cpus.max(1) as u64
-    }
-
-    fn evict(&self, leader: &Leader, snapshot: &mut Snapshot) {
-        for victim in &self.tasks {
-            snapshot.evict(leader, victim);
-        }
-    }
-
-    fn restore(&self, leader: &Leader, snapshot: &mut Snapshot) {
-        for victim in &self.tasks {
-            snapshot.restore(leader, victim);
-        }
-    }
-}
-
-/// What is lost if a task is stopped.
-fn loss_of(leader: &Leader, snapshot: &Snapshot, victim: &Victim) -> u64 {
-    let machine = &snapshot.candidates[victim.at].id;
-    let ran = (leader.fleet.machines.get(machine))
-        .and_then(|machine| {
-            machine
-                .tasks
-                .iter()
-                .find(|placed| placed.task == victim.task)
-        })
-        .and_then(|placed| placed.running_since)
-        .map_or(Span(0), |since| snapshot.now.time - since);
-    let job = leader.jobs.get(&victim.task.job);
-    eviction_loss(job.map(|job| &*job.spec), ran, &victim.need)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/scheduling/actions/victims.rs
+++ b/crates/core/src/scheduling/actions/victims.rs
@@ -42,7 +42,7 @@
 }
 
 /// A task that may be evicted, and what that would cost.
-struct Candidate {
+struct PossibleVictim {
     victim: Victim,
     loss: u64,
     is_nearly_done: bool,
@@ -50,7 +50,7 @@
     priority: Priority,
 }
 
-impl Candidate {
+impl PossibleVictim {
     fn new(at: usize, placed: &PlacedTask, job: &Job, now: Time) -> Self {
         let ran = placed.running_since.map_or(Span(0), |since| now - since);
         let can_save = job.spec.checkpoint_s > 0.0;
@@ -94,30 +94,41 @@
     at: usize,
     policy: &EvictionPolicy,
 ) -> Option<VictimSet> {
-    let candidate = &snapshot.candidates[at];
-    let machine = leader.fleet.machines.get(&candidate.id)?;
+    let machine = leader.fleet.machines.get(&snapshot.candidates[at].id)?;
     if !machine.capacity.holds(&job.need) {
         return None;
     }
-    let mut possible = evictable_tasks(leader, snapshot, machine, at, policy.min_runtime);
-    possible.retain(|option| option.is_worth_stopping_for(leader, job));
-    possible.sort_by_key(|option| option.loss);
-    let mut free = candidate.free;
+    let mut options = evictable_tasks(leader, snapshot, machine, at, policy.min_runtime);
+    options.retain(|option| option.is_worth_stopping_for(leader, job));
+    options.sort_by_key(|option| option.loss);
+    choose_victims(leader, snapshot, job, at, policy, options)
+}
+
+/// Chooses of possible victims, in their order, until a task of a job fits. Each team is judged by all that it would
+/// give, not task by task.
+fn choose_victims(
+    leader: &Leader,
+    snapshot: &Snapshot,
+    job: &Job,
+    at: usize,
+    policy: &EvictionPolicy,
+    options: Vec<PossibleVictim>,
+) -> Option<VictimSet> {
+    let basis = snapshot.quota.reclaim_basis(job);
+    let mut free = snapshot.candidates[at].free;
     let mut chosen = VictimSet {
         victims: Vec::new(),
         loss: 0,
     };
-    // Each team is judged by all that it would give, not task by task.
     let mut given: BTreeMap<&Team, Amounts> = BTreeMap::new();
-    for option in possible {
+    for option in options {
         if free.holds(&job.need) {
             break;
         }
         let owner = leader.jobs.get(&option.victim.task.job)?;
         let given_by_team = given.entry(&owner.spec.team).or_insert(NO_AMOUNTS);
         let mut given_with = *given_by_team;
-        let counted = (snapshot.quota.reclaim_basis(job)).counted(&option.victim.need);
-        add_amounts(&mut given_with, &counted);
+        add_amounts(&mut given_with, &basis.counted(&option.victim.need));
         if (policy.allows)(leader, snapshot, job, owner, &given_with) {
             *given_by_team = given_with;
             free += option.victim.need;
@@ -135,13 +146,13 @@
     machine: &Machine,
     at: usize,
     min_runtime: Span,
-) -> Vec<Candidate> {
+) -> Vec<PossibleVictim> {
     (machine.tasks.iter())
         .filter_map(|placed| {
             let job = leader.jobs.get(&placed.task.job)?;
             let is_single = job.spec.kind != Kind::Gang || job.spec.tasks == 1;
             (is_single && is_evictable(snapshot, placed, job, min_runtime))
-                .then(|| Candidate::new(at, placed, job, snapshot.now.time))
+                .then(|| PossibleVictim::new(at, placed, job, snapshot.now.time))
         })
         .collect()
 }
--- a/crates/core/src/scheduling/snapshot/simulation.rs
+++ b/crates/core/src/scheduling/snapshot/simulation.rs
@@ -153,3 +153,6 @@
         zones[zone] = zones[zone].saturating_add_signed(change);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/scheduling/spot_reclaim.rs
+++ b/crates/core/src/scheduling/spot_reclaim.rs
@@ -63,3 +63,6 @@
     let remaining_s = job.spec.estimate_s - (now - since).as_secs();
     Span::secs(remaining_s.max(0.0)) >= left
 }
+
+#[cfg(test)]
+mod tests;
