--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -67,64 +67,101 @@
         .sum()
 }
 
-/// Compared with the slow plain way: what is stopped, if anything, is lent, whole and needed, and
-/// then the gang fits whole into one zone.
-fn check(leader: &Leader, job: &Job) -> bool {
-    let mut snapshot = Snapshot::take(leader, NOW);
-    let share_of = |team: &str| {
-        let team = leader.policy.teams.find(&team.into()).expect("a team");
-        snapshot.team_usage(team).fair_share[0]
-    };
-    let (share_of_red, share_of_blue) = (share_of("red"), share_of("blue"));
-    let mut scenario = Scenario::default();
-    reclaim_gangs(leader, &mut snapshot, &[job], &mut scenario);
-    let nobody = BTreeSet::new();
-    let stopped: BTreeSet<TaskId> = scenario.evictions.iter().map(|e| e.task.clone()).collect();
-    if stopped.is_empty() {
-        assert!(scenario.placements.is_empty());
-        return false;
+/// What was decided for a gang, with what it was decided on.
+struct Outcome<'a> {
+    leader: &'a Leader,
+    gang: &'a Job,
+    /// Fair shares of the two teams, in CPUs, before.
+    share_of_red: f64,
+    share_of_blue: f64,
+    stopped: BTreeSet<TaskId>,
+    placements: Vec<Placement>,
+}
+
+impl<'a> Outcome<'a> {
+    fn of(leader: &'a Leader, gang: &'a Job) -> Self {
+        let mut snapshot = Snapshot::take(leader, NOW);
+        let share_of = |team: &str| {
+            let team = leader.policy.teams.find(&team.into()).expect("a team");
+            snapshot.team_usage(team).fair_share[0]
+        };
+        let (share_of_red, share_of_blue) = (share_of("red"), share_of("blue"));
+        let mut scenario = Scenario::default();
+        reclaim_gangs(leader, &mut snapshot, &[gang], &mut scenario);
+        let evictions = scenario.evictions.into_iter();
+        Self {
+            leader,
+            gang,
+            share_of_red,
+            share_of_blue,
+            stopped: evictions.map(|eviction| eviction.task).collect(),
+            placements: scenario.placements,
+        }
     }
-    assert_eq!(scenario.placements.len() as u32, job.spec.tasks);
-    let zones: BTreeSet<&str> = (scenario.placements.iter())
-        .map(|p| leader.fleet.machines[&p.machine].zone.as_str())
-        .collect();
-    assert_eq!(zones.len(), 1, "one zone");
-    let zone = zones.first().copied().unwrap_or_default();
-    assert!(
-        room_for(leader, job, zone, &stopped) >= job.spec.tasks,
-        "it fits"
-    );
-    assert!(["a", "b"]
-        .iter()
-        .all(|z| room_for(leader, job, z, &nobody) < job.spec.tasks));
-    let mut units: BTreeMap<&JobId, BTreeSet<TaskId>> = BTreeMap::new();
-    for task in &stopped {
-        let victim = &leader.jobs[&task.job];
-        assert_eq!(victim.spec.team, "red".into(), "of another team");
-        units.entry(&task.job).or_default().insert(task.clone());
+
+    /// The gang is placed whole in one zone, which has room for it only now. Returns the zone.
+    fn check_placements(&self) -> &str {
+        let tasks = self.gang.spec.tasks;
+        assert_eq!(self.placements.len() as u32, tasks);
+        let zones: BTreeSet<&str> = (self.placements.iter())
+            .map(|p| self.leader.fleet.machines[&p.machine].zone.as_str())
+            .collect();
+        assert_eq!(zones.len(), 1, "one zone");
+        let zone = zones.first().copied().unwrap_or_default();
+        let room = room_for(self.leader, self.gang, zone, &self.stopped);
+        assert!(room >= tasks, "it fits");
+        let nobody = BTreeSet::new();
+        assert!(["a", "b"]
+            .iter()
+            .all(|z| room_for(self.leader, self.gang, z, &nobody) < tasks));
+        zone
     }
-    for (id, tasks) in &units {
-        assert_eq!(tasks.len() as u32, leader.jobs[*id].spec.tasks, "whole");
-        let others: BTreeSet<TaskId> = stopped.difference(tasks).cloned().collect();
-        assert!(
-            room_for(leader, job, zone, &others) < job.spec.tasks,
-            "{id} is needed"
-        );
+
+    /// All victims are of the other team, whole, and needed.
+    fn check_victims(&self, zone: &str) {
+        let mut groups: BTreeMap<&JobId, BTreeSet<TaskId>> = BTreeMap::new();
+        for task in &self.stopped {
+            let victim = &self.leader.jobs[&task.job];
+            assert_eq!(victim.spec.team, "red".into(), "of another team");
+            groups.entry(&task.job).or_default().insert(task.clone());
+        }
+        for (id, tasks) in &groups {
+            let job = &self.leader.jobs[*id];
+            assert_eq!(tasks.len() as u32, job.spec.tasks, "whole");
+            let others: BTreeSet<TaskId> = self.stopped.difference(tasks).cloned().collect();
+            let room = room_for(self.leader, self.gang, zone, &others);
+            assert!(room < self.gang.spec.tasks, "{id} is needed");
+        }
+    }
+
+    /// The victims' team stays at or above its fair share, and the gang's within its own.
+    fn check_shares(&self) {
+        let capacity = self.leader.policy.capacity_of(&"m4".into()).cpus;
+        let cpus = |milli: i64| milli as f64 * 4.0 / capacity as f64;
+        let red = used(self.leader, "red", &self.stopped);
+        assert!(cpus(red) >= self.share_of_red - 1e-6, "borrowed");
+        let need = self.gang.need.times(self.gang.spec.tasks).cpus;
+        let blue = used(self.leader, "blue", &BTreeSet::new()) + need;
+        assert!(cpus(blue) <= self.share_of_blue + 1e-6, "within its share");
+    }
+}
+
+/// Compared with the slow plain way: what is stopped, if anything, is borrowed, whole and needed, and then the gang fits
+/// whole into one zone. Returns whether anything was stopped.
+fn check(leader: &Leader, gang: &Job) -> bool {
+    let outcome = Outcome::of(leader, gang);
+    if outcome.stopped.is_empty() {
+        assert!(outcome.placements.is_empty());
+        return false;
     }
-    let cpus =
-        |milli: i64| milli as f64 * 4.0 / leader.policy.capacity_of(&"m4".into()).cpus as f64;
-    let need = job.need.times(job.spec.tasks).cpus;
-    assert!(
-        cpus(used(leader, "red", &stopped)) >= share_of_red - 1e-6,
-        "lent"
-    );
-    let mine = used(leader, "blue", &nobody) + need;
-    assert!(cpus(mine) <= share_of_blue + 1e-6, "within its share");
+    let zone = outcome.check_placements();
+    outcome.check_victims(zone);
+    outcome.check_shares();
     true
 }
 
 #[test]
-fn what_is_stopped_for_a_gang_is_lent_whole_and_needed() {
+fn victims_of_a_gang_are_borrowed_whole_and_needed() {
     let mut rng = StdRng::seed_from_u64(32);
     let made = (0..5_000)
         .filter(|_| {
@@ -143,10 +180,10 @@
     jobs.collect()
 }
 
-/// A task is stopped first, then a gang that makes room enough alone: the task goes on. And when
-/// the gang that was stopped waits in its turn, it can't take the room back.
+/// A task is stopped first, then a gang that makes room enough alone: the task is spared. And when the gang that was
+/// stopped waits in its turn, it can't take the room back.
 #[test]
-fn what_is_not_needed_goes_on_and_room_is_not_taken_back() {
+fn unneeded_victims_are_spared_and_room_is_not_reclaimed_back() {
     let mut leader = leader();
     let ids: Vec<MachineId> = (0..8)
         .map(|n| up(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
@@ -156,18 +193,18 @@
         let leaf = leader.policy.teams.find(&team.into()).expect("a team");
         leader.policy.teams.nodes[leaf].quota[0] = quota;
     }
-    // More is lent than is needed: its limit was tightened.
+    // More is borrowed than is needed: the team's limit was tightened.
     let red = leader.policy.teams.find(&"red".into()).expect("a team");
     leader.policy.teams.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
-    let lent = job_of(2, "gang", "red", "normal", 3, 4.0);
+    let borrowing_gang = job_of(2, "gang", "red", "normal", 3, 4.0);
     run(&mut leader, &single(1), 0, &ids[0]);
-    (0..3).for_each(|i| run(&mut leader, &lent, i, &ids[1 + i as usize]));
+    (0..3).for_each(|i| run(&mut leader, &borrowing_gang, i, &ids[1 + i as usize]));
     (4..8).for_each(|i| run(&mut leader, &single(i as u32), 0, &ids[i]));
     let waiting = job_of(99, "gang", "blue", "normal", 3, 4.0);
     leader.jobs.insert(waiting.spec.id.clone(), waiting.clone());
     let stopped = evicted(&leader, &waiting);
-    assert_eq!(stopped, BTreeSet::from([lent.spec.id.clone()]));
+    assert_eq!(stopped, BTreeSet::from([borrowing_gang.spec.id.clone()]));
     for id in &ids[1..4] {
         leader
             .fleet
@@ -177,7 +214,9 @@
             .tasks
             .clear();
     }
-    leader.jobs.insert(lent.spec.id.clone(), lent.clone());
+    leader
+        .jobs
+        .insert(borrowing_gang.spec.id.clone(), borrowing_gang.clone());
     (0..3).for_each(|i| run(&mut leader, &waiting, i, &ids[1 + i as usize]));
-    assert_eq!(evicted(&leader, &lent), BTreeSet::new());
+    assert_eq!(evicted(&leader, &borrowing_gang), BTreeSet::new());
 }
--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -1,11 +1,14 @@
 //! The scheduling cycle: one consistent decision over a snapshot (article: "The scheduling cycle: snapshot,
 //! session, actions, plugins").
 //!
-//! The actions run in an order that differs from the article's in one point: allocation is split. Work that
-//! can't be preempted runs only within quota, which is handed out first, so it is allocated and may reclaim or
-//! preempt before preemptible work is allocated. Arrays and services that are preemptible reclaim only after
-//! that: while a little free room was counted for them too early, it kept them from taking back what their team
-//! had lent.
+//! Steps: withdraw stalled placements, take the snapshot, allocate, reclaim and preempt, consolidate, apply, plan
+//! capacity.
+//!
+//! The order of the actions differs from the article's in two points. Allocation is split: work that can't be preempted
+//! runs only within quota, which is handed out first, so it is allocated and may reclaim or preempt before preemptible
+//! work is allocated. Preemptible arrays and services reclaim only after that. When they did so earlier, a little free
+//! room, which then was reserved or went to others, kept them from taking back what their team had lent. And
+//! consolidation comes last, only if the cycle stops no work.
 
 use super::actions::{self, ImagePreference, Scenario};
 use super::snapshot::Snapshot;
--- a/crates/core/src/teams/fair_share/tests.rs
+++ b/crates/core/src/teams/fair_share/tests.rs
@@ -13,45 +13,45 @@
     }
 }
 
-/// The slow plain model: hands out a crumb at a time, to the sibling that has least of what it
-/// is due, first against quotas and then by priority and weight.
+/// The slow plain model: hands out a small part at a time, to the sibling that has least of what is guaranteed to it,
+/// first against quotas and then by priority and weight.
 fn model(teams: &[(f64, f64, f64, f64, i32)], total: f64) -> Vec<f64> {
-    const CRUMB: f64 = 0.005;
+    const PART: f64 = 0.005;
     let mut given = vec![0.0; teams.len()];
     let mut left = total;
     let quota = |q: f64| if q.is_finite() { q } else { 0.0 };
-    let due: Vec<f64> = teams.iter().map(|t| quota(t.0).min(t.3).min(t.1)).collect();
+    let guaranteed: Vec<f64> = teams.iter().map(|t| quota(t.0).min(t.3).min(t.1)).collect();
     loop {
         let next = (0..teams.len())
-            .filter(|&i| given[i] + CRUMB <= due[i] + 1e-9)
-            .min_by(|&a, &b| (given[a] / due[a]).total_cmp(&(given[b] / due[b])));
+            .filter(|&i| given[i] + PART <= guaranteed[i] + 1e-9)
+            .min_by(|&a, &b| (given[a] / guaranteed[a]).total_cmp(&(given[b] / guaranteed[b])));
         match next {
-            Some(i) if left >= CRUMB => given[i] += CRUMB,
+            Some(i) if left >= PART => given[i] += PART,
             _ => break,
         }
-        left -= CRUMB;
+        left -= PART;
     }
     let first = given.clone();
     let over = |given: &[f64], i: usize| (given[i] - first[i]) / teams[i].2;
-    while left >= CRUMB {
-        let open = |i: &usize| given[*i] + CRUMB <= teams[*i].3.min(teams[*i].1) + 1e-9;
+    while left >= PART {
+        let open = |i: &usize| given[*i] + PART <= teams[*i].3.min(teams[*i].1) + 1e-9;
         let top = (0..teams.len()).filter(open).map(|i| teams[i].4).max();
         let next = (0..teams.len())
             .filter(open)
             .filter(|&i| Some(teams[i].4) == top)
             .min_by(|&a, &b| over(&given, a).total_cmp(&over(&given, b)));
         match next {
-            Some(i) => given[i] += CRUMB,
+            Some(i) => given[i] += PART,
             None => break,
         }
-        left -= CRUMB;
+        left -= PART;
     }
     given
 }
 
 fn team() -> impl Strategy<Value = (f64, f64, f64, f64, i32)> {
     // Quota, limit, weight, request, priority.
-    // A quota of 6 stands for none: a guest.
+    // A quota of 6 stands for none.
     let quota = |q: u32| if q < 6 { f64::from(q) } else { f64::INFINITY };
     (0..7u32, 4..12u32, 1..4u32, 0..12u32, 0..2i32)
         .prop_map(move |(q, l, w, r, p)| (quota(q), f64::from(l), f64::from(w), f64::from(r), p))
@@ -61,7 +61,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(120) })]
 
     #[test]
-    fn shares_agree_with_the_slow_model(
+    fn shares_agree_with_the_plain_model(
         teams in proptest::collection::vec(team(), 1..6),
         total in 0..30u32,
     ) {
@@ -70,8 +70,8 @@
         let mut requested = vec![[0.0; KINDS]];
         requested.extend(teams.iter().map(|t| [t.3; KINDS]));
         let total = f64::from(total);
-        let firm = vec![[0.0; KINDS]; tree.nodes.len()];
-        let shares = fair_shares(&tree, [total; KINDS], &requested, &firm);
+        let non_preemptible = vec![[0.0; KINDS]; tree.nodes.len()];
+        let shares = fair_shares(&tree, [total; KINDS], &requested, &non_preemptible);
         for (i, expected) in model(&teams, total).into_iter().enumerate() {
             let got = shares[i + 1][0];
             prop_assert!((got - expected).abs() < 0.05, "{i}: {got} but {expected}: {teams:?}");
@@ -98,10 +98,10 @@
     assert_eq!(of_cpus, vec![12.0, 8.0, 4.0, 6.0, 2.0]);
 }
 
-/// A guest that asked for much claimed most of the room in phase one, and teams within their
-/// guarantees waited. In a group without a quota of its own, guarantees still hold.
+/// A team without a quota that requested much claimed most of the room in phase one, and teams within their guarantees
+/// waited. In a group without a quota of its own, guarantees still hold.
 #[test]
-fn a_guest_without_a_quota_is_promised_nothing() {
+fn nothing_is_guaranteed_to_a_team_without_a_quota() {
     let mut tree = TeamTree::from_limits(&[]);
     let none = f64::INFINITY;
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
@@ -116,18 +116,18 @@
     assert_eq!(shares(2.0), [8.0, 2.0, 2.0]);
 }
 
-/// Of two teams without a quota one ran replicas on half of the room: its other work had nothing
-/// left of its share, and waited behind all that the other, a guest, could lend.
+/// Of two teams without a quota one ran replicas on half of the room: its other work had nothing left of its share, and
+/// waited behind all that the other borrowed.
 #[test]
-fn what_only_an_unlimited_quota_lets_run_comes_before_what_is_left() {
+fn non_preemptible_work_without_a_quota_comes_before_the_surplus() {
     let mut tree = TeamTree::from_limits(&[]);
     let none = f64::INFINITY;
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
     let want = [[0.0; KINDS], [90.0; KINDS], [90.0; KINDS]];
-    let shares = |firm: f64| {
-        let firm = [[0.0; KINDS], [firm; KINDS], [0.0; KINDS]];
-        let got = fair_shares(&tree, [20.0; KINDS], &want, &firm);
+    let shares = |non_preemptible: f64| {
+        let non_preemptible = [[0.0; KINDS], [non_preemptible; KINDS], [0.0; KINDS]];
+        let got = fair_shares(&tree, [20.0; KINDS], &want, &non_preemptible);
         [got[1][0], got[2][0]]
     };
     assert_eq!(shares(0.0), [10.0, 10.0]);
@@ -135,7 +135,7 @@
     assert_eq!(shares(30.0), [20.0, 0.0]);
 }
 
-/// The design's doubt: where the cloud can't deliver, quotas promise room that is not there.
+/// Where the cloud can't deliver, quotas guarantee room that does not exist.
 #[test]
 fn quotas_that_are_not_backed_are_scaled_down_evenly() {
     let mut tree = TeamTree::from_limits(&[]);
