--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,4 +1,8 @@
-//! The whole of a node's state, and what happens on each input.
+//! The node: routes each input to the part that handles it, and collects what the parts want sent, written and answered.
+//!
+//! [`Node::step`] is the only way in. It takes one input and the time and returns outputs; there is no clock, thread or
+//! socket here. The handlers stand in the modules below, one topic each (`impl Node`): they fetch the parts, call them,
+//! and push what they return. The parts stand in the other folders of the crate and know nothing of the node.
 
 mod administration;
 mod admission;
@@ -25,8 +29,7 @@
 use crate::agents::peer_selection::AgentBalancer;
 use crate::agents::report_forwarding::ReportForwarding;
 use crate::api::cancellation_replication::CancellationReplicator;
-use crate::api::user_requests::TaskProgress;
-use crate::api::user_requests::{RequestOrigin, UserRequests};
+use crate::api::user_requests::{RequestOrigin, TaskProgress, UserRequests};
 use crate::cache::cache_sync::CacheSync;
 use crate::cache::job_cache::JobCache;
 use crate::cloud::calls::CloudCalls;
@@ -50,59 +53,85 @@
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeMap;
 
-/// A node.
+/// Calls a second to the cloud that this node allows itself, as a part of what the cloud takes.
+const CLOUD_CALLS_PART: f64 = 0.9;
+
+/// A node: everything that it knows, in the parts that own it.
 pub struct Node {
-    pub(crate) settings: Settings,
-    pub(crate) tree: TeamTree,
-    pub(crate) platform_tree: TeamTree,
-    pub(crate) admin_settings: Versioned,
-    pub(crate) catalog: Option<Catalog>,
-    pub(crate) job_cache: JobCache,
-    pub(crate) store_calls: StoreCalls<PendingCall>,
-    pub(crate) cloud: CloudCalls,
-    /// How late the cloud's list is.
-    pub(crate) list_lag: Span,
-    pub(crate) election: Election,
-    /// Limits of the state service that every writer keeps to.
-    pub(crate) limits: StoreLimits,
-    /// How many workers the nodes' connections suffice for, if that is known.
-    fleet_limits: Option<FleetLimits>,
-    /// How often costly things are done.
-    pub(crate) processor_share: ProcessorShare,
-    pub(crate) user_requests: UserRequests,
-    pub(crate) cancellations: CancellationReplicator,
-    pub(crate) leader: Option<Leader>,
-    pub(crate) forwarding: ReportForwarding,
-    pub(crate) agent_balancer: AgentBalancer,
-    /// Machines that the leader said it knows.
-    pub(crate) leader_machines: u32,
-    /// Zones that the leader said are cut off, and since when.
-    pub(crate) leader_partitioned_zones: BTreeMap<Zone, Time>,
-    pub(crate) peers: PeerTable,
-    pub(crate) task_progress: BTreeMap<JobId, TaskProgress>,
+    settings: Settings,
+    /// The teams by the platform's settings with the operators' laid over them.
+    tree: TeamTree,
+    /// The teams by the platform's settings alone, which operators' settings are checked against.
+    platform_tree: TeamTree,
+    admin_settings: Versioned,
+    /// Machine types, once they have been read.
+    catalog: Option<Catalog>,
+
+    // The store.
+    store_calls: StoreCalls<PendingCall>,
+    /// Limits of the store that every writer keeps to.
+    limits: StoreLimits,
+    job_cache: JobCache,
     /// Whether the cache is being filled.
     cache_sync: CacheSync,
-    pub(crate) next_heartbeat_at: Time,
-    pub(crate) heartbeats_sent: u64,
+
+    // Leadership and the other nodes.
+    election: Election,
+    /// What this node holds while it leads.
+    leader: Option<Leader>,
     next_reconcile_at: Time,
-    /// Keeps looks and cycles to a part of the time.
+    peers: PeerTable,
+    next_heartbeat_at: Time,
+    heartbeats_sent: u64,
+    /// Machines that the leader said it knows.
+    leader_machines: u32,
+    /// Zones that the leader said are partitioned, and since when.
+    leader_partitioned_zones: BTreeMap<Zone, Time>,
+    /// Tasks of jobs that are done and that run, as the leader counted them.
+    task_progress: BTreeMap<JobId, TaskProgress>,
+
+    // Users and agents.
+    user_requests: UserRequests,
+    cancellations: CancellationReplicator,
+    forwarding: ReportForwarding,
+    /// Which node each agent should report to.
+    agent_balancer: AgentBalancer,
+    /// When any agent last reported to this node.
+    last_report_at: Option<Time>,
+    /// Since when agents have reached other nodes all the time.
+    peers_reached_since: Option<Time>,
+
+    // The cloud.
+    cloud: CloudCalls,
+    /// How late the cloud's list is.
+    list_lag: Span,
+
+    // Overload.
+    /// How many agents the nodes' connections suffice for, if that is known.
+    fleet_limits: Option<FleetLimits>,
+    /// How often costly things are done.
+    processor_share: ProcessorShare,
+    /// Keeps reconcile passes and cycles to a part of the time.
     pacing: Pacing,
     /// Whether this node keeps up.
-    pub(crate) backlog: Backlog,
-    pub(crate) last_report_at: Option<Time>,
-    /// Since when workers have reached other nodes all the time.
-    pub(crate) peers_reached_since: Option<Time>,
-    pub(crate) out: Vec<Output>,
+    backlog: Backlog,
+
+    /// What the present step has to send, write and answer.
+    out: Vec<Output>,
+}
+
+/// A node's place among the names of all nodes.
+fn rank_among_nodes(settings: &Settings) -> u64 {
+    let earlier = |name: &&NodeName| **name < settings.node;
+    let peers = settings.peers.iter().map(|peer| &peer.node);
+    peers.filter(earlier).count() as u64
 }
 
 impl Node {
     /// A node that has just started.
     pub fn new(settings: Settings) -> Self {
         let nodes = settings.params.nodes.max(1) as usize;
-        let mut names: Vec<&NodeName> = settings.peers.iter().map(|p| &p.node).collect();
-        names.push(&settings.node);
-        names.sort();
-        let rank = names.iter().position(|n| **n == settings.node).unwrap_or(0) as u64;
+        let rank = rank_among_nodes(&settings);
         let peers = PeerTable::new(settings.peers.iter().map(|peer| peer.node.clone()));
         let election = Election::new(settings.node.clone(), nodes, rank);
         let cancellations = CancellationReplicator::new(
@@ -121,7 +150,7 @@
             job_cache: JobCache::default(),
             store_calls: StoreCalls::new(store_call_rate(&settings, false)),
             list_lag: Span::secs(settings.params.cloud.list_lag_s),
-            cloud: CloudCalls::new(settings.params.cloud.rps * 0.9),
+            cloud: CloudCalls::new(settings.params.cloud.rps * CLOUD_CALLS_PART),
             election,
             limits: StoreLimits::of(&settings.params.state),
             fleet_limits: FleetLimits::of(&settings),
@@ -178,7 +207,7 @@
             Input::Cloud(id, answer) => self.cloud_answer(id, answer, now),
             Input::Direct(machine, body, outcome) => self.direct(machine, body, outcome, now),
         }
-        // At once, so that nothing of a job is started after its user was told that it is cancelled.
+        // At once, so that nothing of a job is started after its cancellation was acknowledged to its user.
         self.apply_job_changes(now);
         self.send_cancellation_replications(now);
         self.store_calls.send_due(now.time, &mut self.out);
@@ -190,7 +219,7 @@
         self.pacing.current()
     }
 
-    /// Tells how long the step took that has just ended, by the steady clock. Without it looks and cycles
+    /// Tells how long the step took that has just ended, by the steady clock. Without it reconcile passes and cycles
     /// follow one another as if they took no time.
     pub fn step_ended(&mut self, at: Time, took: Span) {
         self.pacing.ended(at, took);
@@ -201,6 +230,7 @@
         self.backlog.record_wait(at, waited);
     }
 
+    /// Does what is due by the time.
     fn tick(&mut self, now: Now) {
         self.begin_cache_sync_if_due(now);
         self.backlog.update_load(now.time);
--- a/crates/core/src/store/limits.rs
+++ b/crates/core/src/store/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service that every writer keeps to.
+//! Limits of the store that every writer keeps to.
 //!
 //! The settings may announce limits that come into force at some later moment without notice. The
 //! smaller of both is used from the start, so that nothing that is written becomes unwritable. If a
@@ -12,14 +12,14 @@
 const KIB: f64 = 1024.0;
 /// Conditions that a transaction may have for each change that it may make, by the protocol.
 const CONDITIONS_PER_OPERATION: usize = 4;
-/// The leader's part of the writes.
-const PLACEMENT_PART: f64 = 0.7;
+/// The part of the writes that the leader may make for placements.
+const PLACEMENT_WRITES_PART: f64 = 0.7;
 /// A transaction needs room for the leader's key and one more.
-const LEAST_OPERATIONS: usize = 2;
+const MIN_OPERATIONS: usize = 2;
 /// Values are never split below this size: the smallest record has to fit.
-const LEAST_VALUE_BYTES: usize = 256;
+const MIN_VALUE_BYTES: usize = 256;
 
-/// Limits of the state service.
+/// Limits of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
     /// Bytes that a value may have as JSON.
@@ -40,7 +40,7 @@
         let operations = next.txn_ops.unwrap_or(state.txn_ops).min(state.txn_ops);
         Self {
             value_bytes: (smaller(state.value_kb, next.value_kb) * KIB) as usize,
-            operations: operations.max(LEAST_OPERATIONS),
+            operations: operations.max(MIN_OPERATIONS),
             requests_per_s: smaller(state.rps, next.rps),
             writes_per_s: smaller(state.write_rps, next.write_rps),
         }
@@ -48,7 +48,7 @@
 
     /// Puts and deletes per second that the leader may make for placements; the rest is for users.
     pub fn placement_writes(&self) -> f64 {
-        self.writes_per_s * PLACEMENT_PART
+        self.writes_per_s * PLACEMENT_WRITES_PART
     }
 
     /// Conditions of a transaction.
@@ -63,8 +63,8 @@
 
     /// A transaction within these limits was rejected: they are lower than was known.
     pub fn halve(&mut self) {
-        self.value_bytes = (self.value_bytes / 2).max(LEAST_VALUE_BYTES);
-        self.operations = (self.operations / 2).max(LEAST_OPERATIONS);
+        self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
+        self.operations = (self.operations / 2).max(MIN_OPERATIONS);
     }
 }
 
--- a/crates/core/src/store/limits/tests.rs
+++ b/crates/core/src/store/limits/tests.rs
@@ -46,6 +46,6 @@
 fn halving_ends_at_what_every_record_needs() {
     let mut limits = limits(None);
     (0..40).for_each(|_| limits.halve());
-    assert_eq!(limits.value_bytes, LEAST_VALUE_BYTES);
-    assert_eq!(limits.operations, LEAST_OPERATIONS);
+    assert_eq!(limits.value_bytes, MIN_VALUE_BYTES);
+    assert_eq!(limits.operations, MIN_OPERATIONS);
 }
--- /dev/null
+++ b/crates/core/src/store/records/jobs.rs
@@ -0,0 +1,182 @@
+//! Jobs' records, also as versions that know no dependencies read and write them.
+
+use crate::store::limits::StoreLimits;
+use crate::units::Wall;
+use rudderreel_wire::ids::{Class, Image, JobId};
+use rudderreel_wire::job::{JobSpec, JobState};
+use serde::{Deserialize, Serialize};
+
+/// A job. The submission is dropped once the job is done, unless some of its tasks may still be somewhere.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "StoredJob", into = "StoredJob")]
+pub struct JobRecord {
+    /// Its state: queued while it is neither done nor cancelled.
+    pub state: JobState,
+    /// When it was submitted.
+    pub submitted: Wall,
+    /// When it was cancelled.
+    pub cancelled: Option<Wall>,
+    /// The dependency whose cancellation cancelled it, if its user did not.
+    pub cancelled_by: Option<JobId>,
+    /// When it was done.
+    pub finished: Option<Wall>,
+    /// How many tasks it has, kept after the submission is dropped.
+    pub tasks: u32,
+    /// Whether its user named jobs that it depends on, also if all of them were done by then.
+    pub names_dependencies: bool,
+    /// What was submitted.
+    pub spec: Option<JobSpec>,
+}
+
+/// A job's state as it is stored.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(untagged)]
+enum StoredState {
+    /// A state that every version knows.
+    Known(JobState),
+    /// Queued, with dependencies.
+    Dependent(DependentState),
+}
+
+/// The state of an unfinished job that depends on others. It is stored as a state of its own so that a version that
+/// knows no dependencies can't read the record: such a version would drop them, start the job before they are done, and
+/// call it queued after they are cancelled. What it can't read it neither starts nor reports to users.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+enum DependentState {
+    #[serde(rename = "dependent")]
+    Queued,
+}
+
+/// A job's record as it is stored.
+#[derive(Serialize, Deserialize)]
+struct StoredJob {
+    state: StoredState,
+    submitted: Wall,
+    #[serde(skip_serializing_if = "Option::is_none", default)]
+    cancelled: Option<Wall>,
+    #[serde(skip_serializing_if = "Option::is_none", default)]
+    cancelled_by: Option<JobId>,
+    #[serde(skip_serializing_if = "Option::is_none", default)]
+    finished: Option<Wall>,
+    #[serde(default)]
+    tasks: u32,
+    #[serde(skip_serializing_if = "std::ops::Not::not", default)]
+    names_dependencies: bool,
+    #[serde(skip_serializing_if = "Option::is_none", default)]
+    spec: Option<JobSpec>,
+}
+
+impl From<JobRecord> for StoredJob {
+    fn from(record: JobRecord) -> Self {
+        let state = if !record.is_final() && record.is_dependent() {
+            StoredState::Dependent(DependentState::Queued)
+        } else {
+            StoredState::Known(record.state)
+        };
+        Self {
+            state,
+            submitted: record.submitted,
+            cancelled: record.cancelled,
+            cancelled_by: record.cancelled_by,
+            finished: record.finished,
+            tasks: record.tasks,
+            names_dependencies: record.names_dependencies,
+            spec: record.spec,
+        }
+    }
+}
+
+impl From<StoredJob> for JobRecord {
+    fn from(stored: StoredJob) -> Self {
+        let state = match stored.state {
+            StoredState::Known(state) => state,
+            StoredState::Dependent(DependentState::Queued) => JobState::Queued,
+        };
+        let mut record = Self {
+            state,
+            submitted: stored.submitted,
+            cancelled: stored.cancelled,
+            cancelled_by: stored.cancelled_by,
+            finished: stored.finished,
+            tasks: stored.tasks,
+            names_dependencies: stored.names_dependencies,
+            spec: stored.spec,
+        };
+        // Records that were written before this was a field of its own.
+        record.names_dependencies |= record.is_dependent();
+        record
+    }
+}
+
+impl JobRecord {
+    /// A job that has just been submitted.
+    pub fn queued(spec: &JobSpec, submitted: Wall) -> Self {
+        Self {
+            state: JobState::Queued,
+            submitted,
+            cancelled: None,
+            cancelled_by: None,
+            finished: None,
+            tasks: spec.tasks,
+            names_dependencies: !spec.dependencies.is_empty(),
+            spec: Some(spec.clone()),
+        }
+    }
+
+    /// The same job, cancelled by its user or with a dependency. If it no longer fits the limits of the store, it is
+    /// stored without the lists and names that only a job which may start needs.
+    pub fn cancelled(&self, at: Wall, by: Option<&JobId>, limits: &StoreLimits) -> Self {
+        let mut record = self.clone();
+        record.state = JobState::Cancelled;
+        record.cancelled = Some(at);
+        record.cancelled_by = by.cloned();
+        if !limits.fits(&record) {
+            if let Some(spec) = &mut record.spec {
+                spec.types = None;
+                spec.dependencies = Vec::new();
+                spec.class = Class::from("");
+                spec.image = Image::from("");
+            }
+        }
+        record
+    }
+
+    /// A job whose tasks are all done.
+    pub fn done(tasks: u32, submitted: Wall, finished: Wall) -> Self {
+        Self {
+            state: JobState::Done,
+            submitted,
+            cancelled: None,
+            cancelled_by: None,
+            finished: Some(finished),
+            tasks,
+            names_dependencies: false,
+            spec: None,
+        }
+    }
+
+    /// The same record with its submission, if that fits. One task of a gang may be done while others may still be on
+    /// machines: a leader elected later has to know whose capacity and limit they use.
+    pub fn with_submission(self, spec: &JobSpec, limits: &StoreLimits) -> Self {
+        let record = Self {
+            spec: Some(spec.clone()),
+            ..self.clone()
+        };
+        if limits.fits(&record) {
+            record
+        } else {
+            self
+        }
+    }
+
+    /// Whether it depends on other jobs, as far as the submission is kept.
+    pub fn is_dependent(&self) -> bool {
+        let spec = self.spec.as_ref();
+        spec.is_some_and(|spec| !spec.dependencies.is_empty())
+    }
+
+    /// Whether its state can't change any more.
+    pub fn is_final(&self) -> bool {
+        matches!(self.state, JobState::Done | JobState::Cancelled)
+    }
+}
--- a/crates/core/src/store/records/tests.rs
+++ b/crates/core/src/store/records/tests.rs
@@ -2,7 +2,12 @@
 //! work on each other's.
 
 use super::*;
+use crate::store::limits::StoreLimits;
+use crate::units::Wall;
+use rudderreel_wire::ids::{Epoch, Image, LeaseId, NodeName};
+use rudderreel_wire::job::{JobSpec, JobState};
 use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
 const LIMITS: StoreLimits = StoreLimits {
