--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -14,46 +14,17 @@
 use super::blame::JobFailure;
 use super::placed_task::{Phase, PlacedTask, TaskChange};
 use super::reasons::RetireReason;
+use super::report_order::{MessageOrder, ReportedTasks};
 use crate::store::records::SegmentId;
 use crate::units::{Resources, Span, Time, Wall};
-use rudderreel_wire::ids::{
-    Attempt, Epoch, Image, Incarnation, MachineId, Seq, TaskId, TypeName, Zone,
-};
-use rudderreel_wire::worker::{Cause, StatusReport, TaskStatus};
+use rudderreel_wire::ids::{Attempt, Epoch, Image, Incarnation, MachineId, TaskId, TypeName, Zone};
+use rudderreel_wire::worker::StatusReport;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 /// Beyond the lease and clock drift, what an answer and a timer may be late by.
 const LEASE_EXPIRY_MARGIN: Span = Span(500);
 
-/// Which of two messages of an agent is the newer one: incarnations first, then sequence numbers.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MessageOrder {
-    /// The incarnation of the agent.
-    pub incarnation: Incarnation,
-    /// The message's number in it.
-    pub seq: Seq,
-}
-
-impl MessageOrder {
-    /// Of a status report.
-    pub fn of(report: &StatusReport) -> Self {
-        Self {
-            incarnation: report.incarnation,
-            seq: report.seq,
-        }
-    }
-}
-
-/// A full list of tasks that an agent reported.
-#[derive(Clone, Debug)]
-pub struct ReportedTasks {
-    /// The message that a later one may refer to instead of repeating the list.
-    pub message: MessageOrder,
-    /// The tasks.
-    pub tasks: Arc<[TaskStatus]>,
-}
-
 /// What a machine is, whatever happens on it.
 #[derive(Clone, Debug)]
 pub struct MachineDescription {
@@ -263,19 +234,6 @@
         }
     }
 
-    /// Keeps the list of tasks of the newest report, for later reports that refer to it.
-    pub fn remember_reported_tasks(&mut self, report: &StatusReport) {
-        let message = MessageOrder::of(report);
-        let is_same_list = self.reported_tasks.message.incarnation == report.incarnation
-            && *self.reported_tasks.tasks == *report.tasks;
-        if message == self.last_message && !is_same_list {
-            self.reported_tasks = ReportedTasks {
-                message,
-                tasks: report.tasks.as_slice().into(),
-            };
-        }
-    }
-
     /// Its agent has acknowledged an epoch: starts that were sent under older ones are refused from now on.
     pub fn epoch_acknowledged(&mut self, epoch: Epoch) {
         for task in &mut self.tasks {
@@ -313,44 +271,6 @@
         now > last_renewal + lease.with_drift() + LEASE_EXPIRY_MARGIN
     }
 
-    /// Whether a segment names it, committed or not.
-    pub fn is_named_in_log(&self) -> bool {
-        self.segment != SegmentId::NONE || self.pending_segment != SegmentId::NONE
-    }
-
-    /// A segment of the placement log is committed. Returns whether it records any task for the first time.
-    pub fn segment_committed(&mut self, segment: SegmentId) -> bool {
-        if self.pending_segment == segment {
-            (self.segment, self.pending_segment) = (segment, SegmentId::NONE);
-        }
-        let mut first_recorded = false;
-        for task in (self.tasks.iter_mut()).filter(|t| t.pending_segment == segment) {
-            first_recorded |= !task.is_recorded();
-            (task.segment, task.pending_segment) = (segment, SegmentId::NONE);
-        }
-        first_recorded
-    }
-
-    /// A segment of the placement log will never be written: what it names waits for another one.
-    pub fn segment_rejected(&mut self, segment: SegmentId) {
-        if self.pending_segment == segment {
-            self.pending_segment = SegmentId::NONE;
-        }
-        for task in (self.tasks.iter_mut()).filter(|t| t.pending_segment == segment) {
-            task.pending_segment = SegmentId::NONE;
-        }
-    }
-
-    /// Lets the agent forget completed tasks, of those that `is_recorded` says are recorded as done: only now
-    /// nobody needs its reports of them any more.
-    pub fn mark_recorded_outcomes(&mut self, is_recorded: impl Fn(&TaskId) -> bool) {
-        for task in self.tasks.iter_mut().filter(|t| !t.outcome_recorded) {
-            if task.phase == Phase::Exited(Cause::Done) {
-                task.outcome_recorded = is_recorded(&task.task);
-            }
-        }
-    }
-
     /// Takes away all tasks, since everything on it is surely gone. Returns those that took up capacity.
     pub fn take_tasks(&mut self) -> Vec<(TaskId, Attempt)> {
         let gone = self.tasks.drain(..).filter(PlacedTask::occupies_capacity);
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 use crate::fleet::StartSent;
-use rudderreel_wire::worker::TaskState;
+use rudderreel_wire::ids::Seq;
+use rudderreel_wire::worker::{Cause, TaskState, TaskStatus};
 
 const EPOCH: Epoch = Epoch(5);
 const NOW: Time = Time(1_000_000);
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -14,12 +14,15 @@
 pub mod machine;
 pub mod placed_task;
 pub mod reasons;
+mod recording;
+pub mod report_order;
 pub mod zone_partitions;
 
 pub use self::direct_calls::{AgentReachability, DirectCallBudget};
-pub use self::machine::{Machine, MachineDescription, MessageOrder};
+pub use self::machine::{Machine, MachineDescription};
 pub use self::placed_task::{Phase, PlacedTask, StartSent, Stop, TaskChange, TaskExit};
 pub use self::reasons::{RetireReason, StopReason};
+pub use self::report_order::MessageOrder;
 pub use self::zone_partitions::ZonePartitions;
 
 use crate::overload::fleet_limits::FleetLimits;
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -30,7 +30,6 @@
 use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, Version};
 use rudderreel_wire::job::{JobSpec, Kind, Priority};
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -46,19 +45,6 @@
     Finished,
 }
 
-/// Where a job stands among waiting jobs: the least first.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct QueueOrder {
-    /// The highest priority first.
-    priority: Reverse<Priority>,
-    /// Overdue jobs come before the rest.
-    in_time: bool,
-    /// When an overdue job became ready; the work that is left of another one.
-    rank: u64,
-    submitted: Wall,
-    id: JobId,
-}
-
 /// The urgency of a job, for its own sake and for that of the jobs that need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveUrgency {
@@ -171,34 +157,6 @@
         self.spec.kind != Kind::Service && self.done.len() >= self.spec.tasks
     }
 
-    /// Where it stands among waiting jobs: by priority, then those that are overdue, then by the work that is left,
-    /// the least first. Users count jobs that are done in time, and in a rush one large job costs many small ones
-    /// their time, but not the other way round. Without the second rule a large job would never begin while small
-    /// ones keep coming.
-    pub fn queue_order(&self, overdue: bool) -> QueueOrder {
-        let tasks_left = f64::from(self.spec.tasks.saturating_sub(self.done.len()));
-        let work_left_ms = (tasks_left * self.spec.estimate_s.max(0.0) * 1000.0) as u64;
-        QueueOrder {
-            priority: Reverse(self.urgency.priority),
-            in_time: !overdue,
-            rank: if overdue {
-                self.waiting_since().0
-            } else {
-                work_left_ms
-            },
-            submitted: self.submitted,
-            id: self.spec.id.clone(),
-        }
-    }
-
-    /// Whether it has waited for its first start for longer than `patience`.
-    pub fn is_overdue(&self, now: Wall, patience: Span) -> bool {
-        !self.has_started
-            && !self.is_suspected()
-            && self.placements.is_empty()
-            && now.0 > self.waiting_since().0 + patience.0
-    }
-
     /// How many unplaced tasks may be started.
     pub fn startable_tasks(&self) -> u32 {
         if !self.is_ready() {
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -13,4 +13,5 @@
 pub mod failures;
 pub mod job;
 pub mod job_table;
+pub mod queue_order;
 pub mod readiness;
--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -22,22 +22,22 @@
 //! **In and out.** [`PlacementLog::due_commits`] decides what to commit now, [`PlacementLog::commit_answered`]
 //! what an answer means. The log calls nobody: the node sends the transactions and hands the answers back.
 
+mod commit;
 mod compaction;
 mod segment;
 mod write_budget;
 
-use self::segment::{JobProgress, PendingSegment};
+pub(crate) use self::commit::{is_carried_out, CommitResult, SegmentCommit};
+
+use self::commit::UncommittedSegment;
+use self::segment::PendingSegment;
 use self::write_budget::WriteBudget;
 use crate::fleet::Fleet;
-use crate::io::{StoreAnswer, Value};
 use crate::jobs::job_table::JobTable;
 use crate::leadership::term::Term;
 use crate::store::limits::StoreLimits;
-use crate::store::records::{segment_key, SegmentId, SegmentRecord};
-use crate::store::transactions::{condition, put};
+use crate::store::records::SegmentId;
 use crate::units::{Span, Time};
-use rudderreel_wire::ids::{MachineId, TaskId, Version};
-use rudderreel_wire::state::{Change, Transaction};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often the progress of jobs is recorded, and segments are compacted.
@@ -46,8 +46,6 @@
 const MAX_OPEN_COMMITS: usize = 3;
 /// Dead segments that are deleted along with a new segment.
 const MAX_DELETES_WITH_SEGMENT: usize = 4;
-/// A commit that the store refused is retried after this long.
-const SEGMENT_RETRY_INTERVAL: Span = Span(200);
 
 /// The placement log of a leader.
 pub struct PlacementLog {
@@ -78,60 +76,6 @@
     pub(crate) writes_per_s: f64,
 }
 
-/// A transaction of the log, and the segment that identifies its answer.
-pub(crate) struct SegmentCommit {
-    /// The segment that the transaction writes, or whose id was used up for deletes alone.
-    pub(crate) segment: SegmentId,
-    /// What to commit.
-    pub(crate) transaction: Transaction<Value>,
-}
-
-/// What the answer to a segment's commit means.
-pub(crate) enum CommitResult {
-    /// The segment is committed: the machines have tasks that may be started from now on.
-    Committed(Vec<MachineId>),
-    /// The store will never take it. What it names is recorded again on smaller segments.
-    Rejected,
-    /// Not carried out, or not known to be: it is retried.
-    WillRetry,
-    /// No commit of this segment is open.
-    NotOpen,
-}
-
-/// A segment whose commit has not been answered yet.
-struct UncommittedSegment {
-    record: SegmentRecord,
-    progress: Vec<JobProgress>,
-    /// Segments that the same transaction deletes.
-    deletes: Vec<SegmentId>,
-    /// When it must be sent again; none while an answer is awaited.
-    retry_at: Option<Time>,
-}
-
-impl UncommittedSegment {
-    /// Whether the commit deletes segments without writing one.
-    fn is_deletion_only(&self) -> bool {
-        self.record == SegmentRecord::default()
-    }
-
-    fn transaction(&self, segment: SegmentId, term: &Term) -> Transaction<Value> {
-        let mut conditions = vec![term.key_condition()];
-        let mut changes: Vec<Change<Value>> = (self.deletes.iter())
-            .map(|deleted| Change::Delete {
-                key: segment_key(*deleted),
-            })
-            .collect();
-        if !self.is_deletion_only() {
-            conditions.push(condition(segment_key(segment), Version(0)));
-            changes.push(put(segment_key(segment), &self.record));
-        }
-        Transaction {
-            conditions,
-            changes,
-        }
-    }
-}
-
 impl Default for PlacementLog {
     fn default() -> Self {
         Self {
@@ -256,114 +200,6 @@
         }
         self.dead.drain(..count).collect()
     }
-
-    fn open_commit(
-        &mut self,
-        pending: PendingSegment,
-        deletes: Vec<SegmentId>,
-        term: &Term,
-    ) -> SegmentCommit {
-        let segment = pending.id();
-        let (record, progress) = pending.into_contents();
-        let uncommitted = UncommittedSegment {
-            record,
-            progress,
-            deletes,
-            retry_at: None,
-        };
-        let transaction = uncommitted.transaction(segment, term);
-        self.uncommitted.insert(segment, uncommitted);
-        SegmentCommit {
-            segment,
-            transaction,
-        }
-    }
-
-    /// Applies the answer to a segment's commit.
-    pub(crate) fn commit_answered(
-        &mut self,
-        segment: SegmentId,
-        answer: &StoreAnswer,
-        fleet: &mut Fleet,
-        jobs: &mut JobTable,
-        now: Time,
-    ) -> CommitResult {
-        if matches!(answer, StoreAnswer::Rejected) {
-            self.segment_rejected(segment, fleet, jobs);
-            return CommitResult::Rejected;
-        }
-        if !is_carried_out(segment, answer) {
-            if let Some(uncommitted) = self.uncommitted.get_mut(&segment) {
-                uncommitted.retry_at = Some(now + SEGMENT_RETRY_INTERVAL);
-            }
-            return CommitResult::WillRetry;
-        }
-        match self.uncommitted.remove(&segment) {
-            Some(committed) => {
-                CommitResult::Committed(self.segment_committed(segment, committed, fleet, jobs))
-            }
-            None => CommitResult::NotOpen,
-        }
-    }
-
-    /// A segment was not written and never will be: what it names waits to be recorded again.
-    fn segment_rejected(&mut self, segment: SegmentId, fleet: &mut Fleet, jobs: &mut JobTable) {
-        let Some(rejected) = self.uncommitted.remove(&segment) else {
-            return;
-        };
-        self.may_have_unrecorded = true;
-        for machine in fleet.machines.values_mut() {
-            machine.segment_rejected(segment);
-        }
-        for progress in rejected.progress {
-            if let Some(job) = jobs.get_mut(&progress.job) {
-                job.has_unrecorded_progress = true;
-            }
-        }
-        let segments = &self.segments;
-        self.dead.retain(|dead| segments.contains(dead));
-    }
-
-    /// Returns the machines with tasks that were recorded for the first time.
-    fn segment_committed(
-        &mut self,
-        segment: SegmentId,
-        committed: UncommittedSegment,
-        fleet: &mut Fleet,
-        jobs: &mut JobTable,
-    ) -> Vec<MachineId> {
-        for deleted in &committed.deletes {
-            self.segments.remove(deleted);
-        }
-        (self.dead).retain(|dead| !committed.deletes.contains(dead));
-        let mut startable = Vec::new();
-        if committed.is_deletion_only() {
-            return startable;
-        }
-        self.segments.insert(segment);
-        for machine in fleet.machines.values_mut() {
-            if machine.segment_committed(segment) {
-                startable.push(machine.id.clone());
-            }
-            let is_recorded = |task: &TaskId| committed.progress.iter().any(|p| p.includes(task));
-            machine.mark_recorded_outcomes(is_recorded);
-        }
-        for progress in committed.progress {
-            if let Some(job) = jobs.get_mut(&progress.job) {
-                job.segment = job.segment.max(segment);
-            }
-        }
-        startable
-    }
-}
-
-/// Whether an answer shows that a segment's commit was carried out, now or by an earlier try.
-pub(crate) fn is_carried_out(segment: SegmentId, answer: &StoreAnswer) -> bool {
-    match answer {
-        StoreAnswer::Committed(_) => true,
-        StoreAnswer::Conflict(keys) => keys.contains(&segment_key(segment)),
-        _ => false,
-    }
 }
 
 #[cfg(test)]
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -1,9 +1,11 @@
 use super::*;
 use crate::fleet::PlacedTask;
+use crate::io::StoreAnswer;
 use crate::leader::Leader;
+use crate::store::records::SegmentRecord;
 use crate::testing::{job_of, leader, up, NOW};
 use proptest::prelude::*;
-use rudderreel_wire::ids::Attempt;
+use rudderreel_wire::ids::{Attempt, MachineId, Version};
 
 /// A leader whose machines have entries of many jobs that wait to be recorded.
 fn leader_with_work(machines: u32, jobs: u32, tasks: u32) -> Leader {
