--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -48,7 +48,7 @@
 
 /// Broken jobs quarantined every machine of a small fleet, and nobody else's work could start.
 #[test]
-fn broken_jobs_take_no_machines_from_others() {
+fn broken_jobs_quarantine_no_machines() {
     let mut leader = fleet(&[1, 2]);
     for at in 0..20 {
         let machine = format!("vm-{}", at % 5);
@@ -67,9 +67,9 @@
     assert!(broken.retry_at >= now(21).time + Span(32_000));
 }
 
-/// A faulty machine is told from sound jobs, which are soon tried elsewhere.
+/// The machine is blamed, not the sound jobs that failed on it, which are soon tried elsewhere.
 #[test]
-fn a_faulty_machine_is_found_and_kept_away_from() {
+fn a_faulty_machine_is_quarantined() {
     let mut leader = fleet(&[1, 2, 3]);
     for n in 1..4 {
         fail(&mut leader, n, "vm-0", u64::from(n));
@@ -83,7 +83,7 @@
     assert!(!job.failures.avoids_machine(&"vm-1".into(), now(4).time));
 }
 
-/// Faulty machines may deceive us; the first success clears the job, and a service whose replicas
+/// Faulty machines may mislead the leader; the first success clears the job, and a service whose replicas
 /// run elsewhere is never suspected.
 #[test]
 fn a_success_clears_a_job() {
@@ -109,7 +109,7 @@
     /// machines of five meet, broken jobs end up suspected, sound ones done, and sound machines in
     /// use, with a bounded number of failures.
     #[test]
-    fn the_guilty_pay(
+    fn faults_are_attributed_in_whatever_order_jobs_and_machines_meet(
         broken in prop::collection::vec(any::<bool>(), 6),
         faulty in prop::collection::btree_set(0usize..5, 0..3),
         order in prop::collection::vec((0usize..6, 0usize..5), 400),
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The answer to such a commit.
-    pub(crate) fn cascaded(
+    /// The answer to a commit of cascade cancellations.
+    pub(crate) fn cascade_commit_answered(
         &mut self,
         jobs: Vec<(JobId, JobRecord)>,
         answer: StoreAnswer,
--- a/crates/core/src/node/direct_calls.rs
+++ b/crates/core/src/node/direct_calls.rs
@@ -10,7 +10,7 @@
 
 impl Node {
     /// An agent's status report: the leader answers it, another node forwards it or says where to report.
-    pub(crate) fn report(&mut self, req: ReqId, report: StatusReport, now: Now) {
+    pub(crate) fn status_report_received(&mut self, req: ReqId, report: StatusReport, now: Now) {
         self.last_report_at = Some(now.time);
         if self.leader.is_some() {
             self.answer_report_as_leader(req, &report, now);
@@ -91,7 +91,7 @@
     }
 
     /// The outcome of a direct call.
-    pub(crate) fn direct(
+    pub(crate) fn direct_call_ended(
         &mut self,
         id: MachineId,
         body: DirectCommands,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -187,12 +187,14 @@
             Input::ForwardedRequest(req, request, sender) => {
                 self.forwarded(req, request, sender, now)
             }
-            Input::StatusReport(req, report) => self.report(req, *report, now),
+            Input::StatusReport(req, report) => self.status_report_received(req, *report, now),
             Input::Health(req) => self.health(req, now),
             Input::Admin(req, request, local) => self.admin(req, request, local, now),
             Input::Heartbeat(req, heartbeat) => self.heartbeat(req, heartbeat, now),
             Input::HeartbeatReply(sent, reply) => self.heartbeat_reply(sent, reply, now),
-            Input::ForwardedReports(req, reports) => self.reports(req, reports, now),
+            Input::ForwardedReports(req, reports) => {
+                self.forwarded_reports_received(req, reports, now)
+            }
             Input::ForwardedReportsReply(call, reply) => {
                 self.forwarded_reports_answered(call, reply, now)
             }
@@ -205,7 +207,9 @@
             Input::Watched(revision, events) => self.watch_events_received(revision, events, now),
             Input::WatchLost => self.watch_lost(),
             Input::Cloud(id, answer) => self.cloud_answer(id, answer, now),
-            Input::Direct(machine, body, outcome) => self.direct(machine, body, outcome, now),
+            Input::Direct(machine, body, outcome) => {
+                self.direct_call_ended(machine, body, outcome, now)
+            }
         }
         // At once, so that nothing of a job is started after its cancellation was acknowledged to its user.
         self.apply_job_changes(now);
--- a/crates/core/src/node/pending_call.rs
+++ b/crates/core/src/node/pending_call.rs
@@ -116,7 +116,7 @@
             }
             LeaderCall::StoreCatalog => {}
             LeaderCall::CloseVersionGate => self.version_gate_answered(answer, now),
-            LeaderCall::CommitCascade(jobs) => self.cascaded(jobs, answer, now),
+            LeaderCall::CommitCascade(jobs) => self.cascade_commit_answered(jobs, answer, now),
         }
     }
 
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -158,7 +158,12 @@
     }
 
     /// At the leader: reports that a peer forwards.
-    pub(crate) fn reports(&mut self, req: ReqId, forwarded: ForwardedReports, now: Now) {
+    pub(crate) fn forwarded_reports_received(
+        &mut self,
+        req: ReqId,
+        forwarded: ForwardedReports,
+        now: Now,
+    ) {
         let reply = self.answer_forwarded(forwarded, now);
         self.out.push(Output::AnswerForwardedReports(req, reply));
     }
