--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -70,7 +70,7 @@
         let threads = |per: usize, least: usize| (sockets / per).clamp(least, MAX_THREADS_PER_POOL);
         Self {
             connections,
-            queued_reports: connections.workers.max(MIN_QUEUED_REPORTS),
+            queued_reports: connections.agents.max(MIN_QUEUED_REPORTS),
             queued_calls: connections.peers.max(MIN_QUEUED_CALLS),
             command_threads: threads(SOCKETS_PER_COMMAND_THREAD, MIN_COMMAND_THREADS),
             probe_threads: threads(SOCKETS_PER_PROBE_THREAD, MIN_PROBE_THREADS),
--- a/crates/controller/src/process_limits/tests.rs
+++ b/crates/controller/src/process_limits/tests.rs
@@ -5,14 +5,14 @@
 #[test]
 fn limits_follow_from_the_sockets() {
     let small = ProcessLimits::of(1_200, None);
-    assert_eq!(small.connections.workers, 675);
+    assert_eq!(small.connections.agents, 675);
     assert_eq!(
         (small.queued_reports, small.queued_calls),
         (MIN_QUEUED_REPORTS, MIN_QUEUED_CALLS)
     );
     for machines in [4_000, 6_000] {
         let limits = ProcessLimits::of(2 * machines, None);
-        assert!(limits.connections.workers >= machines, "{limits:?}");
+        assert!(limits.connections.agents >= machines, "{limits:?}");
         assert!(limits.queued_reports >= machines, "{limits:?}");
         // All threads together stay far below what a process may have.
         let threads = limits.command_threads + limits.probe_threads;
--- a/crates/controller/src/servers/mod.rs
+++ b/crates/controller/src/servers/mod.rs
@@ -71,8 +71,8 @@
 pub fn listen(settings: &Settings, limits: &ProcessLimits) -> Result<Servers, StartupError> {
     let connections = &limits.connections;
     let public_limits = ServerLimits {
-        connections: connections.front,
-        agent_connections: connections.workers,
+        connections: connections.public_api,
+        agent_connections: connections.agents,
         body_bytes: MAX_BODY_BYTES,
         buffered_bytes: limits.buffered_bytes,
     };
--- a/crates/core/src/overload/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
     /// At the public API listener: of users, agents and health checks.
-    pub front: usize,
+    pub public_api: usize,
     /// Of these, how many of agents.
-    pub workers: usize,
+    pub agents: usize,
     /// Of peers and administrators.
     pub peers: usize,
 }
@@ -26,10 +26,10 @@
     /// Three quarters of the sockets are for the public API listener, of these three quarters for agents, and an eighth
     /// is for peers. The last eighth is left for this node's own calls.
     pub fn of_sockets(sockets: usize) -> Self {
-        let front = (sockets * 3 / 4).max(MIN_CONNECTIONS);
+        let public_api = (sockets * 3 / 4).max(MIN_CONNECTIONS);
         Self {
-            front,
-            workers: front * 3 / 4,
+            public_api,
+            agents: public_api * 3 / 4,
             peers: (sockets / 8).max(MIN_CONNECTIONS),
         }
     }
@@ -39,9 +39,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetLimits {
     /// To one node alone.
-    pub workers_of_one_node: usize,
+    #[serde(rename = "workers_of_one_node")]
+    pub agents_of_one_node: usize,
     /// To all nodes together.
-    pub workers_of_all_nodes: usize,
+    #[serde(rename = "workers_of_all_nodes")]
+    pub agents_of_all_nodes: usize,
 }
 
 impl FleetLimits {
@@ -49,16 +51,16 @@
     pub fn of(settings: &Settings) -> Option<Self> {
         let limits = settings.params.limits.as_ref()?;
         let sockets = usize::try_from(limits.fd_limit).ok().filter(|n| *n > 0)?;
-        let per_node = ConnectionLimits::of_sockets(sockets).workers;
+        let per_node = ConnectionLimits::of_sockets(sockets).agents;
         Some(Self {
-            workers_of_one_node: per_node,
-            workers_of_all_nodes: per_node * settings.params.nodes.max(1) as usize,
+            agents_of_one_node: per_node,
+            agents_of_all_nodes: per_node * settings.params.nodes.max(1) as usize,
         })
     }
 
     /// How many machines of a fleet find no connection while the others report.
     pub fn beyond(&self, machines: usize) -> usize {
-        machines.saturating_sub(self.workers_of_all_nodes)
+        machines.saturating_sub(self.agents_of_all_nodes)
     }
 }
 
@@ -67,7 +69,7 @@
         write!(
             f,
             "connections for {} workers, {} with all nodes",
-            self.workers_of_one_node, self.workers_of_all_nodes
+            self.agents_of_one_node, self.agents_of_all_nodes
         )
     }
 }
