--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -197,7 +197,7 @@
             if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.return_requested_at = Some(now.time);
                 let reason = machine.retire_reason.map_or("", RetireReason::as_str);
-                log::info!("scale-in requested: machine={id} reason={reason:?}");
+                log::info!("scale-in requested machine={id} reason={reason:?}");
             }
         }
     }
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -119,7 +119,7 @@
 
     fn open_request(&mut self, offer: &InstanceOffer, count: u32, epoch: Epoch) {
         let request = self.next_name(epoch);
-        log::info!("scale-out requested: request={request} count={count} {offer}");
+        log::info!("scale-out requested request={request} count={count} {offer}");
         self.open.push(Rent {
             request,
             machine_type: offer.machine_type.clone(),
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -5,7 +5,8 @@
 //! image, the new start is recorded before the old task is stopped, and only a few are moved in a cycle.
 
 use super::predicates::fits;
-use super::scenario::{Eviction, EvictionReason, Scenario};
+use super::scenario::{Eviction, Scenario};
+use crate::fleet::StopReason;
 use crate::fleet::{Phase, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -84,7 +85,7 @@
         return None;
     }
     for planned in moves.into_iter().take(MAX_MOVES) {
-        let eviction = Eviction::new(&planned.victim, snapshot, EvictionReason::Moved);
+        let eviction = Eviction::new(&planned.victim, snapshot, StopReason::Moved);
         scenario.evictions.push(eviction);
         scenario.placements.extend(planned.statement.commit());
     }
--- a/crates/core/src/scheduling/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -5,10 +5,11 @@
 //! [`reclaim_gang`](super::reclaim_gang).
 
 use super::predicates::is_eligible;
-use super::scenario::{Eviction, EvictionReason, Scenario};
+use super::scenario::{Eviction, Scenario};
 use super::scoring::{best_machine, ImagePreference};
 use super::task_class::TaskClass;
 use super::victims::{victims_on, VictimSet};
+use crate::fleet::StopReason;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::Snapshot;
@@ -29,7 +30,7 @@
 /// Whose work may be stopped, and why.
 pub(super) struct EvictionPolicy {
     /// Why.
-    pub(super) reason: EvictionReason,
+    pub(super) reason: StopReason,
     /// Tasks that were placed more lately are spared.
     pub(super) min_runtime: Span,
     /// Whether work of the second job may be stopped for the first; the amounts are all that the second one's team
--- a/crates/core/src/scheduling/actions/preempt.rs
+++ b/crates/core/src/scheduling/actions/preempt.rs
@@ -2,7 +2,8 @@
 //! never mixed").
 
 use super::evict::{evict_for, EvictionPolicy};
-use super::scenario::{EvictionReason, Scenario};
+use super::scenario::Scenario;
+use crate::fleet::StopReason;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::Snapshot;
@@ -21,7 +22,7 @@
         .filter(|job| Some(job.spec.priority) > lowest)
         .collect();
     let policy = EvictionPolicy {
-        reason: EvictionReason::Preempted,
+        reason: StopReason::Preempted,
         min_runtime: leader.policy.preempt_min_runtime,
         allows: may_preempt,
     };
--- a/crates/core/src/scheduling/actions/reclaim.rs
+++ b/crates/core/src/scheduling/actions/reclaim.rs
@@ -5,7 +5,8 @@
 //! that neither can take the room back from the other.
 
 use super::evict::{evict_for, EvictionPolicy};
-use super::scenario::{EvictionReason, Scenario};
+use super::scenario::Scenario;
+use crate::fleet::StopReason;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::snapshot::Snapshot;
@@ -22,7 +23,7 @@
         return;
     }
     let policy = EvictionPolicy {
-        reason: EvictionReason::Reclaimed,
+        reason: StopReason::Reclaimed,
         min_runtime: leader.policy.reclaim_min_runtime,
         allows: may_reclaim,
     };
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -11,9 +11,10 @@
 mod victim_group;
 
 use super::predicates::{fits, is_eligible};
-use super::scenario::{Eviction, EvictionReason, Scenario};
+use super::scenario::{Eviction, Scenario};
 use super::scoring::{rank_machines, task_slots};
 use super::victims::is_evictable;
+use crate::fleet::StopReason;
 use crate::fleet::{Machine, PlacedTask};
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -108,8 +109,7 @@
             Some(placements) => {
                 let victims = plan.groups.iter().flat_map(|group| &group.tasks);
                 scenario.evictions.extend(
-                    victims
-                        .map(|victim| Eviction::new(victim, snapshot, EvictionReason::Reclaimed)),
+                    victims.map(|victim| Eviction::new(victim, snapshot, StopReason::Reclaimed)),
                 );
                 scenario.placements.extend(placements);
             }
--- a/crates/core/src/scheduling/actions/scenario.rs
+++ b/crates/core/src/scheduling/actions/scenario.rs
@@ -5,27 +5,6 @@
 use crate::scheduling::statement::Placement;
 use rudderreel_wire::ids::{Attempt, MachineId, TaskId};
 
-/// Why a task is evicted; administrators see the text.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EvictionReason {
-    /// Its team borrowed room that another team takes back.
-    Reclaimed,
-    /// Work of higher priority in its team needs its room.
-    Preempted,
-    /// It is moved so that its machine can be returned.
-    Moved,
-}
-
-impl EvictionReason {
-    fn stop_reason(self) -> StopReason {
-        match self {
-            Self::Reclaimed => StopReason::Reclaimed,
-            Self::Preempted => StopReason::Preempted,
-            Self::Moved => StopReason::Moved,
-        }
-    }
-}
-
 /// A task to be stopped.
 #[derive(Clone, Debug)]
 pub struct Eviction {
@@ -35,18 +14,18 @@
     pub attempt: Attempt,
     /// Its machine.
     pub machine: MachineId,
-    /// Why, for people.
+    /// Why.
     pub reason: StopReason,
 }
 
 impl Eviction {
     /// The eviction of a victim.
-    pub(super) fn new(victim: &Victim, snapshot: &Snapshot, reason: EvictionReason) -> Self {
+    pub(super) fn new(victim: &Victim, snapshot: &Snapshot, reason: StopReason) -> Self {
         Self {
             task: victim.task.clone(),
             attempt: victim.attempt,
             machine: snapshot.candidates[victim.at].id.clone(),
-            reason: reason.stop_reason(),
+            reason,
         }
     }
 }
--- a/crates/core/src/scheduling/machine_lifecycle.rs
+++ b/crates/core/src/scheduling/machine_lifecycle.rs
@@ -21,7 +21,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         for id in expired {
-            log::info!("lease expired: machine={id}");
+            log::info!("lease expired machine={id}");
             self.clear_machine(&id, now);
         }
     }
--- a/crates/core/src/scheduling/placements.rs
+++ b/crates/core/src/scheduling/placements.rs
@@ -49,7 +49,7 @@
             }
             if let Some(machine) = self.fleet.machines.get_mut(&placement.machine) {
                 log::debug!(
-                    "placed: task={} attempt={attempt} machine={}",
+                    "task placed task={} attempt={attempt} machine={}",
                     placement.task,
                     machine.id
                 );
@@ -64,7 +64,7 @@
     pub(super) fn apply_evictions(&mut self, evictions: Vec<Eviction>, now: Time) {
         for eviction in evictions {
             log::debug!(
-                "evicted: task={} attempt={} machine={} reason={}",
+                "task evicted task={} attempt={} machine={} reason={}",
                 eviction.task,
                 eviction.attempt,
                 eviction.machine,
