--- a/crates/core/src/agents/forwarded_reports.rs
+++ b/crates/core/src/agents/forwarded_reports.rs
@@ -62,7 +62,7 @@
     /// A report with the list of tasks of an earlier message, if that is the last list that this leader has applied.
     fn report_with_list(&self, id: &MachineId, list: MessageOrder) -> Option<StatusReport> {
         let machine = self.fleet.machines.get(id)?;
-        if machine.reported_tasks.message != list || !self.recovery.is_complete {
+        if machine.reported_tasks.message != list || !self.recovery.is_complete() {
             return None;
         }
         Some(StatusReport {
--- a/crates/core/src/agents/reconciliation.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -40,7 +40,7 @@
         }
         self.reconcile_report(report, now);
         let machine = match self.fleet.machines.get_mut(&report.machine) {
-            Some(machine) if self.recovery.is_complete => machine,
+            Some(machine) if self.recovery.is_complete() => machine,
             _ => return Some(job_cache.stops_for_cancelled_tasks(report)),
         };
         machine.last_answered_at = Some(now.time);
@@ -66,8 +66,8 @@
         if self.fleet.is_returned(&report.machine) {
             return;
         }
-        if !self.recovery.is_complete {
-            return self.keep_early_report(report);
+        if !self.recovery.is_complete() {
+            return self.recovery.hold_report(report);
         }
         let epoch = self.term.epoch();
         let machine = self.machine_of_report(report, now);
@@ -88,16 +88,6 @@
         }
     }
 
-    /// Keeps the newest report of an agent until the state is recovered.
-    fn keep_early_report(&mut self, report: &StatusReport) {
-        let reports = &mut self.recovery.early_reports;
-        let is_newer = (reports.get(&report.machine))
-            .is_none_or(|kept| MessageOrder::of(kept) < MessageOrder::of(report));
-        if is_newer {
-            reports.insert(report.machine.clone(), report.clone());
-        }
-    }
-
     /// The machine that a report is of. One that was not known is added.
     fn machine_of_report(&mut self, report: &StatusReport, now: Now) -> &mut Machine {
         if !self.fleet.machines.contains_key(&report.machine) {
--- a/crates/core/src/api/cancellation_replication/acknowledgement.rs
+++ b/crates/core/src/api/cancellation_replication/acknowledgement.rs
@@ -35,7 +35,7 @@
     pub(super) fn is_surely_without_tasks(&self, id: &JobId) -> bool {
         let is_without_tasks = |job: &Job| !job.is_active() && job.placements.is_empty();
         self.leader.is_some_and(|leader| {
-            leader.recovery.is_complete
+            leader.recovery.is_complete()
                 && leader.term.is_lease_valid(self.now.time)
                 && leader.jobs.get(id).is_none_or(is_without_tasks)
         })
--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -83,7 +83,7 @@
         let Some(job) = self.jobs.get(&placed.task.job) else {
             return Err(StartRefusal::UnknownJob);
         };
-        let is_leading = self.recovery.is_complete && self.term.is_lease_valid(now);
+        let is_leading = self.recovery.is_complete() && self.term.is_lease_valid(now);
         let is_done = job.done.contains(placed.task.index);
         let may_be_elsewhere = job.may_be_elsewhere(placed.task.index, &machine.id, placed.attempt);
         let is_reconciled = machine.is_reconciled(self.term.epoch())
--- a/crates/core/src/dispatch/start_check/tests.rs
+++ b/crates/core/src/dispatch/start_check/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::fleet::{Phase, Stop, StopReason};
+use crate::leader::recovery_progress::RecoveryProgress;
 use crate::store::records::SegmentId;
 use crate::testing::{job, leader, run, up, NOW};
 use crate::units::Span;
@@ -41,7 +42,7 @@
         check(&leader, &id)
     };
     assert_eq!(
-        refusal(|leader, _| leader.recovery.is_complete = false),
+        refusal(|leader, _| leader.recovery = RecoveryProgress::default()),
         Err(StartRefusal::NotLeading)
     );
     assert_eq!(
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -101,7 +101,7 @@
     /// How many machines there are, for the other nodes: as long as that is not recovered, as if there were
     /// many, so that not all agents come here at once.
     pub fn fleet_size(&self) -> u32 {
-        if self.recovery.is_complete {
+        if self.recovery.is_complete() {
             self.fleet.machines.len() as u32
         } else {
             u32::MAX
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::dispatch::team_usage::TeamUsage;
+use crate::leader::recovery_progress::RecoveryProgress;
 use crate::node::completions::completed_record;
 use crate::testing::{job, leader, running, NOW};
 use crate::units::Resources;
@@ -7,33 +8,33 @@
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::worker::Command;
 
-/// A new leader tried every task of a broken array again; now the log tells it. A later page that
-/// does not name the job as suspected clears it.
+/// A new leader tried every task of a broken array again; now the log names it. A later segment
+/// that does not name the job as suspected clears it.
 #[test]
 fn a_new_leader_knows_suspected_jobs() {
     let mut leader = leader();
     let job = job(1, "sweep", "red", "normal");
     let id = job.spec.id.clone();
     leader.jobs.insert(id.clone(), job);
-    let page = |tries: &[u32]| SegmentRecord {
+    let segment = |tries: &[u32]| SegmentRecord {
         done: vec![(id.clone(), Vec::new())],
         suspected: tries.iter().map(|n| (id.clone(), *n)).collect(),
         ..SegmentRecord::default()
     };
-    leader.recover_segment(SegmentId(1), page(&[4]), NOW);
+    leader.recover_segment(SegmentId(1), segment(&[4]), NOW);
     assert_eq!(leader.jobs[&id].startable_tasks(), 1);
-    leader.recover_segment(SegmentId(2), page(&[]), NOW);
+    leader.recover_segment(SegmentId(2), segment(&[]), NOW);
     assert_eq!(leader.jobs[&id].startable_tasks(), 4);
-    leader.recover_segment(SegmentId(1), page(&[4]), NOW);
+    leader.recover_segment(SegmentId(1), segment(&[4]), NOW);
     assert!(
         !leader.jobs[&id].is_suspected(),
-        "an older page says nothing"
+        "an older segment says nothing"
     );
 }
 
 /// A new leader reads that a task may be on a machine whose job it does not have among those that go on:
 /// it is done, or its record can't be read. The task was passed over, so until the machine reported
-/// nobody accounted for it: the machine counted as empty, and the page that named it was deleted.
+/// nobody accounted for it: the machine counted as empty, and the segment that named it was deleted.
 #[test]
 fn a_task_of_a_job_that_is_not_known_is_accounted_for_until_it_is_surely_gone() {
     let mut leader = leader();
@@ -84,10 +85,10 @@
     assert_eq!(left, [1]);
 }
 
-/// Of a gang whose first task has said that it is done others may still hold room. The leader that heard
-/// of it counted them for their team's limit; one that took over did not know whose they were.
+/// Of a gang whose first task has said that it is done others may still hold room. The leader that got
+/// the report counted them for their team's limit; one that was elected later did not know whose they were.
 #[test]
-fn what_is_left_of_a_job_that_is_done_counts_after_a_take_over() {
+fn what_is_left_of_a_job_that_is_done_counts_after_a_failover() {
     let mut before = leader();
     let machine = crate::testing::up(&mut before, "vm-1", "a");
     let gang = job(1, "gang", "red", "normal");
@@ -98,7 +99,7 @@
     let done = completed_record(&before.jobs[&id], &before.store_limits, NOW);
     assert_eq!(done.state, JobState::Done);
     let mut after = leader();
-    after.recovery.is_complete = false;
+    after.recovery = RecoveryProgress::default();
     after.update_job(&id, Version(2), &done);
     let line = crate::store::records::SegmentMachine {
         id: machine.clone(),
@@ -113,7 +114,7 @@
         ..SegmentRecord::default()
     };
     after.recover_segment(SegmentId(1), record, NOW);
-    after.recovery.is_complete = true;
+    after.recovery.complete();
     let team = after.policy.teams.find(&gang.spec.team).expect("a team");
     assert_eq!(
         TeamUsage::default().by_team_node(&after)[team],
--- a/crates/core/src/leader/recovery_progress.rs
+++ b/crates/core/src/leader/recovery_progress.rs
@@ -3,6 +3,7 @@
 //! Jobs are read before the segments of the placement log, which refer to them. Until both have been read nothing is
 //! decided; status reports that come before are held, the newest of each machine.
 
+use crate::fleet::MessageOrder;
 use crate::store::records::{JOB_PREFIX, SEGMENT_PREFIX};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::MachineId;
@@ -76,15 +77,29 @@
 /// What a new leader has read so far.
 #[derive(Default)]
 pub struct RecoveryProgress {
-    /// Whether all state has been read. Before that nothing is decided.
-    pub is_complete: bool,
+    is_complete: bool,
     /// A page that has to be asked for again, and when.
     retry: Option<(Time, RecoveryPage)>,
-    /// Newest status reports that came before that, by machine.
-    pub early_reports: BTreeMap<MachineId, StatusReport>,
+    /// The newest status report of each machine that came so far.
+    held_reports: BTreeMap<MachineId, StatusReport>,
 }
 
 impl RecoveryProgress {
+    /// Whether all state has been read. Before that nothing is decided.
+    pub fn is_complete(&self) -> bool {
+        self.is_complete
+    }
+
+    /// Holds a status report until all state has been read, unless a newer one of its machine is held.
+    pub fn hold_report(&mut self, report: &StatusReport) {
+        let is_newer = (self.held_reports.get(&report.machine))
+            .is_none_or(|held| MessageOrder::of(held) < MessageOrder::of(report));
+        if is_newer {
+            self.held_reports
+                .insert(report.machine.clone(), report.clone());
+        }
+    }
+
     /// A page could not be read. It is asked for again, but not at once, or an outage would be filled with such calls.
     pub fn retry_later(&mut self, page: RecoveryPage, now: Time) {
         self.retry = Some((now + PAGE_RETRY_INTERVAL, page));
@@ -99,7 +114,7 @@
     /// All state has been read; returns the status reports that were held.
     pub fn complete(&mut self) -> Vec<StatusReport> {
         self.is_complete = true;
-        std::mem::take(&mut self.early_reports)
+        std::mem::take(&mut self.held_reports)
             .into_values()
             .collect()
     }
--- a/crates/core/src/leader/recovery_progress/tests.rs
+++ b/crates/core/src/leader/recovery_progress/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::testing::running;
+use rudderreel_wire::ids::{Attempt, Epoch, JobId, Seq};
 
 const NOW: Time = Time(1_000_000);
 
@@ -29,3 +31,20 @@
     assert_eq!(progress.take_due_retry(due), Some(RecoveryPage::first()));
     assert_eq!(progress.take_due_retry(due), None);
 }
+
+#[test]
+fn the_newest_report_of_a_machine_is_held_until_all_is_read() {
+    let job: JobId = "wk-1".parse().expect("an id");
+    let report = |seq: u64| {
+        let machine = MachineId::from("vm-1");
+        running(&machine, Epoch(1), Seq(seq), &job.task(0), Attempt(1))
+    };
+    let mut progress = RecoveryProgress::default();
+    for seq in [1, 3, 2] {
+        progress.hold_report(&report(seq));
+    }
+    assert!(!progress.is_complete());
+    let held: Vec<Seq> = progress.complete().iter().map(|r| r.seq).collect();
+    assert_eq!(held, [Seq(3)]);
+    assert!(progress.is_complete());
+}
--- a/crates/core/src/node/leader_tick.rs
+++ b/crates/core/src/node/leader_tick.rs
@@ -32,7 +32,8 @@
     }
 
     fn is_reconcile_pass_due(&mut self, now: Time) -> bool {
-        let is_recovered = (self.leader.as_ref()).is_some_and(|leader| leader.recovery.is_complete);
+        let is_recovered =
+            (self.leader.as_ref()).is_some_and(|leader| leader.recovery.is_complete());
         let is_behind = self.backlog.is_behind(now);
         is_recovered && now >= self.next_reconcile_at && self.pacing.may_reconcile(now, is_behind)
     }
@@ -82,7 +83,7 @@
     /// leader's key may be changing, which every write depends on.
     pub(crate) fn flush_leader_commits(&mut self, now: Now) {
         let may_commit = (self.leader.as_ref()).is_some_and(|leader| {
-            leader.recovery.is_complete
+            leader.recovery.is_complete()
                 && leader.term.is_lease_valid(now.time)
                 && !leader.term.is_bumping_epoch()
         });
--- a/crates/core/src/scheduling/job_records.rs
+++ b/crates/core/src/scheduling/job_records.rs
@@ -43,7 +43,7 @@
         record: &JobRecord,
         stage: JobStage,
     ) {
-        if self.recovery.is_complete || self.jobs.contains(id) {
+        if self.recovery.is_complete() || self.jobs.contains(id) {
             return;
         }
         if let Some(spec) = &record.spec {
@@ -58,7 +58,7 @@
     pub fn finish_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stage = JobStage::Finished;
-            if job.placements.is_empty() && self.recovery.is_complete {
+            if job.placements.is_empty() && self.recovery.is_complete() {
                 self.jobs.remove(id);
             }
         }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -76,7 +76,7 @@
         version: Version(1),
     };
     let mut leader = Leader::new(&settings, tree, won, NOW.time);
-    leader.recovery.is_complete = true;
+    leader.recovery.complete();
     let catalog = serde_json::json!({"hulls": [{"label": "m4", "vcpus": 4.0, "gpus": 0.0,
         "memoryGb": 16.0, "cacheGb": 50.0, "fetchGbPerS": 1.0, "rate": 1.0,
         "marketPrice": 0.3, "startupS": 40.0, "berths": ["a", "b"]}]});
