--- a/crates/core/src/cache/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -25,7 +25,7 @@
     spec
 }
 
-/// The slow plain way: everything is looked up again each time.
+/// The slow plain way: everything is searched again each time.
 #[derive(Clone, Default)]
 struct Model {
     needs: Vec<Vec<usize>>,
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,4 +1,8 @@
 //! Everything that a node holds while it leads, composed of the parts that own it.
+//!
+//! A [`Leader`] lives for one term: it is made when the node wins an election, recovers the state that earlier leaders
+//! left in the store ([`recovery_progress`], `recovery`), and is dropped when the node steps down. Nothing of it is
+//! kept for a later term.
 
 pub mod policy;
 mod recovery;
@@ -35,7 +39,7 @@
     pub next_cycle: Time,
     /// When replicas may be moved next to empty a machine.
     pub next_consolidation: Time,
-    /// Gangs that room is reserved for.
+    /// Gangs that capacity is reserved for.
     pub gang_reservations: BTreeSet<JobId>,
 }
 
@@ -43,13 +47,13 @@
 pub struct Leader {
     /// Lease, epoch, lease votes and acknowledgements.
     pub term: Term,
-    /// Reading the state back after a failover.
+    /// How far the recovery of the state has come.
     pub recovery: RecoveryProgress,
     /// Machines, and what is known of reaching them.
     pub fleet: Fleet,
-    /// Jobs that are not done.
+    /// Jobs that are not done, or of which something may still be on a machine.
     pub jobs: JobTable,
-    /// What scheduling keeps to.
+    /// What the settings say about scheduling.
     pub policy: SchedulingPolicy,
     /// The deadlines that agents keep.
     pub agent_timings: AgentTimings,
--- a/crates/core/src/leader/policy.rs
+++ b/crates/core/src/leader/policy.rs
@@ -1,4 +1,7 @@
-//! What the platform's settings and the operators say about scheduling.
+//! What the platform's settings and the operators' settings say about scheduling.
+//!
+//! The platform's settings come from the settings file and hold for the life of the process; operators' settings are
+//! laid over them and may change at any time ([`SchedulingPolicy::apply`]).
 
 use crate::teams::team_tree::TeamTree;
 use crate::units::{Resources, Span};
@@ -15,11 +18,12 @@
 const RECLAIM_MIN_RUNTIME: Span = Span(30_000);
 /// How long an idle machine is kept, unless operators say otherwise.
 const IDLE_RETENTION: Span = Span(20_000);
-/// Kinds of service-level objectives in the settings file.
+/// Service-level objectives in the settings file on how soon tasks start.
 const START_OBJECTIVE: &str = "wait";
+/// Service-level objectives in the settings file on how soon jobs are done.
 const COMPLETION_OBJECTIVE: &str = "finished";
 
-/// What scheduling keeps to.
+/// What the settings say about scheduling.
 pub struct SchedulingPolicy {
     /// The teams: quotas, limits, weights and priorities.
     pub teams: TeamTree,
@@ -39,7 +43,7 @@
     pub cycle_period: Span,
     /// How long an idle machine is kept.
     pub idle_retention: Span,
-    /// How much room is kept for urgent arrivals: 1 for the usual, 0 for none.
+    /// How much capacity is kept for urgent arrivals: 1 for the usual, 0 for none.
     pub reserve_factor: f64,
 }
 
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -44,11 +44,13 @@
 //! [`Term::update_old_leaders_fenced_at`]: super::term::Term::update_old_leaders_fenced_at
 
 mod campaign;
+mod commits;
 mod lease_votes;
 mod messages;
+mod renewal;
 mod store_reachability;
 
-pub use campaign::epoch_change;
+pub use commits::epoch_change;
 pub use lease_votes::VoteRequester;
 pub use messages::{
     Claim, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest, ElectionWin, LeaderSlot,
@@ -59,6 +61,7 @@
 use crate::store::records::{LeaderKey, LeaderRecord, StoredLeader};
 use crate::units::{Span, Time};
 use campaign::Campaign;
+use renewal::LeaseRenewal;
 use rudderreel_wire::ids::{Epoch, LeaseId, NodeName};
 use store_reachability::{StoreReachability, STORE_SILENCE_TIMEOUT};
 
@@ -72,20 +75,9 @@
 /// A leader counts an acknowledgement for so long, from the sending of its heartbeat: less than
 /// [`LEADER_SILENCE_TIMEOUT`].
 pub const ACKNOWLEDGEMENT_TTL: Span = Span(1_100);
-/// How often the lease is renewed.
-const LEASE_RENEWAL_INTERVAL: Span = Span(750);
-/// A renewal that failed is repeated after so long.
-const LEASE_RENEWAL_RETRY_INTERVAL: Span = Span(250);
 /// How often a node that does not lead reads the leader's key.
 const LEADER_KEY_POLL_INTERVAL: Span = Span(1_000);
 
-/// The renewals of the lease that this node holds while it leads.
-#[derive(Clone, Copy, Debug, Default)]
-struct LeaseRenewal {
-    next_at: Time,
-    is_open: bool,
-}
-
 /// This node's part in the election.
 pub struct Election {
     node: NodeName,
@@ -208,15 +200,8 @@
     }
 
     fn renew_if_due(&mut self, now: Time, lease: LeaseId) -> Option<ElectionRequest> {
-        if now < self.renewal.next_at || self.renewal.is_open {
-            return None;
-        }
-        self.renewal = LeaseRenewal {
-            next_at: now + LEASE_RENEWAL_INTERVAL,
-            is_open: true,
-        };
-        let call = StoreCall::Renew(lease);
-        Some(ElectionRequest::new(call, ElectionCall::Renew(lease)))
+        let is_due = self.renewal.begin_if_due(now);
+        is_due.then(|| ElectionRequest::new(StoreCall::Renew(lease), ElectionCall::Renew(lease)))
     }
 
     fn poll_leader_key_if_due(
@@ -254,14 +239,14 @@
     }
 
     fn renewal_answered(&mut self, now: Time, answer: StoreAnswer) -> ElectionProgress {
-        self.renewal.is_open = false;
+        self.renewal.end();
         match answer {
             StoreAnswer::Done => ElectionProgress::default(),
             StoreAnswer::Missing | StoreAnswer::NoSuchLease => {
                 ElectionProgress::event(ElectionEvent::Lost)
             }
             _ => {
-                self.renewal.next_at = now + LEASE_RENEWAL_RETRY_INTERVAL;
+                self.renewal.retry(now);
                 ElectionProgress::default()
             }
         }
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -4,15 +4,17 @@
 //! bump the epoch in one commit, the *claim*. A claim of unknown outcome is verified until it is known; until then the
 //! node grants no lease vote, for it may be leading.
 
+use super::commits::{epoch_change, supersede};
+use super::renewal::LeaseRenewal;
 use super::{
     Claim, Election, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest, ElectionWin,
-    LeaderSlot, LEADER_LEASE_TTL, LEASE_RENEWAL_INTERVAL,
+    LeaderSlot, LEADER_LEASE_TTL,
 };
 use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::store::records::{
     EpochRecord, LeaderKey, LeaderRecord, StoredLeader, EPOCH_KEY, LEADER_KEY,
 };
-use crate::store::transactions::{condition, put, put_with_lease};
+use crate::store::transactions::condition;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, Version};
 use rudderreel_wire::state::Transaction;
@@ -245,8 +247,7 @@
     fn win(&mut self, now: Time, claim: Claim, version: Version) -> ElectionProgress {
         self.campaign.state = CampaignState::Idle;
         self.vacant_since = None;
-        self.renewal.is_open = false;
-        self.renewal.next_at = now + LEASE_RENEWAL_INTERVAL;
+        self.renewal = LeaseRenewal::of_new_lease(now);
         self.observe_epoch(claim.epoch, now);
         ElectionProgress::event(ElectionEvent::Won(ElectionWin {
             epoch: claim.epoch,
@@ -273,35 +274,3 @@
 fn read_epoch() -> StoreCall {
     StoreCall::Get(EPOCH_KEY.into())
 }
-
-/// The commit that takes an outdated leader's key off its lease. Its version changes, so no write of that leader is
-/// carried out after it.
-fn supersede(leader: &StoredLeader) -> Transaction<Value> {
-    let tombstone = leader.record.tombstone(Some(leader.record.lease));
-    Transaction {
-        conditions: vec![condition(LEADER_KEY.into(), leader.version)],
-        changes: vec![put(LEADER_KEY.into(), &tombstone)],
-    }
-}
-
-/// The commit that sets the leader's key and the epoch, by which a node wins an election or a leader bumps its epoch.
-pub fn epoch_change(
-    key: LeaderKey,
-    record: &LeaderRecord,
-    key_version: Version,
-    epoch_version: Version,
-) -> Transaction<Value> {
-    let epoch = EpochRecord {
-        epoch: record.epoch,
-    };
-    Transaction {
-        conditions: vec![
-            condition(key.name().into(), key_version),
-            condition(EPOCH_KEY.into(), epoch_version),
-        ],
-        changes: vec![
-            put_with_lease(key.name().into(), record, record.lease),
-            put(EPOCH_KEY.into(), &epoch),
-        ],
-    }
-}
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -3,7 +3,7 @@
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::NodeName;
 
-/// A leader that has led for so long, with one peer that the state service answers or not.
+/// A leader that has led for so long, with one peer that the store answers or not.
 fn node_that_led(led: Span, peer_served: bool) -> (Node, Now) {
     let mut node = node();
     node.leader = Some(leader());
@@ -31,9 +31,9 @@
     }
 }
 
-/// A leader at a third of its speed kept its lease for ten seconds, in which few workers were answered.
+/// A leader at a third of its speed kept its lease for ten seconds, in which few agents were answered.
 #[test]
-fn a_leader_that_stays_far_behind_makes_way() {
+fn a_leader_that_stays_far_behind_transfers_leadership() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
     let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_leader_that_is_behind_for_a_moment_goes_on() {
+fn a_leader_that_is_behind_for_a_moment_keeps_leadership() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
     let now = wait(
         &mut node,
@@ -59,9 +59,9 @@
     assert!(node.leader.is_some());
 }
 
-/// Where all nodes are slow the lead must not go round.
+/// Where all nodes are slow, leadership must not go round.
 #[test]
-fn a_leader_that_has_just_won_goes_on_however_slow_it_is() {
+fn a_leader_that_has_just_won_keeps_leadership_however_slow_it_is() {
     let (mut node, now) = node_that_led(Span(10_000), true);
     let now = wait(&mut node, now, Span(20_000), Span(3_000));
     node.transfer_leadership_if_unfit(now);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_slow_leader_goes_on_where_nobody_could_follow() {
+fn a_slow_leader_keeps_leadership_where_no_peer_could_lead() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, false);
     let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
--- a/crates/core/src/store/records/tests.rs
+++ b/crates/core/src/store/records/tests.rs
@@ -123,7 +123,7 @@
 
 /// Production reads a leader's record of this version, and one of production's says that it is.
 #[test]
-fn leaders_of_either_version_are_told_apart() {
+fn leaders_of_either_version_are_distinguished() {
     let current = LeaderRecord::new(NodeName::from("deckhand-1"), Epoch(41), LeaseId(7));
     let value = serde_json::to_value(&current).expect("JSON");
     assert_eq!(
