--- a/crates/controller/src/input_queues.rs
+++ b/crates/controller/src/input_queues.rs
@@ -94,7 +94,7 @@
     /// The queue for an input.
     fn of(input: &Input) -> Self {
         match input {
-            Input::User(..) | Input::ForwardedRequest(..) | Input::Admin(..) => Self::Users,
+            Input::User(..) | Input::ForwardedRequest { .. } | Input::Admin { .. } => Self::Users,
             Input::StatusReport(..) | Input::ForwardedReports(..) => Self::Reports,
             _ => Self::Control,
         }
--- a/crates/controller/src/outgoing/agents.rs
+++ b/crates/controller/src/outgoing/agents.rs
@@ -44,7 +44,11 @@
             });
             spawn_pool(role, size, core, move |call: AgentCall| {
                 let outcome = call_agent(&client, &call.addr, &call.commands);
-                Some(Input::Direct(call.machine, call.commands, outcome))
+                Some(Input::Direct {
+                    machine: call.machine,
+                    commands: call.commands,
+                    outcome,
+                })
             })
         };
         Ok(Self {
@@ -72,6 +76,10 @@
         };
         let call = queue.try_send(call).err()?.into_inner();
         let outcome = DirectOutcome::NotCalled;
-        Some(Input::Direct(call.machine, call.commands, outcome))
+        Some(Input::Direct {
+            machine: call.machine,
+            commands: call.commands,
+            outcome,
+        })
     }
 }
--- a/crates/controller/src/outgoing/mod.rs
+++ b/crates/controller/src/outgoing/mod.rs
@@ -78,10 +78,12 @@
                 body,
             } => self.agents.send(machine, addr, body),
             Output::Heartbeat(heartbeat) => self.peers.send_heartbeat(&heartbeat),
-            Output::Forward(peer, req, request) => self.peers.forward(&peer, req, request),
-            Output::ForwardReports(peer, id, reports) => {
-                self.peers.forward_reports(&peer, id, reports)
-            }
+            Output::Forward { peer, req, request } => self.peers.forward(&peer, req, request),
+            Output::ForwardReports {
+                peer,
+                call,
+                reports,
+            } => self.peers.forward_reports(&peer, call, reports),
             Output::ReplicateCancellations(peer, cancellations) => {
                 self.peers.replicate_cancellations(peer, cancellations)
             }
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -41,7 +41,11 @@
             spawn_pool(role, size, core, move |(id, call)| {
                 let sent = clock.time();
                 let answer = call_store(&client, addr, &call);
-                Some(Input::State(id, sent, answer))
+                Some(Input::State {
+                    call: id,
+                    sent_at: sent,
+                    answer,
+                })
             })
         };
         Ok(Self {
@@ -58,7 +62,11 @@
             &self.calls
         };
         let is_queued = queue.try_send((id, call)).is_ok();
-        (!is_queued).then_some(Input::State(id, now, StoreAnswer::Refused))
+        (!is_queued).then_some(Input::State {
+            call: id,
+            sent_at: now,
+            answer: StoreAnswer::Refused,
+        })
     }
 }
 
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -52,8 +52,16 @@
         Output::Watch(Version(3)),
         Output::Cloud(id, CloudCall::Catalog),
         direct,
-        Output::ForwardReports("n1".into(), id, reports),
-        Output::Forward("n1".into(), ReqId(5), Forward::Status("wk-1".into())),
+        Output::ForwardReports {
+            peer: "n1".into(),
+            call: id,
+            reports,
+        },
+        Output::Forward {
+            peer: "n1".into(),
+            req: ReqId(5),
+            request: Forward::Status("wk-1".into()),
+        },
         Output::ReplicateCancellations("n1".into(), announcement),
     ]
     .into_iter()
@@ -62,11 +70,22 @@
     assert!(matches!(
         answers.as_slice(),
         [
-            Some(Input::State(CallId(7), _, StoreAnswer::Refused)),
-            Some(Input::State(CallId(7), _, StoreAnswer::Refused)),
+            Some(Input::State {
+                call: CallId(7),
+                answer: StoreAnswer::Refused,
+                ..
+            }),
+            Some(Input::State {
+                call: CallId(7),
+                answer: StoreAnswer::Refused,
+                ..
+            }),
             Some(Input::WatchLost),
             Some(Input::Cloud(CallId(7), CloudAnswer::Refused)),
-            Some(Input::Direct(_, _, DirectOutcome::NotCalled)),
+            Some(Input::Direct {
+                outcome: DirectOutcome::NotCalled,
+                ..
+            }),
             Some(Input::ForwardedReportsReply(CallId(7), None)),
             Some(Input::ForwardReply(ReqId(5), None)),
             Some(Input::ReplicateCancellationsReply(_, None)),
--- a/crates/controller/src/servers/peers.rs
+++ b/crates/controller/src/servers/peers.rs
@@ -8,7 +8,7 @@
 use crate::input_queues::InputQueues;
 use crate::process_usage::Allowance;
 use crate::refusal_counters::RefusalCounters;
-use rudderreel_core::{AdminRequest, Input, ReqId, UserRequest};
+use rudderreel_core::{AdminRequest, Input, ReqId, RequestOrigin, UserRequest};
 use rudderreel_wire::peer::{
     Forward, ForwardedReports, ForwardedSubmission, Heartbeat, ReplicateCancellations,
     SenderVersion,
@@ -110,7 +110,11 @@
         }
     };
     match request {
-        Some(request) => intake.hand_over(Input::Admin(id, request, true)),
+        Some(request) => intake.hand_over(Input::Admin {
+            req: id,
+            request,
+            origin: RequestOrigin::Direct,
+        }),
         None => Some(Response::error(404, "no such path")),
     }
 }
@@ -120,16 +124,28 @@
     // Only of a submission it matters which version the peer has.
     let any = SenderVersion::KnowsDependencies;
     Some(match bitcode::decode::<Forward>(bytes).ok()? {
-        Forward::Admin(path) => Input::Admin(id, AdminRequest::of_path(&path)?, false),
+        Forward::Admin(path) => Input::Admin {
+            req: id,
+            request: AdminRequest::of_path(&path)?,
+            origin: RequestOrigin::Peer,
+        },
         Forward::Submit(text) => {
             let ForwardedSubmission { spec, sender } = ForwardedSubmission::parse(&text)?;
-            Input::ForwardedRequest(id, UserRequest::Submit(Box::new(spec)), sender)
-        }
-        Forward::Status(job) => {
-            Input::ForwardedRequest(id, UserRequest::Status(job.parse().ok()?), any)
-        }
-        Forward::Cancel(job) => {
-            Input::ForwardedRequest(id, UserRequest::Cancel(job.parse().ok()?), any)
+            Input::ForwardedRequest {
+                req: id,
+                request: UserRequest::Submit(Box::new(spec)),
+                sender,
+            }
         }
+        Forward::Status(job) => Input::ForwardedRequest {
+            req: id,
+            request: UserRequest::Status(job.parse().ok()?),
+            sender: any,
+        },
+        Forward::Cancel(job) => Input::ForwardedRequest {
+            req: id,
+            request: UserRequest::Cancel(job.parse().ok()?),
+            sender: any,
+        },
     })
 }
--- a/crates/controller/src/servers/tests.rs
+++ b/crates/controller/src/servers/tests.rs
@@ -83,7 +83,7 @@
     assert_eq!(forward(&Forward::Status("wk-000001".into())), None);
     assert!(matches!(
         waiting[1].try_recv().map(|queued| queued.input),
-        Ok(Input::ForwardedRequest(..))
+        Ok(Input::ForwardedRequest { .. })
     ));
 }
 
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::api::user_requests::RequestOrigin;
+use crate::io::RequestOrigin;
 use crate::io::{ReqId, UserRequest};
 use crate::leader::Leader;
 use crate::store::records::JobRecord;
--- a/crates/core/src/api/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -10,7 +10,7 @@
 
 use crate::api::admission::NewJob;
 use crate::api::read_confirmation::{ConfirmationBatch, ConfirmationQueue};
-use crate::io::{ReqId, UserRequest};
+use crate::io::{ReqId, RequestOrigin, UserRequest};
 use crate::metrics::Latency;
 use crate::store::records::JobRecord;
 use crate::units::{Span, Time};
@@ -28,15 +28,6 @@
 /// Calls for users that may be under way at once at least: more if the state service admits more in their time.
 const MIN_CALL_LIMIT: usize = 400;
 
-/// Where a request has come from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOrigin {
-    /// From its sender.
-    Direct,
-    /// From a peer that could not serve it. It is not forwarded again.
-    Peer,
-}
-
 /// A user's request that has yet to be answered.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -1,9 +1,20 @@
-//! What goes into the core and what comes out of it.
+//! What goes into a node and what comes out of it.
+//!
+//! The core does no input or output itself: [`Node::step`](crate::Node::step) takes one [`Input`] and returns
+//! the [`Output`]s that it causes, in order. The shell around it owns sockets, threads and clocks.
+//!
+//! - Requests of users, administrators, agents and peers come in with a [`ReqId`], and exactly one answer goes
+//!   out with the same id.
+//! - Calls to the state service and the cloud go out with a [`CallId`], and their answers come back with it. A call
+//!   without a usable answer comes back, too, as `Unknown`: it may have been executed, or may yet be. `Refused`
+//!   and `Rejected` say that it was not.
+//! - Messages to peers and direct commands to agents come back with what was sent, or with the peer's name.
 
 mod admin_request;
 
 pub use admin_request::AdminRequest;
 
+use crate::units::Time;
 use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
 use rudderreel_wire::ids::{JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
@@ -25,12 +36,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
+/// Where a request has come from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RequestOrigin {
+    /// From its sender.
+    Direct,
+    /// From a peer that could not serve it. It is not forwarded again.
+    Peer,
+}
+
 /// What a user asks for.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
     /// Accept this job.
     Submit(Box<JobSpec>),
-    /// Tell a job's state.
+    /// Ask for a job's state.
     Status(JobId),
     /// Cancel a job.
     Cancel(JobId),
@@ -114,12 +134,12 @@
     Unknown,
 }
 
-/// How direct commands to a worker ended.
+/// How direct commands to an agent ended.
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
-    /// Executed; the report after them.
+    /// Executed; the status report after them.
     Executed(Box<StatusReport>),
-    /// Nothing executed; the report if it was readable.
+    /// Nothing executed; the status report if it was readable.
     Rejected(Option<Box<StatusReport>>),
     /// No connection was made, so nothing was sent.
     NotSent,
@@ -129,48 +149,76 @@
     Unknown,
 }
 
-/// An input of the core.
+/// An input of a node.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
     /// A user's request.
     User(ReqId, UserRequest),
-    /// A user's request that a peer forwarded, and which version the peer has.
-    ForwardedRequest(ReqId, UserRequest, SenderVersion),
-    /// A worker's report.
+    /// A user's request that a peer forwarded.
+    ForwardedRequest {
+        /// Which request.
+        req: ReqId,
+        /// What is asked.
+        request: UserRequest,
+        /// Which version the peer has.
+        sender: SenderVersion,
+    },
+    /// An agent's status report.
     StatusReport(ReqId, Box<StatusReport>),
     /// A health check.
     Health(ReqId),
-    /// An administrator's request; not local if a peer forwarded it.
-    Admin(ReqId, AdminRequest, bool),
+    /// An administrator's request.
+    Admin {
+        /// Which request.
+        req: ReqId,
+        /// What is asked.
+        request: AdminRequest,
+        /// Whether a peer forwarded it.
+        origin: RequestOrigin,
+    },
     /// A peer's heartbeat.
     Heartbeat(ReqId, Heartbeat),
     /// A peer's answer to a heartbeat sent at the given moment.
-    HeartbeatReply(crate::units::Time, HeartbeatReply),
-    /// Reports that a peer passes on.
+    HeartbeatReply(Time, HeartbeatReply),
+    /// Status reports that a peer forwards.
     ForwardedReports(ReqId, ForwardedReports),
-    /// The leader's answer to reports that were passed on; none if it gave none.
+    /// The leader's answer to forwarded status reports; none if it gave none.
     ForwardedReportsReply(CallId, Option<ForwardedReportsReply>),
-    /// Cancellations that a peer makes known.
+    /// Cancellations that a peer replicates to this node.
     ReplicateCancellations(ReqId, ReplicateCancellations),
-    /// A peer's answer to cancellations made known to it; none if it gave none.
+    /// A peer's answer to cancellations that were replicated to it; none if it gave none.
     ReplicateCancellationsReply(NodeName, Option<ReplicateCancellationsReply>),
     /// A peer's answer to a forwarded request; none if it gave none.
     ForwardReply(ReqId, Option<(u16, String)>),
-    /// The state service's answer to a call sent at the given moment.
-    State(CallId, crate::units::Time, StoreAnswer),
+    /// The state service's answer to a call.
+    State {
+        /// Which call.
+        call: CallId,
+        /// When it was sent.
+        sent_at: Time,
+        /// The answer.
+        answer: StoreAnswer,
+    },
     /// Changes seen by the watch; the next watch starts after the revision.
     Watched(Version, Vec<Event<Value>>),
     /// The watch has lost its place; everything must be read again.
     WatchLost,
     /// The cloud's answer.
     Cloud(CallId, CloudAnswer),
-    /// A worker's answer to direct commands.
-    Direct(MachineId, DirectCommands, DirectOutcome),
+    /// How direct commands to an agent ended.
+    Direct {
+        /// Its machine.
+        machine: MachineId,
+        /// The commands.
+        commands: DirectCommands,
+        /// How they ended.
+        outcome: DirectOutcome,
+    },
 }
 
-/// An output of the core.
+/// An output of a node.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Answer a request with JSON.
@@ -186,21 +234,28 @@
     },
     /// Answer a heartbeat.
     AnswerHeartbeat(ReqId, HeartbeatReply),
-    /// Answer a peer that passed reports on.
+    /// Answer a peer that forwarded status reports.
     AnswerForwardedReports(ReqId, ForwardedReportsReply),
-    /// Answer a peer that made cancellations known.
+    /// Answer a peer that replicated cancellations.
     AnswerReplicateCancellations(ReqId, ReplicateCancellationsReply),
-    /// Make cancellations known to a peer.
+    /// Replicate cancellations to a peer.
     ReplicateCancellations(NodeName, ReplicateCancellations),
-    /// Pass reports on to the leader.
-    ForwardReports(NodeName, CallId, ForwardedReports),
+    /// Forward status reports to the leader.
+    ForwardReports {
+        /// The leader.
+        peer: NodeName,
+        /// By what the answer is matched.
+        call: CallId,
+        /// The reports.
+        reports: ForwardedReports,
+    },
     /// Call the state service.
     State(CallId, StoreCall),
     /// Watch the shared prefix from a revision on.
     Watch(Version),
     /// Call the cloud.
     Cloud(CallId, CloudCall),
-    /// Send commands to a worker.
+    /// Send commands to an agent.
     Direct {
         /// The machine.
         machine: MachineId,
@@ -211,11 +266,18 @@
     },
     /// Send a heartbeat to every peer.
     Heartbeat(Heartbeat),
-    /// Forward a user's request to a peer.
-    Forward(NodeName, ReqId, Forward),
+    /// Forward a user's or administrator's request to a peer.
+    Forward {
+        /// The peer.
+        peer: NodeName,
+        /// By what the answer is matched.
+        req: ReqId,
+        /// What is asked.
+        request: Forward,
+    },
 }
 
-/// A response to a worker: a token and commands, kept here so that tests can read it back.
+/// A body as JSON, with its fields in the order of their declaration.
 pub(crate) fn json<T: serde::Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_else(|_| "{}".into())
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -26,8 +26,8 @@
 pub mod units;
 
 pub use crate::io::{
-    AdminRequest, CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId, StoreAnswer,
-    StoreCall, UserRequest, Value,
+    AdminRequest, CallId, CloudAnswer, CloudCall, DirectOutcome, Input, Output, ReqId,
+    RequestOrigin, StoreAnswer, StoreCall, UserRequest, Value,
 };
 pub use crate::node::Node;
 pub use crate::overload::fleet_limits::{ConnectionLimits, FleetLimits};
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -8,7 +8,7 @@
 use crate::api::admin::teams::TeamsView;
 use crate::api::admin::to_json;
 use crate::api::refusal::Refusal;
-use crate::io::{json, AdminRequest, Output, ReqId, StoreAnswer, StoreCall};
+use crate::io::{json, AdminRequest, Output, ReqId, RequestOrigin, StoreAnswer, StoreCall};
 use crate::leader::Leader;
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
@@ -26,11 +26,17 @@
 
 impl Node {
     /// An administrator's request.
-    pub(crate) fn admin(&mut self, req: ReqId, request: AdminRequest, local: bool, now: Now) {
+    pub(crate) fn admin(
+        &mut self,
+        req: ReqId,
+        request: AdminRequest,
+        origin: RequestOrigin,
+        now: Now,
+    ) {
         match request {
             AdminRequest::Settings => self.answer_settings(req),
             AdminRequest::Replace(new) => self.replace_settings(req, *new, now),
-            AdminRequest::Overview if self.leader.is_none() && local => {
+            AdminRequest::Overview if self.leader.is_none() && origin == RequestOrigin::Direct => {
                 let body = to_json(&self.overview(now));
                 self.answer(req, OK, body);
             }
@@ -39,7 +45,7 @@
                     Ok(body) => self.answer(req, OK, body),
                     Err(refusal) => self.refuse(req, refusal),
                 },
-                None => self.ask_leader(req, &request, local),
+                None => self.ask_leader(req, &request, origin),
             },
         }
     }
@@ -79,12 +85,16 @@
             .may_answer_agents(now.time, store_reachable, self.election.majority())
     }
 
-    fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, local: bool) {
+    fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, origin: RequestOrigin) {
         let leader = self.job_cache.leader().map(|record| record.node.clone());
         match leader {
-            Some(leader) if local && self.peers.contains(&leader) => {
+            Some(leader) if origin == RequestOrigin::Direct && self.peers.contains(&leader) => {
                 let forward = Forward::Admin(request.path());
-                self.out.push(Output::Forward(leader, req, forward));
+                self.out.push(Output::Forward {
+                    peer: leader,
+                    req,
+                    request: forward,
+                });
                 self.user_requests.forwarded_to_leader(req);
             }
             _ => self.refuse(req, Refusal::NoLeader),
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -29,10 +29,11 @@
 use crate::agents::peer_selection::AgentBalancer;
 use crate::agents::report_forwarding::ReportForwarding;
 use crate::api::cancellation_replication::CancellationReplicator;
-use crate::api::user_requests::{RequestOrigin, TaskProgress, UserRequests};
+use crate::api::user_requests::{TaskProgress, UserRequests};
 use crate::cache::cache_sync::CacheSync;
 use crate::cache::job_cache::JobCache;
 use crate::cloud::calls::CloudCalls;
+use crate::io::RequestOrigin;
 use crate::io::{Input, Output};
 use crate::leader::Leader;
 use crate::leadership::election::Election;
@@ -184,12 +185,18 @@
             Input::User(req, request) => {
                 self.user_request_received(req, request, RequestOrigin::Direct, now)
             }
-            Input::ForwardedRequest(req, request, sender) => {
-                self.forwarded(req, request, sender, now)
-            }
+            Input::ForwardedRequest {
+                req,
+                request,
+                sender,
+            } => self.forwarded(req, request, sender, now),
             Input::StatusReport(req, report) => self.status_report_received(req, *report, now),
             Input::Health(req) => self.health(req, now),
-            Input::Admin(req, request, local) => self.admin(req, request, local, now),
+            Input::Admin {
+                req,
+                request,
+                origin,
+            } => self.admin(req, request, origin, now),
             Input::Heartbeat(req, heartbeat) => self.heartbeat(req, heartbeat, now),
             Input::HeartbeatReply(sent, reply) => self.heartbeat_reply(sent, reply, now),
             Input::ForwardedReports(req, reports) => {
@@ -203,13 +210,19 @@
                 self.replication_answered(peer, reply, now)
             }
             Input::ForwardReply(req, answer) => self.forward_answered(req, answer),
-            Input::State(id, sent, answer) => self.store_call_answered(id, sent, answer, now),
+            Input::State {
+                call,
+                sent_at,
+                answer,
+            } => self.store_call_answered(call, sent_at, answer, now),
             Input::Watched(revision, events) => self.watch_events_received(revision, events, now),
             Input::WatchLost => self.watch_lost(),
             Input::Cloud(id, answer) => self.cloud_answer(id, answer, now),
-            Input::Direct(machine, body, outcome) => {
-                self.direct_call_ended(machine, body, outcome, now)
-            }
+            Input::Direct {
+                machine,
+                commands,
+                outcome,
+            } => self.direct_call_ended(machine, commands, outcome, now),
         }
         // At once, so that nothing of a job is started after its cancellation was acknowledged to its user.
         self.apply_job_changes(now);
--- a/crates/core/src/node/read_confirmation/tests.rs
+++ b/crates/core/src/node/read_confirmation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::api::user_requests::RequestOrigin;
+use crate::io::RequestOrigin;
 use crate::io::{Output, ReqId, UserRequest};
 use crate::testing::{settings, NOW};
 use rudderreel_wire::settings::StateLimits;
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -125,7 +125,11 @@
         };
         let (call, reports) = self.forwarding.open_batch(batch);
         let message = ForwardedReports { reports };
-        self.out.push(Output::ForwardReports(leader, call, message));
+        self.out.push(Output::ForwardReports {
+            peer: leader,
+            call,
+            reports: message,
+        });
     }
 
     fn refuse_held(&mut self, reports: Vec<HeldReport>) {
--- a/crates/core/src/node/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -69,7 +69,12 @@
                 break;
             }
             for output in outputs {
-                let Output::ForwardReports(_, call, batch) = output else {
+                let Output::ForwardReports {
+                    call,
+                    reports: batch,
+                    ..
+                } = output
+                else {
                     panic!("{output:?}");
                 };
                 let reports = batch.reports.len();
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -3,8 +3,9 @@
 use crate::api::admission::{put_job, Feasibility};
 use crate::api::read_confirmation::is_final;
 use crate::api::refusal::Refusal;
-use crate::api::user_requests::{PendingRequest, RequestOrigin, UserCall};
+use crate::api::user_requests::{PendingRequest, UserCall};
 use crate::cache::job_cache::KnownJob;
+use crate::io::RequestOrigin;
 use crate::io::{Output, ReqId, StoreAnswer, StoreCall, UserRequest};
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
@@ -237,8 +238,11 @@
         match self.peers.first_served_by_store(now.time).cloned() {
             Some(peer) if request.may_be_forwarded(now.time) => {
                 let id = request.id();
-                self.out
-                    .push(Output::Forward(peer, id, request.to_forward()));
+                self.out.push(Output::Forward {
+                    peer,
+                    req: id,
+                    request: request.to_forward(),
+                });
                 self.user_requests.forwarded_to_peer(id);
             }
             _ => self.refuse(request.id(), Refusal::StoreUnreachable),
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -2,7 +2,7 @@
 //! then the machine types. Also what the gate has this node refuse.
 
 use crate::api::refusal::Refusal;
-use crate::api::user_requests::RequestOrigin;
+use crate::io::RequestOrigin;
 use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
 use crate::leadership::step_down_reason::StepDownReason;
 use crate::leadership::version_gate::{VersionGateStep, KEY_MOVE_RETRY_INTERVAL};
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -268,7 +268,14 @@
                             StoreAnswer::Refused
                         };
                         let at = world.clock_of(0);
-                        outputs.extend(core.step(Input::State(id, at.time, got), at));
+                        outputs.extend(core.step(
+                            Input::State {
+                                call: id,
+                                sent_at: at.time,
+                                answer: got,
+                            },
+                            at,
+                        ));
                     }
                     _ => {}
                 }
--- a/crates/core/tests/sim/user_answers.rs
+++ b/crates/core/tests/sim/user_answers.rs
@@ -83,7 +83,11 @@
 
     fn answer(&mut self, id: CallId, answer: StoreAnswer) {
         let sent = self.world.clock_of(0).time;
-        self.step(Input::State(id, sent, answer));
+        self.step(Input::State {
+            call: id,
+            sent_at: sent,
+            answer,
+        });
     }
 
     fn ask(&mut self, req: u64, request: UserRequest) {
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -49,7 +49,11 @@
         let cut = apart || self.now < self.nodes[node].cut_from_agents_until;
         let deaf = (self.agents.get(&id)).is_some_and(|w| w.unreachable_until > self.now);
         if deaf && !late {
-            let input = Input::Direct(id, body, DirectOutcome::Unknown);
+            let input = Input::Direct {
+                machine: id,
+                commands: body,
+                outcome: DirectOutcome::Unknown,
+            };
             return self.after(800, Event::Input(node, life, input));
         }
         let hung = (self.agents.get(&id)).map_or(0, |w| w.hangs_until);
@@ -57,11 +61,19 @@
             // Carried out when it goes on; the sender has given up by then.
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
             self.after(hung - self.now, held);
-            let input = Input::Direct(id, body, DirectOutcome::Unknown);
+            let input = Input::Direct {
+                machine: id,
+                commands: body,
+                outcome: DirectOutcome::Unknown,
+            };
             return self.after(800, Event::Input(node, life, input));
         }
         let Some(agent) = self.agents.get_mut(&id) else {
-            let input = Input::Direct(id, body, DirectOutcome::Unknown);
+            let input = Input::Direct {
+                machine: id,
+                commands: body,
+                outcome: DirectOutcome::Unknown,
+            };
             return self.after(800, Event::Input(node, life, input));
         };
         if !late
@@ -73,7 +85,11 @@
             let delay = self.rng.random_range(1_000..9_000);
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
             self.after(delay, held);
-            let input = Input::Direct(id, body, DirectOutcome::Unknown);
+            let input = Input::Direct {
+                machine: id,
+                commands: body,
+                outcome: DirectOutcome::Unknown,
+            };
             return self.after(800, Event::Input(node, life, input));
         }
         agent.expire(self.now, self.scenario.lease_s * 1_000);
@@ -93,7 +109,15 @@
         let hop = self.hop();
         self.after(
             hop,
-            Event::Input(node, life, Input::Direct(id, body, outcome)),
+            Event::Input(
+                node,
+                life,
+                Input::Direct {
+                    machine: id,
+                    commands: body,
+                    outcome,
+                },
+            ),
         );
     }
 
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -67,9 +67,9 @@
 fn kind_of(input: &Input) -> &'static str {
     match input {
         Input::Tick => "tick",
-        Input::User(..) | Input::ForwardedRequest(..) => "user",
+        Input::User(..) | Input::ForwardedRequest { .. } => "user",
         Input::StatusReport(..) => "report",
-        Input::Health(..) | Input::Admin(..) => "admin",
+        Input::Health(..) | Input::Admin { .. } => "admin",
         Input::Heartbeat(..) | Input::HeartbeatReply(..) => "heartbeat",
         Input::ForwardedReports(..) => "batch of reports",
         Input::ForwardedReportsReply(..) => "reply to a batch",
@@ -77,10 +77,10 @@
             "announcement"
         }
         Input::ForwardReply(..) => "reply to a user",
-        Input::State(..) => "state service",
+        Input::State { .. } => "state service",
         Input::Watched(..) | Input::WatchLost => "watch",
         Input::Cloud(..) => "cloud",
-        Input::Direct(..) => "direct call",
+        Input::Direct { .. } => "direct call",
     }
 }
 
@@ -89,7 +89,7 @@
     Some(match output {
         Output::Heartbeat(heartbeat) => ("heartbeat", bitcode::encode(heartbeat).len()),
         Output::AnswerHeartbeat(_, reply) => ("heartbeat reply", bitcode::encode(reply).len()),
-        Output::ForwardReports(_, _, reports) => {
+        Output::ForwardReports { reports, .. } => {
             ("batch of reports", bitcode::encode(reports).len())
         }
         Output::AnswerForwardedReports(_, reply) => {
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -53,7 +53,11 @@
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(announcement));
             }
-            Output::ForwardReports(peer, call, reports) => {
+            Output::ForwardReports {
+                peer,
+                call,
+                reports,
+            } => {
                 self.kind("reports", call.0);
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(reports));
@@ -81,7 +85,11 @@
                 self.kind("heartbeat", 0);
                 self.bytes(&bitcode::encode(heartbeat));
             }
-            Output::Forward(peer, req, forward) => {
+            Output::Forward {
+                peer,
+                req,
+                request: forward,
+            } => {
                 self.kind("forward", req.0);
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(forward));
--- a/crates/core/tests/sim/world/mod.rs
+++ b/crates/core/tests/sim/world/mod.rs
@@ -30,7 +30,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_core::units::{Now, Time, Wall};
-use rudderreel_core::AdminRequest;
+use rudderreel_core::{AdminRequest, RequestOrigin};
 use rudderreel_core::{
     CallId, CloudAnswer, DirectOutcome, Input, Node, Output, ReqId, StoreAnswer, UserRequest,
 };
@@ -377,12 +377,26 @@
                     }
                     Forward::Admin(path) => {
                         let request = AdminRequest::of_path(&path).expect("a path");
-                        return self.step(to, Input::Admin(action, request, false));
+                        return self.step(
+                            to,
+                            Input::Admin {
+                                req: action,
+                                request,
+                                origin: RequestOrigin::Peer,
+                            },
+                        );
                     }
                     Forward::Status(id) => (UserRequest::Status(id.parse().expect("an id")), any),
                     Forward::Cancel(id) => (UserRequest::Cancel(id.parse().expect("an id")), any),
                 };
-                self.step(to, Input::ForwardedRequest(action, request, sender));
+                self.step(
+                    to,
+                    Input::ForwardedRequest {
+                        req: action,
+                        request,
+                        sender,
+                    },
+                );
             }
             Event::UserAction(node, id, action) => self.user_asks(node, &id, action),
             Event::StatusReport(id) => self.send_report(&id),
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -85,7 +85,11 @@
                 Output::AnswerForwardedReports(req, reply) => {
                     self.reports_forwarded(node, req, reply)
                 }
-                Output::ForwardReports(peer, id, reports) => {
+                Output::ForwardReports {
+                    peer,
+                    call: id,
+                    reports,
+                } => {
                     let to = self.node_of(&peer);
                     self.after(hop, Event::ForwardReports(node, to, life, id, reports));
                 }
@@ -116,7 +120,11 @@
                         self.after(hop, Event::Heartbeat(node, to, life, heartbeat.clone()));
                     }
                 }
-                Output::Forward(peer, req, forward) => {
+                Output::Forward {
+                    peer,
+                    req,
+                    request: forward,
+                } => {
                     let to = self.node_of(&peer);
                     self.after(hop, Event::Forward(node, to, life, req, forward));
                 }
@@ -142,7 +150,14 @@
     pub fn admin(&mut self, node: usize, request: AdminRequest) -> (u16, Value) {
         self.admin_answer = None;
         let req = self.ask(node, Requester::Admin);
-        self.step(node, Input::Admin(req, request, true));
+        self.step(
+            node,
+            Input::Admin {
+                req,
+                request,
+                origin: RequestOrigin::Direct,
+            },
+        );
         if self.admin_answer.is_none() {
             self.run_until(self.now + 500);
         }
--- a/crates/core/tests/sim/world/old_version.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -38,18 +38,38 @@
 fn read_by_production(input: Input) -> Input {
     match input {
         Input::User(req, request) => Input::User(req, without_dependencies(request)),
-        Input::ForwardedRequest(req, request, sender) => {
-            Input::ForwardedRequest(req, without_dependencies(request), sender)
-        }
-        Input::State(id, sent, StoreAnswer::Found(item)) => {
-            Input::State(id, sent, StoreAnswer::Found(read_item(item)))
-        }
-        Input::State(id, sent, StoreAnswer::Page(mut page)) => {
+        Input::ForwardedRequest {
+            req,
+            request,
+            sender,
+        } => Input::ForwardedRequest {
+            req,
+            request: without_dependencies(request),
+            sender,
+        },
+        Input::State {
+            call: id,
+            sent_at: sent,
+            answer: StoreAnswer::Found(item),
+        } => Input::State {
+            call: id,
+            sent_at: sent,
+            answer: StoreAnswer::Found(read_item(item)),
+        },
+        Input::State {
+            call: id,
+            sent_at: sent,
+            answer: StoreAnswer::Page(mut page),
+        } => {
             page.items = (page.items.into_iter())
                 .filter(|item| is_known(&item.key))
                 .map(read_item)
                 .collect();
-            Input::State(id, sent, StoreAnswer::Page(page))
+            Input::State {
+                call: id,
+                sent_at: sent,
+                answer: StoreAnswer::Page(page),
+            }
         }
         Input::Watched(revision, events) => {
             let events = events.into_iter().filter_map(read_event).collect();
@@ -63,11 +83,19 @@
 fn sent_by_production(output: Output) -> Output {
     match output {
         Output::State(id, call) => Output::State(id, written_by_production(call)),
-        Output::Forward(peer, req, Forward::Submit(text)) => {
+        Output::Forward {
+            peer,
+            req,
+            request: Forward::Submit(text),
+        } => {
             let mut value: Value = serde_json::from_str(&text).expect("JSON");
             let fields = value.as_object_mut().expect("an object");
             fields.remove("awaits");
-            Output::Forward(peer, req, Forward::Submit(value.to_string()))
+            Output::Forward {
+                peer,
+                req,
+                request: Forward::Submit(value.to_string()),
+            }
         }
         other => other,
     }
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -53,7 +53,7 @@
     fn next(&mut self) -> Option<Waiting> {
         let rank = |waiting: &Waiting| match waiting.input {
             Input::Tick => 0,
-            Input::User(..) | Input::ForwardedRequest(..) | Input::Admin(..) => 2,
+            Input::User(..) | Input::ForwardedRequest { .. } | Input::Admin { .. } => 2,
             Input::StatusReport(..) | Input::ForwardedReports(..) => 2,
             _ => 1,
         };
@@ -77,8 +77,8 @@
     match input {
         Input::Tick => 300,
         Input::ForwardedReports(_, batch) => 3_000 + 600 * batch.reports.len() as u64,
-        Input::Direct(..) => 6_000,
-        Input::State(..) | Input::Cloud(..) => 3_500,
+        Input::Direct { .. } => 6_000,
+        Input::State { .. } | Input::Cloud(..) => 3_500,
         Input::ForwardedReportsReply(..) | Input::HeartbeatReply(..) => 1_500,
         _ => 3_000,
     }
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -43,7 +43,11 @@
                 let delay = self.rng.random_range(2_000..12_000);
                 self.after(delay, Event::LateTransaction(call));
             }
-            let input = Input::State(id, sent, StoreAnswer::Unknown);
+            let input = Input::State {
+                call: id,
+                sent_at: sent,
+                answer: StoreAnswer::Unknown,
+            };
             return self.after(1_200, Event::Input(node, life, input));
         } else if self.random_faults && self.rng.random_bool(0.01) {
             // The answer is lost; the call may be carried out, now, later or never.
@@ -53,7 +57,15 @@
             }
             self.after(
                 1_000,
-                Event::Input(node, life, Input::State(id, sent, StoreAnswer::Unknown)),
+                Event::Input(
+                    node,
+                    life,
+                    Input::State {
+                        call: id,
+                        sent_at: sent,
+                        answer: StoreAnswer::Unknown,
+                    },
+                ),
             );
             return;
         } else {
@@ -69,7 +81,15 @@
         }
         self.after(
             hop,
-            Event::Input(node, life, Input::State(id, sent, answer)),
+            Event::Input(
+                node,
+                life,
+                Input::State {
+                    call: id,
+                    sent_at: sent,
+                    answer,
+                },
+            ),
         );
     }
 
