--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings, and what the administration API tells.
+//! Operators' settings, as the administration API shows and takes them.
 
 use crate::ids::{Team, Version};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AdminSettings {
-    /// Seconds between two cycles when nothing calls for one sooner.
+    /// Seconds between two scheduling cycles if nothing requests one sooner.
     pub period_s: f64,
     /// Damps reclaim: at least 1.
     pub reclaim_multiplier: f64,
@@ -18,10 +18,10 @@
     pub preempt_min_runtime_s: f64,
     /// How long an idle machine is kept.
     pub keep_idle_s: f64,
-    /// How much room is kept for urgent arrivals: 1 for the usual, 0 for none.
+    /// How much capacity is reserved for urgent arrivals, as a factor: 0 for none.
     pub reserve_factor: f64,
-    /// With more machines than this, workers report to all nodes, which pass reports on to the
-    /// leader; with fewer, to the leader.
+    /// With more machines than this, agents report to all nodes, which forward their status reports to the leader;
+    /// with fewer, to the leader.
     pub spread_reports_from: f64,
     /// Teams by name. Names that the platform's file does not know are groups of teams.
     pub teams: BTreeMap<Team, TeamSettings>,
@@ -46,10 +46,10 @@
     /// GPUs at most; no more than the platform allows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit_gpus: Option<f64>,
-    /// Its part of what is left, against siblings of the same priority.
+    /// Its weight in the division of what exceeds the quotas, among siblings of the same priority.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// Who gets what is left first.
+    /// The order in which siblings get what is left: the highest first.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<i32>,
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Settings with the version that a change must name.
+/// Settings with their version. A change must name the version that it replaces (compare-and-swap).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
     /// 0 while nothing has been set.
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's interface.
+//! The interface of the cloud: machine types with prices, renting and returning machines, and the list of machines.
 
 use crate::ids::{MachineId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
     pub types: Vec<MachineType>,
 }
 
-/// Types that fetch more slowly are taken to fetch at this rate.
+/// A lower fetch rate counts as this one.
 const LEAST_FETCH_GB_PER_S: f64 = 1e-3;
 
 impl Catalog {
@@ -76,10 +76,10 @@
     }
 }
 
-/// A rental request.
+/// A scale-out request: machines to rent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rent {
-    /// The request's name, never reused.
+    /// The request's id, never reused.
     #[serde(rename = "charter")]
     pub request: String,
     /// Machine type.
@@ -88,7 +88,7 @@
     /// Zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// How many, at most 50.
@@ -125,7 +125,7 @@
 pub struct ListedMachine {
     /// Its name.
     pub id: MachineId,
-    /// Its worker's address.
+    /// Its agent's address.
     #[serde(default)]
     pub addr: Option<String>,
     /// Its type.
@@ -134,7 +134,7 @@
     /// Its zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
-    /// Spot or ordinary.
+    /// Whether it is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// Its state.
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,9 +1,9 @@
-//! Small types for names, tokens and versions.
+//! Small types for names, epochs and versions: what can be mixed up has a type of its own.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// What was wrong with a name.
+/// A text that is no valid id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not a valid {1}")]
 pub struct BadId(pub String, pub &'static str);
@@ -175,11 +175,11 @@
     };
 }
 number_id!(
-    /// Who may give commands at present: the leader's epoch.
+    /// The leader's epoch. It is the fencing token of its commands: an agent ignores those of a lower one.
     Epoch
 );
 number_id!(
-    /// Tells one start of a task from another; the tasks of a gang share it.
+    /// The attempt to run a task, which tells its starts apart. The tasks of a gang share it.
     Attempt
 );
 number_id!(
@@ -191,10 +191,10 @@
     LeaseId
 );
 number_id!(
-    /// A worker's session.
+    /// One run of an agent's process, from its start to its end.
     Incarnation
 );
 number_id!(
-    /// Orders a worker's messages within a session.
+    /// Orders an agent's messages within its incarnation.
     Seq
 );
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,4 +1,4 @@
-//! What users send and receive.
+//! The users' API: submissions, cancellations, questions for a status, and their answers.
 
 use crate::ids::{Class, Image, JobId, Team, TypeName, Zone};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -21,10 +21,10 @@
 /// A job's priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Yields to everything.
+    /// Preempted first.
     #[serde(rename = "low")]
     Low,
-    /// The usual.
+    /// The default.
     #[serde(rename = "normal")]
     Normal,
     /// Before normal work.
@@ -35,7 +35,7 @@
     Production,
 }
 
-/// The field of a submission that names its dependencies.
+/// The field of a submission that names its dependencies. The text is fixed.
 pub const DEPENDENCIES: &str = "awaits";
 
 /// A submitted job.
@@ -43,7 +43,7 @@
 pub struct JobSpec {
     /// The job's id.
     pub id: JobId,
-    /// The class that aims are stated for.
+    /// The class that service-level objectives are stated for.
     #[serde(rename = "reel")]
     pub class: Class,
     /// The team that it counts for.
@@ -90,10 +90,10 @@
     /// The owner's estimate of a task's run time.
     #[serde(rename = "expectedS")]
     pub estimate_s: f64,
-    /// Interval of checkpoints; 0 if the task never saves.
+    /// Interval of checkpoints; 0 if the task takes none.
     #[serde(rename = "snapshotS")]
     pub checkpoint_s: f64,
-    /// Time a task needs to save when it is stopped.
+    /// Time a task needs for its last checkpoint when it is stopped.
     #[serde(rename = "stowS")]
     pub save_s: f64,
     /// When the job should be complete, from its submission.
@@ -151,7 +151,7 @@
     }
 }
 
-/// What a job's user is told of its state.
+/// The state of a job as its user is told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task runs.
@@ -163,12 +163,12 @@
     /// All tasks are done.
     #[serde(rename = "done")]
     Done,
-    /// Withdrawn by its user.
+    /// Cancelled by its user, or with a dependency.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Answer to a submission or a withdrawal.
+/// Answer to a submission or a cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobAnswer {
     /// The job.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,15 +1,18 @@
-//! What the nodes tell one another, in bitcode.
+//! Messages between nodes, in `bitcode`.
+//!
+//! `bitcode` writes no field names: the order and the types of the fields are the format, also for nodes of the
+//! version before, which run beside this one during a rolling upgrade. Fields are never moved or removed.
 
 use crate::ids::{Epoch, Version};
 use crate::job::{JobSpec, DEPENDENCIES};
 use bitcode::{Decode, Encode};
 use serde_json::{json, Value};
 
-/// The largest message between nodes, in bytes. Whoever sends one keeps well below it: reports and
-/// cancellations go in batches, and counts are cut.
+/// The largest message between nodes, in bytes. Senders keep well below it: status reports and
+/// cancellations are sent in batches, and task counts are cut.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Sent to every other node a few times a second.
+/// A heartbeat. It is sent to every other node a few times a second.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Heartbeat {
     /// Who sends it.
@@ -20,27 +23,27 @@
     pub leads: bool,
     /// Whether the state service answers the sender.
     pub store_reachable: bool,
-    /// Whether the sender asks for a word.
+    /// Whether the sender asks for a lease vote.
     pub requests_lease_vote: bool,
     /// Machines that the leader knows.
     pub machines: u32,
-    /// Workers that report to the sender.
+    /// Agents that report to the sender.
     pub workers: u32,
-    /// Whether the sender hears the leader, so that it can pass workers' reports on.
+    /// Whether the sender reaches the leader, so that it can forward agents' status reports.
     pub forwards_reports: bool,
-    /// Milliseconds since a worker last reported to the sender, whatever it was answered.
+    /// Milliseconds since an agent last reported to the sender, whatever it was answered.
     pub worker_silence_ms: u64,
-    /// Zones that the leader takes for cut off, and for how many milliseconds it has heard nothing of
-    /// them: one that follows it could not tell.
+    /// Partitioned zones, and for how many milliseconds the leader has heard nothing of them. A leader that follows it
+    /// could not know that.
     pub partitioned_zones: Vec<(String, u64)>,
-    /// The leader's counts of tasks, for display, now and then.
+    /// The leader's task counts, for display. Not in every heartbeat.
     pub counts: Option<Vec<Count>>,
-    /// Every cancellation committed up to this revision is known to the sender; 0 if it has not read
-    /// the jobs since it started.
+    /// The sender's cancellation watermark: every cancellation committed up to this revision is known to it. 0 if it
+    /// has not read the jobs since it started.
     pub cancellation_watermark: Version,
 }
 
-/// A cancelled job, as one node tells another of it.
+/// A cancellation as it is replicated to another node.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct CancelledJob {
     /// The job.
@@ -55,7 +58,7 @@
     pub tasks: u32,
 }
 
-/// Cancellations that a node makes known to the others before any user is told of them.
+/// Replicates cancellations to a peer before any user is told of them.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateCancellations {
     /// Who sends it.
@@ -66,19 +69,19 @@
     pub cancelled: Vec<CancelledJob>,
 }
 
-/// Answer to an announcement: everything in it is known to this node from now on.
+/// Acknowledges a [`ReplicateCancellations`]: everything in it is known to the answering node from now on.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ReplicateCancellationsReply {
     /// As in a heartbeat.
     pub cancellation_watermark: Version,
 }
 
-/// What a node must know before a word counts for it.
+/// The cancellations that a candidate has to know before a lease vote counts for it.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Catchup {
-    /// With these, every cancellation up to here is known to the node that asked for the word.
+    /// With these, every cancellation up to this revision is known to the candidate.
     pub cancellation_watermark: Version,
-    /// What it lacked.
+    /// The cancellations that it lacked.
     pub cancelled: Vec<CancelledJob>,
 }
 
@@ -102,14 +105,16 @@
     pub epoch: Epoch,
     /// Whether the state service answers this node.
     pub store_reachable: bool,
-    /// The word that lets a leader go on through an outage of the state service: this node gets
-    /// no answer from it, knows of no higher epoch, and will not campaign for a while.
+    /// Whether this node grants a lease vote, by a majority of which a leader goes on through an outage of the state
+    /// service. The node that grants it gets no answer from the state service, knows no higher epoch, and does not
+    /// campaign while the vote is valid.
     pub grants_lease_vote: bool,
-    /// Milliseconds since a worker last reported here, whatever it was answered.
+    /// Milliseconds since an agent last reported to the answering node, whatever it was answered.
     pub worker_silence_ms: u64,
-    /// Every cancellation committed up to this revision is known to this node.
+    /// The answering node's cancellation watermark.
     pub cancellation_watermark: Version,
-    /// With a word, and on the way to one: the cancellations that the asking node lacks.
+    /// In an outage of the state service: the cancellations that the candidate lacks. If they don't fit into one message,
+    /// the vote is granted with a later one.
     pub catchup: Option<Catchup>,
 }
 
@@ -120,7 +125,7 @@
     Submit(String),
     /// A status request.
     Status(String),
-    /// A withdrawal.
+    /// A cancellation.
     Cancel(String),
     /// A path of the administration API that only the leader can answer.
     Admin(String),
@@ -135,17 +140,17 @@
     BeforeDependencies,
 }
 
-/// A submission as one node passes it to another.
+/// A submission as one node forwards it to another.
 #[derive(Clone, Debug)]
 pub struct ForwardedSubmission {
     /// What was submitted.
     pub spec: JobSpec,
-    /// Who passes it on.
+    /// Which version forwarded it.
     pub sender: SenderVersion,
 }
 
 impl ForwardedSubmission {
-    /// The text that passes a submission on. A version that knows no dependencies reads it, too.
+    /// The text by which a submission is forwarded. A version that knows no dependencies reads it, too.
     pub fn text(spec: &JobSpec) -> String {
         let mut value = serde_json::to_value(spec).unwrap_or_default();
         if let Some(fields) = value.as_object_mut() {
@@ -154,7 +159,7 @@
         value.to_string()
     }
 
-    /// The submission that a text passes on; none if it is not one.
+    /// The submission that a text forwards; none if it is not one.
     pub fn parse(text: &str) -> Option<Self> {
         let value: Value = serde_json::from_str(text).ok()?;
         let sender = match value.get(DEPENDENCIES) {
@@ -175,55 +180,55 @@
     pub body: String,
 }
 
-/// Reports that workers sent to a node that does not lead, passed on to the leader.
+/// Status reports that agents sent to a node that does not lead, forwarded to the leader.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ForwardedReports {
     /// The reports.
     pub reports: Vec<ForwardedReport>,
 }
 
-/// A report that is passed on.
+/// A status report that is forwarded.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ForwardedReport {
     /// The machine.
     pub machine: String,
-    /// The worker's session.
+    /// The agent's incarnation.
     pub incarnation: u64,
-    /// Orders messages within the session.
+    /// Orders messages within the incarnation.
     pub seq: u64,
-    /// Highest token the worker has seen.
+    /// Highest fencing token that the agent has seen.
     pub token: u64,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud reclaims the machine.
     pub notice_s: Option<f64>,
-    /// What it lists.
+    /// The tasks that it lists.
     pub tasks: ForwardedTasks,
 }
 
-/// The tasks of a report that is passed on.
+/// The tasks of a status report that is forwarded.
 #[derive(Clone, Debug, Encode, Decode)]
 pub enum ForwardedTasks {
-    /// The same as in the message of this number of the same session, which the leader took in.
+    /// The same as in the message of this number of the same incarnation, which the leader has reconciled.
     SameAs(u64),
-    /// The whole report, as JSON.
+    /// The whole status report, as JSON.
     Whole(String),
 }
 
-/// What the leader says to reports that were passed on.
+/// The leader's answer to forwarded status reports.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct ForwardedReportsReply {
-    /// The token, if the node leads and may answer workers.
+    /// The fencing token, if the node leads and may answer agents.
     pub token: Option<Epoch>,
-    /// By report.
+    /// The answers, in the order of the reports.
     pub answers: Vec<ForwardedAnswer>,
 }
 
-/// What the leader says to one report.
+/// The leader's answer to one status report.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ForwardedAnswer {
-    /// It is answered; the commands, as JSON, if there are any.
+    /// The agent is answered, with these commands as JSON if there are any.
     Answered(Option<String>),
-    /// The whole report is wanted.
+    /// The leader needs the whole status report.
     Whole,
-    /// It must not be answered.
+    /// The agent must not be answered.
     Refused,
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -23,10 +23,10 @@
     /// Its zone.
     #[serde(rename = "domain")]
     pub zone: Zone,
-    /// Where users and workers come.
+    /// The address of the public API listener, for users and agents.
     #[serde(rename = "front")]
     pub listen: SocketAddrV4,
-    /// Where the other nodes and administrators come.
+    /// The address of the peer listener, for other nodes and administrators.
     #[serde(rename = "peer_bind")]
     pub peer_listen: SocketAddrV4,
     /// The other nodes.
@@ -72,10 +72,10 @@
     /// The teams.
     #[serde(default)]
     pub teams: Vec<TeamLimits>,
-    /// The aims, as users state them.
+    /// The service-level objectives, as users state them.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// What workers do.
+    /// The timings of agents.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
@@ -105,7 +105,7 @@
     pub gpus_max: f64,
 }
 
-/// An aim.
+/// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
     /// What is counted.
@@ -121,16 +121,16 @@
     pub share: Option<f64>,
 }
 
-/// What workers do.
+/// The timings of agents.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Interval of reports.
+    /// Interval of status reports.
     pub report_s: f64,
-    /// How long a worker goes on without an answer.
+    /// How long an agent keeps its tasks running without an answer: its lease.
     pub lease_s: f64,
     /// How long a gang's task waits for the others.
     pub gang_wait_s: f64,
-    /// How soon a gang notices a loss.
+    /// How soon the tasks of a gang notice that one of them is lost.
     pub gang_peer_s: f64,
     /// How long the tasks of a cancelled job may remain.
     pub cancel_s: f64,
@@ -192,7 +192,7 @@
     pub fd_limit: u32,
 }
 
-/// No machine has more cores, nor more memory: a larger number is a mistake in its unit.
+/// The largest numbers of cores and memory that are taken for right. A larger one is a mistake in its unit.
 const MOST_CORES: f64 = 4_096.0;
 const MOST_MEMORY_MB: f64 = 16_777_216.0;
 
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,9 +1,10 @@
-//! The state service's interface. `V` is the type of a key's value.
+//! The interface of the state service: a key-value store with revisions, transactions by compare-and-swap, leases
+//! and a watch. `V` is the type of a key's value.
 
 use crate::ids::{LeaseId, Version};
 use serde::{Deserialize, Serialize};
 
-/// A condition of a transaction.
+/// A condition of a transaction: the version that a key must have.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
@@ -25,7 +26,7 @@
         /// Its value.
         #[serde(rename = "data")]
         value: V,
-        /// The lease it hangs on.
+        /// The lease with which the key is deleted, if any.
         #[serde(rename = "mooring", skip_serializing_if = "Option::is_none", default)]
         lease: Option<LeaseId>,
     },
@@ -37,13 +38,13 @@
     },
 }
 
-/// A transaction.
+/// A transaction: its changes are carried out together if all its conditions hold, and otherwise none is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction<V> {
-    /// All must hold.
+    /// The conditions.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// Carried out together.
+    /// The changes.
     #[serde(
         rename = "apply",
         skip_serializing_if = "Vec::is_empty",
@@ -74,7 +75,7 @@
     /// Its version.
     #[serde(rename = "stamp")]
     pub version: Version,
-    /// The lease it hangs on.
+    /// The lease with which the key is deleted, if any.
     #[serde(rename = "mooring", skip_serializing_if = "Option::is_none", default)]
     pub lease: Option<LeaseId>,
 }
@@ -123,7 +124,7 @@
 /// What a watch returns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Events<V> {
-    /// Where to go on.
+    /// The revision after which the next watch starts.
     #[serde(rename = "logline")]
     pub revision: Version,
     /// The changes.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,12 +1,16 @@
-//! Reports of workers and commands for them.
+//! Status reports of agents, and commands for them.
+//!
+//! An agent is the process on a machine that runs its tasks. It sends status reports, whose answers carry commands,
+//! and takes commands directly at its own address. Each command carries the leader's fencing token; the agent refuses
+//! those of a token lower than the highest that it has seen.
 
 use crate::ids::{Attempt, Epoch, Incarnation, MachineId, NodeName, Seq, TaskId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 
-/// Where a task stands on its machine.
+/// The state of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Its image is fetched.
     #[serde(rename = "pulling")]
     Fetching,
     /// Waits for the rest of its gang.
@@ -15,7 +19,7 @@
     /// Runs.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// It has a command to stop and takes its last checkpoint.
     #[serde(rename = "saving")]
     Saving,
     /// Ended.
@@ -52,7 +56,7 @@
     Unknown,
 }
 
-/// One task in a report.
+/// A task in a status report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
     /// The task.
@@ -61,7 +65,7 @@
     /// Its attempt.
     #[serde(rename = "launch")]
     pub attempt: Attempt,
-    /// Where it stands.
+    /// Its state.
     #[serde(rename = "bearing")]
     pub state: TaskState,
     /// Why it ended, when it has.
@@ -72,13 +76,13 @@
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// An agent's status report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReport {
     /// The machine.
     #[serde(rename = "deck")]
     pub machine: MachineId,
-    /// Where its worker takes commands.
+    /// Where its agent takes commands.
     pub addr: String,
     /// Its type.
     #[serde(rename = "hull")]
@@ -86,19 +90,19 @@
     /// Its zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The worker's session.
+    /// The agent's incarnation.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
-    /// Orders messages within the session.
+    /// Orders messages within the incarnation.
     #[serde(rename = "tally")]
     pub seq: Seq,
-    /// Highest token the worker has seen.
+    /// Highest fencing token that the agent has seen.
     #[serde(rename = "helm", default)]
     pub token: Epoch,
-    /// Seconds until the cloud takes the machine away.
+    /// Seconds until the cloud reclaims the machine.
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
@@ -106,7 +110,7 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command for a worker.
+/// A command for an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum Command {
@@ -129,11 +133,11 @@
         /// Its attempt.
         #[serde(rename = "launch")]
         attempt: Attempt,
-        /// Time to save.
+        /// Time for the last checkpoint.
         #[serde(rename = "slackS")]
         grace_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Remove an exited task from the status reports.
     #[serde(rename = "reap")]
     Forget {
         /// The task.
@@ -145,10 +149,10 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a status report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReportReply {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "helm")]
     pub token: Epoch,
     /// What to do.
@@ -156,7 +160,7 @@
     pub commands: Vec<Command>,
 }
 
-/// The answer of a node that is not entitled.
+/// The answer of a node that sends the agent to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportRedirect {
     /// Where to report instead.
@@ -164,13 +168,13 @@
     pub report_to: Option<NodeName>,
 }
 
-/// Commands sent to a worker's own address.
+/// Commands sent to an agent's own address.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// The leader's token.
+    /// The leader's fencing token.
     #[serde(rename = "helm")]
     pub token: Epoch,
-    /// The session that they are meant for.
+    /// The incarnation that they are meant for.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
     /// What to do.
