--- a/crates/core/src/scheduling/actions/mod.rs
+++ b/crates/core/src/scheduling/actions/mod.rs
@@ -1,9 +1,9 @@
 //! The actions of a cycle (article: "The five actions"), each in a module of its own:
 //!
 //! * [`allocate`]: waiting tasks go on free room; nothing is stopped.
-//! * [`reclaim`] and [`reclaim_gang`]: room that other teams borrowed is taken back.
-//! * [`preempt`]: work of lower priority in the same team makes room.
-//! * [`consolidate`]: replicas are moved off a machine so that it can be returned.
+//! * [`mod@reclaim`] and [`reclaim_gang`]: room that other teams borrowed is taken back.
+//! * [`mod@preempt`]: work of lower priority in the same team makes room.
+//! * [`mod@consolidate`]: replicas are moved off a machine so that it can be returned.
 //!
 //! What they share: filters ([`predicates`]) and scores ([`scoring`]) of machines, the search for [`victims`]
 //! ([`evict`]), the class of tasks that are decided alike ([`task_class`]), and room reserved for gangs
