--- a/crates/controller/src/clients/mod.rs
+++ b/crates/controller/src/clients/mod.rs
@@ -77,13 +77,13 @@
 fn parse_json<T: DeserializeOwned, A>(bytes: &[u8], unreadable: A, answer: impl Fn(T) -> A) -> A {
     // A struct may also be read from an array, which no response is: `[]` was taken for a commit.
     if bytes.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
-        log::warn!("a response that is no JSON object");
+        log::warn!("unreadable response reason=no JSON object");
         return unreadable;
     }
     match serde_json::from_slice(bytes) {
         Ok(value) => answer(value),
         Err(e) => {
-            log::warn!("an unreadable response: {e}");
+            log::warn!("unreadable response reason={e}");
             unreadable
         }
     }
--- a/crates/controller/src/clients/store.rs
+++ b/crates/controller/src/clients/store.rs
@@ -82,7 +82,7 @@
         }),
         (400, StoreCall::Commit(_)) => {
             let text = String::from_utf8_lossy(body);
-            log::warn!("the store rejects a transaction: {text}");
+            log::warn!("transaction rejected by the store reason={text}");
             if text.contains(NO_SUCH_LEASE) {
                 StoreAnswer::NoSuchLease
             } else {
--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -48,7 +48,7 @@
         let is_queued = self.queue.send((id, response)).is_ok();
         if is_queued && !self.is_awake.swap(true, Ordering::AcqRel) {
             if let Err(e) = self.waker.wake() {
-                log::error!("the server can't be woken: {e}");
+                log::error!("server not woken reason={e}");
             }
         }
     }
@@ -130,7 +130,7 @@
         loop {
             if let Err(e) = self.poll.poll(&mut events, Some(SWEEP_INTERVAL)) {
                 if e.kind() != ErrorKind::Interrupted {
-                    log::error!("waiting for connections: {e}");
+                    log::error!("poll failed reason={e}");
                     std::thread::sleep(POLL_RETRY_PAUSE);
                 }
                 continue;
@@ -179,7 +179,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
                     // No socket is free, or the other side has gone again.
-                    log::warn!("a connection was not accepted: {e}");
+                    log::warn!("connection not accepted reason={e}");
                     return;
                 }
             }
@@ -192,14 +192,14 @@
             // It can't be read from, so it is refused at once, as far as that goes.
             let _ = stream.write(CONNECTION_REFUSAL);
             self.refusals.connections.increment();
-            log::debug!("a connection beyond the limit was refused");
+            log::debug!("connection refused reason=too many");
             return;
         }
         let token = Token(self.connections.next_slot());
         let registry = self.poll.registry();
         match registry.register(&mut stream, token, Interest::READABLE) {
             Ok(()) => self.connections.insert(Connection::new(stream, now)),
-            Err(e) => log::warn!("a connection was not taken: {e}"),
+            Err(e) => log::warn!("connection not taken reason={e}"),
         }
     }
 
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -2,6 +2,7 @@
 //!
 //! `docs/architecture.md` has a table of the threads, and the way of a request from socket to effect.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 mod admin;
 mod clients;
--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -55,7 +55,7 @@
     pub fn determine(settings: &mut Settings) -> Self {
         let sockets = complete_socket_limit(settings);
         if let Some(limits) = FleetLimits::of(settings) {
-            log::info!("{sockets} sockets: {limits}");
+            log::info!("connection limits sockets={sockets} {limits}");
         }
         let allowed = settings.params.limits.as_ref();
         if let Some(allowed) = allowed {
--- a/crates/controller/src/runtime.rs
+++ b/crates/controller/src/runtime.rs
@@ -38,7 +38,11 @@
     spawn(ThreadRole::PeerServer, move || {
         servers::serve_peers(peers, &peer_queues, &peer_refusals, allowance)
     })?;
-    log::info!("node {} serves at {}", settings.node, settings.listen);
+    log::info!(
+        "node serves node={} address={}",
+        settings.node,
+        settings.listen
+    );
     let tick_interval = ProcessorShare::of(&settings).stretched(TICK_INTERVAL);
     let core = CoreLoop {
         node: Node::new(settings),
@@ -103,12 +107,15 @@
         let took = ended - now.time;
         if let Some(kind) = kind.filter(|_| took > SLOW_STEP) {
             let long_step = self.node.long_step();
-            log::debug!("a step took {} ms: {kind:?} {long_step:?}", took.0);
+            log::debug!(
+                "slow step took_ms={} input={kind:?} long_step={long_step:?}",
+                took.0
+            );
         }
         self.node.step_ended(ended, took);
         for output in outputs {
             if let Some(answer) = self.outgoing.send(output, now.time) {
-                log::debug!("a call was not made: too many wait");
+                log::debug!("call not made, too many wait");
                 self.not_made.push(answer);
             }
         }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -79,7 +79,7 @@
         let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
         if beyond > 0 && self.beyond_connections == 0 {
             let machines = self.machines.len();
-            log::warn!("{machines} machines are {beyond} more than the nodes have connections for");
+            log::warn!("more machines than connections machines={machines} beyond={beyond}");
         }
         self.beyond_connections = beyond;
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,7 @@
 //! The state machine of rudderreel. It has no clock, socket, thread or randomness of its own:
 //! [`Node::step`] takes an input and the time, and returns what to send, write and answer.
 #![forbid(unsafe_code)]
+#![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
 mod agents;
 mod api;
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -154,10 +154,12 @@
             Ok(tree) => self.tree = tree,
             // The platform's file may have changed since they were stored.
             Err(error) => {
-                return log::error!("operators' settings not applied: version={version} {error}");
+                return log::error!(
+                    "operators' settings not applied version={version} reason={error}"
+                );
             }
         }
-        log::info!("operators' settings applied: version={version}");
+        log::info!("operators' settings applied version={version}");
         self.admin_settings = Versioned { version, settings };
         if let Some(leader) = self.leader.as_mut() {
             leader
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -144,7 +144,7 @@
     /// A job's completion is committed; returns the record, none if the job is not known any more.
     fn complete_job(&mut self, id: &JobId, now: Now) -> Option<JobRecord> {
         let job = self.jobs.get_mut(id)?;
-        log::info!("job is done job={id}");
+        log::info!("job done job={id}");
         job.completion_open = false;
         let record = completed_record(job, &self.store_limits, now);
         self.finish_job(id);
--- a/crates/core/src/node/epoch_bump.rs
+++ b/crates/core/src/node/epoch_bump.rs
@@ -83,7 +83,7 @@
     fn epoch_bumped(&mut self, epoch: Epoch, version: Version, now: Now) {
         self.election.observe_epoch(epoch, now.time);
         if let Some(leader) = self.leader.as_mut() {
-            log::info!("bumped the epoch epoch={epoch}");
+            log::info!("epoch bumped epoch={epoch}");
             leader.term.epoch_bumped(epoch, version, now.time);
         }
     }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -53,6 +53,7 @@
 use rudderreel_wire::ids::{JobId, NodeName, Version, Zone};
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeMap;
+use std::fmt;
 
 /// Calls a second to the cloud that this node allows itself, as a part of what the cloud takes.
 const CLOUD_CALLS_PART: f64 = 0.9;
@@ -128,6 +129,15 @@
     peers.filter(earlier).count() as u64
 }
 
+impl fmt::Debug for Node {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Node")
+            .field("node", &self.settings.node)
+            .field("leads", &self.leader.is_some())
+            .finish_non_exhaustive()
+    }
+}
+
 impl Node {
     /// A node that has just started.
     pub fn new(settings: Settings) -> Self {
--- a/crates/core/src/node/pending_call.rs
+++ b/crates/core/src/node/pending_call.rs
@@ -124,7 +124,7 @@
     fn lower_store_limits(&mut self) {
         self.limits.halve();
         log::warn!(
-            "a transaction was rejected; from now on limits={:?}",
+            "transaction rejected, limits are halved limits={:?}",
             self.limits
         );
         if let Some(leader) = self.leader.as_mut() {
--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -96,7 +96,7 @@
         };
         let held_reports = leader.recovery.complete();
         log::info!(
-            "recovered the state epoch={} jobs={} machines={}",
+            "state recovered epoch={} jobs={} machines={}",
             leader.term.epoch(),
             leader.jobs.len(),
             leader.fleet.machines.len()
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -263,7 +263,7 @@
     /// Refuses a request.
     pub(crate) fn refuse(&mut self, req: ReqId, refusal: impl Into<Refusal>) {
         let refusal = refusal.into();
-        log::debug!("request refused: reason={refusal:?}");
+        log::debug!("request refused reason={refusal:?}");
         self.out.push(Output::Answer {
             req,
             status: refusal.status(),
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -133,9 +133,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        log::info!(
-            "the leader's key is {GATED_LEADER_KEY} from now on, since jobs depend on others"
-        );
+        log::info!("version gate closed, jobs depend on others key={GATED_LEADER_KEY}");
         leader.term.gated_key_held(version);
         let record = leader.term.record(&self.settings.node);
         self.job_cache.leader_key_moved(version, record);
