--- a/crates/core/src/dispatch/start_check/tests.rs
+++ b/crates/core/src/dispatch/start_check/tests.rs
@@ -5,6 +5,7 @@
 use crate::testing::{job, leader, run, up, NOW};
 use crate::units::Span;
 use rudderreel_wire::ids::{Attempt, Epoch, MachineId};
+use std::sync::Arc;
 
 /// A leader with a recorded placement of a job's first task, which no start was sent for.
 fn leader_with_placement() -> (Leader, MachineId) {
@@ -102,3 +103,28 @@
     let result = leader.check_start(machine, &machine.tasks[0], &TeamUsage::default(), later);
     assert_eq!(result, Err(StartRefusal::NotLeading));
 }
+
+/// What may exist of the team counts, with the task itself.
+#[test]
+fn a_task_beyond_the_limit_of_its_team_is_refused() {
+    let (mut leader, id) = leader_with_placement();
+    let team = leader.policy.teams.find(&"red".into()).expect("a team");
+    leader.policy.teams.nodes[team].limit[0] = 1.0;
+    assert_eq!(check(&leader, &id), Ok(()));
+    leader.policy.teams.nodes[team].limit[0] = 0.5;
+    assert_eq!(check(&leader, &id), Err(StartRefusal::TeamLimit));
+}
+
+/// A job of one zone whose tasks stand in two is not started further.
+#[test]
+fn a_task_against_the_zone_rules_of_its_job_is_refused() {
+    let (mut leader, id) = leader_with_placement();
+    let other_zone = up(&mut leader, "vm-2", "b");
+    let job_id = machine(&mut leader, &id).tasks[0].task.job.clone();
+    let job = leader.jobs.get_mut(&job_id).expect("a job");
+    Arc::make_mut(&mut job.spec).one_zone = true;
+    assert_eq!(check(&leader, &id), Ok(()));
+    let job = leader.jobs.get_mut(&job_id).expect("a job");
+    job.place(1, &other_zone, Attempt(1));
+    assert_eq!(check(&leader, &id), Err(StartRefusal::ZoneRules));
+}
