--- a/crates/core/src/scheduling/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -93,9 +93,10 @@
     let mut ranked: Option<VecDeque<usize>> = None;
     let mut found_none = false;
     for index in job.next_startable(already_placed, MAX_TASKS_PER_JOB) {
-        let finds_room =
-            best_machine(leader, snapshot, job, ImagePreference::CachedIfUrgent).is_some();
-        if finds_room || !snapshot.allows_one_more(leader, job) {
+        // The limits first: they are a few comparisons, the search for room looks at every machine.
+        let needs_eviction = snapshot.allows_one_more(leader, job)
+            && best_machine(leader, snapshot, job, ImagePreference::CachedIfUrgent).is_none();
+        if !needs_eviction {
             break;
         }
         let machines =
