--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -121,7 +121,11 @@
 }
 
 fn play(case: Case) -> String {
-    let mut world = World::of(case.seed, case.scenario);
+    let scenario = Scenario {
+        records_decisions: true,
+        ..case.scenario
+    };
+    let mut world = World::of(case.seed, scenario);
     world.collects_violations = true;
     if !case.starts_calm {
         world.random_faults = true;
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -75,7 +75,9 @@
         let now = self.clock(node);
         let life = self.nodes[node].life;
         for output in self.measured_step(node, input, now) {
-            self.decisions.record(self.now, node, &output);
+            if self.scenario.records_decisions {
+                self.decisions.record(self.now, node, &output);
+            }
             let hop = self.hop();
             match output {
                 Output::Answer {
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -17,7 +17,7 @@
     pub crowd: bool,
     /// Agents report to all nodes however few they are.
     pub spread: bool,
-    /// Seconds that a agent's lease lasts, and between its reports.
+    /// Seconds that an agent's lease lasts, and between its reports.
     pub lease_s: u64,
     pub report_s: f64,
     /// Jobs have many tasks.
@@ -67,6 +67,8 @@
     pub run_ms: Option<(u64, u64)>,
     /// Processor time of steps and bytes of messages are measured.
     pub measures: bool,
+    /// A digest of all that the nodes put out is kept.
+    pub records_decisions: bool,
     /// Steps take time, as on a node with a small part of a core.
     pub steps_take_time: bool,
     /// Part of a core that the settings name, if they do.
@@ -106,6 +108,7 @@
             zone_names: &["a", "b"],
             run_ms: None,
             measures: false,
+            records_decisions: false,
             steps_take_time: false,
             core_share: None,
         }
