--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -115,7 +115,7 @@
     world.cut_from_agents(old, until);
     world.run_until(until - 10_000);
     assert_ne!(world.leader(), Some(old), "it goes on leading");
-    // A agent that finds no node for a while may lose its lease.
+    // An agent that finds no node for a while may lose its lease.
     let lost = world
         .agents
         .values()
--- a/crates/core/tests/sim/steady_load.rs
+++ b/crates/core/tests/sim/steady_load.rs
@@ -68,7 +68,7 @@
     // What keeps a rule is not stretched.
     assert!(small.heartbeats.abs_diff(ample.heartbeats) <= NODES as u32);
     assert!(small.heartbeats >= NODES as u32 * seconds * 2 - NODES as u32);
-    // Users withdraw a job now and then, and replicas are moved; nothing else calls for a agent.
+    // Users withdraw a job now and then, and replicas are moved; nothing else calls for an agent.
     assert!(small.direct_calls <= 5 * seconds, "{}", small.direct_calls);
     assert!(ample.direct_calls <= 5 * seconds, "{}", ample.direct_calls);
     // Questions are confirmed, by jobs asked about and time.
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a agent, by the protocol: incarnations, leases, tokens, commands.
+//! A stand-in for an agent, by the protocol: incarnations, leases, tokens, commands.
 
 use super::ObservedJob;
 use rudderreel_wire::cloud::Rent;
@@ -60,7 +60,7 @@
 const GANG_PEER_MS: u64 = 2_000;
 
 impl SimulatedAgent {
-    /// A agent whose gang tasks wait so long for the others.
+    /// An agent whose gang tasks wait so long for the others.
     pub fn new(id: MachineId, rent: Rent, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -8,7 +8,7 @@
     NodeCrashes,
     LeaderCrashes,
     AllNodesCrash,
-    /// All nodes are away for longer than a agent's lease.
+    /// All nodes are away for longer than an agent's lease.
     AllNodesAway,
     /// Back before anybody may have noticed.
     NodeRestartsQuickly,
