--- a/crates/core/src/agents/zone_partitions.rs
+++ b/crates/core/src/agents/zone_partitions.rs
@@ -34,9 +34,9 @@
         let mut detected = self.silent_zones(&zones, now);
         let heard: Vec<Zone> = (zones.iter())
             .filter(|(zone, reports)| {
-                reports.last_heard_at > self.term.elected_at() && !detected.contains_key(*zone)
+                reports.last_heard_at > self.term.elected_at() && !detected.contains_key(**zone)
             })
-            .map(|(zone, _)| zone.clone())
+            .map(|(zone, _)| (*zone).clone())
             .collect();
         if detected.len() == zones.len() {
             // If nobody is heard anywhere it is this node that is cut off.
@@ -47,7 +47,11 @@
     }
 
     /// Zones of which nothing was heard for too long, and since when.
-    fn silent_zones(&self, zones: &BTreeMap<Zone, ZoneReports>, now: Time) -> BTreeMap<Zone, Time> {
+    fn silent_zones(
+        &self,
+        zones: &BTreeMap<&Zone, ZoneReports>,
+        now: Time,
+    ) -> BTreeMap<Zone, Time> {
         let expected_in_all: usize = zones.values().map(|reports| reports.expected).sum();
         let is_silent = |zone: &Zone, reports: &ZoneReports| {
             // A partition lasts until some machine is heard again, also if all that ran there is gone.
@@ -66,7 +70,7 @@
         };
         (zones.iter())
             .filter(|(zone, reports)| is_silent(zone, reports))
-            .map(|(zone, reports)| (zone.clone(), reports.last_heard_at))
+            .map(|(zone, reports)| ((*zone).clone(), reports.last_heard_at))
             .collect()
     }
 
@@ -92,14 +96,14 @@
     }
 }
 
-fn reports_by_zone(fleet: &Fleet, elected_at: Time) -> BTreeMap<Zone, ZoneReports> {
-    let mut zones: BTreeMap<Zone, ZoneReports> = BTreeMap::new();
+fn reports_by_zone(fleet: &Fleet, elected_at: Time) -> BTreeMap<&Zone, ZoneReports> {
+    let mut zones: BTreeMap<&Zone, ZoneReports> = BTreeMap::new();
     let kept = (fleet.machines.values()).filter(|machine| machine.return_requested_at.is_none());
     for machine in kept {
         // What an earlier leader has started tasks on was up.
         let is_expected = machine.last_heard_at.is_some() || !machine.tasks.is_empty();
         let heard_at = machine.last_heard_at.unwrap_or(elected_at);
-        let reports = zones.entry(machine.zone.clone()).or_insert(ZoneReports {
+        let reports = zones.entry(&machine.zone).or_insert(ZoneReports {
             expected: 0,
             machines: 0,
             last_heard_at: heard_at,
--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -145,6 +145,11 @@
         }
     }
 
+    /// Whether no request waits and no cancellation is replicated.
+    pub fn is_idle(&self) -> bool {
+        self.waiting.is_empty() && self.knowledge.has_no_replications()
+    }
+
     /// Decides about a request whose answer is that its job was cancelled at a version. None if it has to wait for
     /// acknowledgements; then the cancellation is sent to the peers.
     pub fn acknowledge_or_wait(
@@ -176,10 +181,7 @@
         context: &AcknowledgementContext<'_>,
     ) -> bool {
         let is_known_to_leader = |leader| self.knowledge.is_known_to(leader, id, version);
-        let leader_settled = context
-            .reachable_leader
-            .as_ref()
-            .is_none_or(is_known_to_leader)
+        let leader_settled = (context.reachable_leader.as_ref()).is_none_or(is_known_to_leader)
             || waited >= LEADER_ACKNOWLEDGEMENT_TIMEOUT;
         let is_majority = self.knowledge.is_known_to_majority(id, version);
         is_majority && leader_settled || context.is_surely_without_tasks(id)
--- a/crates/core/src/api/cancellation_replication/knowledge.rs
+++ b/crates/core/src/api/cancellation_replication/knowledge.rs
@@ -146,6 +146,11 @@
         });
     }
 
+    /// Whether no cancellation is replicated.
+    pub(super) fn has_no_replications(&self) -> bool {
+        self.replications.is_empty()
+    }
+
     /// Whether a replication is left that a user has asked for.
     pub(super) fn has_requested(&self) -> bool {
         let mut replications = self.replications.values();
--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -152,19 +152,20 @@
         let mut left = most;
         let mut partly_filled = Vec::new();
         for bin in &mut self.0 {
-            let zone = bin.offer.zone.clone();
-            let zone_room = job.spec.zone_cap().saturating_sub(zones.in_zone(&zone));
+            let zone = &bin.offer.zone;
+            let zone_room = job.spec.zone_cap().saturating_sub(zones.in_zone(zone));
             let tasks_per_machine = bin.tasks_per_machine(job);
             let room = left
                 .min(zone_room)
                 .min(tasks_per_machine.saturating_mul(bin.machines));
-            let is_usable = only_zone.is_none_or(|only| *only == zone)
+            let is_usable = room > 0
+                && only_zone.is_none_or(|only| only == zone)
                 && bin.is_allowed(job)
                 && !(avoids_gpus && bin.would_waste_gpus(job));
-            if room == 0 || !is_usable {
+            if !is_usable {
                 continue;
             }
-            zones.add(&zone, room);
+            zones.add(zone, room);
             left -= room;
             let (full, rest) = (room / tasks_per_machine, room % tasks_per_machine);
             if full > 0 {
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -8,7 +8,6 @@
 use crate::scheduling::actions::fits;
 use crate::scheduling::snapshot::quota::QuotaUsage;
 use crate::scheduling::snapshot::{has_zone_rules, CandidateMachine, Snapshot};
-use crate::teams::team_tree::amounts;
 use crate::units::{Now, Span};
 use rudderreel_wire::ids::Zone;
 use rudderreel_wire::job::Kind;
@@ -223,10 +222,8 @@
         offer: InstanceOffer,
         zones: &mut TasksByZone,
     ) -> u32 {
-        let zone_room = job
-            .spec
-            .zone_cap()
-            .saturating_sub(zones.in_zone(&offer.zone));
+        let in_zone_already = zones.in_zone(&offer.zone);
+        let zone_room = job.spec.zone_cap().saturating_sub(in_zone_already);
         let in_zone = tasks.min(zone_room);
         let tasks_per_machine = Bin::coming(self.leader, offer.clone(), 1).tasks_per_machine(job);
         if in_zone == 0 || tasks_per_machine == 0 {
@@ -242,13 +239,7 @@
 
     /// How many more tasks of a job its team's limits allow, at most `most`; they are charged to the team.
     fn charge_within_limits(&mut self, job: &Job, most: u32) -> u32 {
-        let need = amounts(&job.need);
-        let mut tasks = 0;
-        while tasks < most && self.usage.within_limits(self.leader, job, &need) {
-            tasks += 1;
-            self.usage.charge(self.leader, job, &need);
-        }
-        tasks
+        self.usage.charge_within_limits(self.leader, job, most)
     }
 
     /// Whether a gang may count on a free machine of a zone, which no other gang counts on.
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -36,14 +36,17 @@
 
     /// Whether a machine boots, and does so no longer than it may take.
     fn is_booting_in_time(&self, machine: &Machine, now: Wall) -> bool {
-        let machine_type = self.policy.machine_type(&machine.machine_type);
-        let is_late = machine_type.is_some_and(|machine_type| {
-            Leader::age(machine, now) >= Span::secs(machine_type.boot_s * LATE_BOOT_FACTOR)
-        });
         machine.last_heard_at.is_none()
             && machine.retire_reason.is_none()
             && machine.return_requested_at.is_none()
-            && !is_late
+            && !self.boots_late(machine, now)
+    }
+
+    /// Whether a machine has booted for longer than it may take.
+    fn boots_late(&self, machine: &Machine, now: Wall) -> bool {
+        (self.policy.machine_type(&machine.machine_type)).is_some_and(|machine_type| {
+            Leader::age(machine, now) >= Span::secs(machine_type.boot_s * LATE_BOOT_FACTOR)
+        })
     }
 }
 
--- a/crates/core/src/dispatch/direct_calls.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -41,10 +41,14 @@
         only_non_preemptible: bool,
         now: Time,
     ) -> Vec<DirectCall> {
-        let (urgent, others): (Vec<&MachineId>, Vec<&MachineId>) = (machines.iter())
-            .filter(|id| self.fleet.machines.contains_key(*id))
-            .partition(|id| self.fleet.machines[*id].awaits_non_preemptible_start());
-        let others = others.into_iter().filter(|_| !only_non_preemptible);
+        let (mut urgent, mut others) = (Vec::new(), Vec::new());
+        for id in machines {
+            match self.fleet.machines.get(id) {
+                Some(machine) if machine.awaits_non_preemptible_start() => urgent.push(id),
+                Some(_) if !only_non_preemptible => others.push(id),
+                Some(_) | None => {}
+            }
+        }
         // Sending a start places nothing and frees nothing.
         let usage = TeamUsage::default();
         (urgent.into_iter().chain(others))
--- a/crates/core/src/dispatch/team_usage.rs
+++ b/crates/core/src/dispatch/team_usage.rs
@@ -19,11 +19,7 @@
         self.by_team_node.get_or_init(|| {
             let teams = &leader.policy.teams;
             let mut sums = vec![Resources::default(); teams.nodes.len()];
-            for job in leader
-                .jobs
-                .values()
-                .filter(|job| !job.placements.is_empty())
-            {
+            for job in (leader.jobs.values()).filter(|job| !job.placements.is_empty()) {
                 let used = job.need.times(job.placement_count());
                 let leaf = teams.find(&job.spec.team);
                 for node in leaf.into_iter().flat_map(|leaf| teams.chain(leaf)) {
@@ -39,12 +35,7 @@
     /// The same for one node of the tree, looked up on every machine: the slow plain way, which tests compare with.
     pub(super) fn usage_on_machines(&self, node: usize) -> Resources {
         let mut sum = Resources::default();
-        for task in self
-            .fleet
-            .machines
-            .values()
-            .flat_map(|machine| &machine.tasks)
-        {
+        for task in (self.fleet.machines.values()).flat_map(|machine| &machine.tasks) {
             let job = self.jobs.get(&task.task.job);
             if task.occupies_capacity() && job.is_some_and(|job| self.is_below(job, node)) {
                 sum += task.need;
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -68,6 +68,9 @@
         let records = self.job_cache.take_written_watermarks();
         self.cancellations.watermark_records_read(&records);
         self.publish_watermark(now);
+        if self.cancellations.is_idle() {
+            return;
+        }
         self.respond_to_waiting(now);
         self.cancellations.forget_replicated();
     }
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -4,7 +4,7 @@
 //! square of its length. The estimates are upper bounds, which the tests compare with the encoded size.
 
 use crate::fleet::{Fleet, Machine, PlacedTask};
-use crate::jobs::job::{is_non_preemptible, Job};
+use crate::jobs::job::Job;
 use crate::jobs::job_table::JobTable;
 use crate::store::limits::StoreLimits;
 use crate::store::records::{SegmentId, SegmentMachine, SegmentRecord};
@@ -114,8 +114,7 @@
     fn collect_tasks(&mut self, machine: &mut Machine, non_preemptible: bool) {
         for position in 0..machine.tasks.len() {
             let task = &machine.tasks[position];
-            let task_is_non_preemptible = (task.spec.as_deref()).is_some_and(is_non_preemptible);
-            if !task.awaits_recording() || task_is_non_preemptible != non_preemptible {
+            if !task.awaits_recording() || task.is_non_preemptible() != non_preemptible {
                 continue;
             }
             if !self.has_room_for_task(machine, task) {
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -111,12 +111,11 @@
 
 /// Whether a task is a replica that has run for a while and is in one place only.
 fn is_movable(snapshot: &Snapshot, placed: &PlacedTask, job: &Job) -> bool {
-    let places = job.placements.get(&placed.task.index);
     let has_settled =
         (placed.running_since).is_some_and(|since| snapshot.now.time - since >= MIN_RUNTIME);
     job.spec.kind == Kind::Service
         && job.is_active()
-        && places.is_some_and(|places| places.len() == 1)
+        && (job.placements.get(&placed.task.index)).is_some_and(|places| places.len() == 1)
         && placed.phase == Phase::On(TaskState::Running)
         && placed.stop.is_none()
         && has_settled
--- a/crates/core/src/scheduling/actions/victims.rs
+++ b/crates/core/src/scheduling/actions/victims.rs
@@ -27,18 +27,22 @@
     (lost.0 + RESTART_COST.0) * need.cpus.max(1) as u64
 }
 
-/// Whether a task is on its machine, not stopped yet, and has been there long enough to be evicted.
+/// Whether a task is on its machine, not stopped yet, and has been there long enough to be evicted, whatever its job.
+fn has_run_long_enough(snapshot: &Snapshot, placed: &PlacedTask, min_runtime: Span) -> bool {
+    matches!(placed.phase, Phase::On(_))
+        && placed.stop.is_none()
+        && snapshot.now.time - placed.placed_at >= min_runtime
+        && !snapshot.is_evicted(&placed.task, placed.attempt)
+}
+
+/// Whether a task of a job may be evicted.
 pub(super) fn is_evictable(
     snapshot: &Snapshot,
     placed: &PlacedTask,
     job: &Job,
     min_runtime: Span,
 ) -> bool {
-    matches!(placed.phase, Phase::On(_))
-        && placed.stop.is_none()
-        && job.is_preemptible()
-        && snapshot.now.time - placed.placed_at >= min_runtime
-        && !snapshot.is_evicted(&placed.task, placed.attempt)
+    job.is_preemptible() && has_run_long_enough(snapshot, placed, min_runtime)
 }
 
 /// A task that may be evicted, and what that would cost.
@@ -63,8 +67,8 @@
         }
     }
 
-    /// Whether it is worth stopping for a job.
-    fn is_worth_stopping_for(&self, leader: &Leader, job: &Job) -> bool {
+    /// Whether it is worth stopping for a job, which may be one that avoids machines with GPUs.
+    fn is_worth_stopping_for(&self, job: &Job, avoids_gpus: bool) -> bool {
         if job.is_preemptible() && self.is_nearly_done {
             // It makes room sooner by being left alone.
             return false;
@@ -75,7 +79,7 @@
             return false;
         }
         // Work that only needs CPUs does not end work on GPUs for the CPUs beside them.
-        !should_avoid_gpus(leader, job) || self.victim.need.gpus == 0
+        !avoids_gpus || self.victim.need.gpus == 0
     }
 }
 
@@ -99,7 +103,8 @@
         return None;
     }
     let mut options = evictable_tasks(leader, snapshot, machine, at, policy.min_runtime);
-    options.retain(|option| option.is_worth_stopping_for(leader, job));
+    let avoids_gpus = should_avoid_gpus(leader, job);
+    options.retain(|option| option.is_worth_stopping_for(job, avoids_gpus));
     options.sort_by_key(|option| option.loss);
     choose_victims(leader, snapshot, job, at, policy, options)
 }
@@ -148,10 +153,12 @@
     min_runtime: Span,
 ) -> Vec<PossibleVictim> {
     (machine.tasks.iter())
+        // Before the job is looked up: this is asked of every task of many machines.
+        .filter(|placed| has_run_long_enough(snapshot, placed, min_runtime))
         .filter_map(|placed| {
             let job = leader.jobs.get(&placed.task.job)?;
             let is_single = job.spec.kind != Kind::Gang || job.spec.tasks == 1;
-            (is_single && is_evictable(snapshot, placed, job, min_runtime))
+            (is_single && job.is_preemptible())
                 .then(|| PossibleVictim::new(at, placed, job, snapshot.now.time))
         })
         .collect()
--- a/crates/core/src/scheduling/arrival_reserve.rs
+++ b/crates/core/src/scheduling/arrival_reserve.rs
@@ -70,11 +70,11 @@
 
     /// Whether a job is a service whose users want it started sooner than a machine boots.
     fn is_urgent_service(&self, job: &Job, boot_s: f64) -> bool {
-        let objective = self.policy.start_objectives.get(&job.spec.class);
         job.spec.kind == Kind::Service
             && job.is_active()
             && job.is_ready()
             && !job.is_preemptible()
-            && objective.is_some_and(|within| within.as_secs() < boot_s)
+            && (self.policy.start_objectives.get(&job.spec.class))
+                .is_some_and(|within| within.as_secs() < boot_s)
     }
 }
--- a/crates/core/src/scheduling/job_queue.rs
+++ b/crates/core/src/scheduling/job_queue.rs
@@ -36,8 +36,10 @@
     /// Whether a job must start on a machine that has its image cached: its users' objective for the start is
     /// shorter than the slowest fetch of the image.
     pub fn needs_cached_image(&self, job: &Job) -> bool {
+        if job.is_preemptible() {
+            return false;
+        }
         let fetch = Span::secs(self.policy.catalog.slowest_fetch_s(job.spec.image_gb));
-        let objective = self.policy.start_objectives.get(&job.spec.class);
-        !job.is_preemptible() && objective.is_some_and(|within| *within < fetch)
+        (self.policy.start_objectives.get(&job.spec.class)).is_some_and(|within| *within < fetch)
     }
 }
--- a/crates/core/src/scheduling/snapshot/candidate_machine.rs
+++ b/crates/core/src/scheduling/snapshot/candidate_machine.rs
@@ -107,8 +107,10 @@
             let remaining_s = remaining_s(task, spec, now);
             self.finite_end_in_s = self.finite_end_in_s.max(remaining_s);
         }
-        let is_active = leader.jobs.get(&spec.id).is_some_and(Job::is_active);
-        if is_active && !is_non_preemptible(spec) && task.stop.is_none() {
+        let may_be_preempted = !is_non_preemptible(spec)
+            && task.stop.is_none()
+            && leader.jobs.get(&spec.id).is_some_and(Job::is_active);
+        if may_be_preempted {
             self.preemptible += task.need;
         }
     }
--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -59,7 +59,6 @@
 fn is_usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
     let max_silence = Span(leader.agent_timings.lease.0 / 2);
     let heard_lately = (machine.last_heard_at).is_some_and(|at| now - at < max_silence);
-    let is_partitioned = leader.fleet.partitioned_zones.contains(&machine.zone);
     // Being heard is not enough: while its agent leaves calls unanswered it gets nothing new.
     let is_commanded = machine.unanswered_calls == 0;
     let is_leaving = machine.reclaim_at.is_some()
@@ -67,7 +66,7 @@
         || machine.return_requested_at.is_some();
     machine.is_reconciled(leader.term.epoch())
         && heard_lately
-        && !is_partitioned
+        && !leader.fleet.partitioned_zones.contains(&machine.zone)
         && is_commanded
         && !is_leaving
         && machine.quarantined_until <= now
@@ -99,15 +98,11 @@
                 snapshot.candidates.push(candidate);
             }
         }
-        for job in leader
-            .jobs
-            .values()
-            .filter(|job| !job.placements.is_empty())
-        {
+        for job in leader.jobs.values() {
             snapshot.count_zones(leader, job);
-        }
-        for job in leader.jobs.values().filter(|job| job.is_active()) {
-            snapshot.names.number_image(&job.spec.image);
+            if job.is_active() {
+                snapshot.names.number_image(&job.spec.image);
+            }
         }
         snapshot
     }
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -36,11 +36,8 @@
         }
     }
 
-    /// Adds to what a job's team, and all nodes above it, use.
-    pub fn charge(&mut self, leader: &Leader, job: &Job, need: &Amounts) {
-        let Some(team) = leader.policy.teams.find(&job.spec.team) else {
-            return;
-        };
+    /// Adds to what the team of a job, which is this node of the tree, and all nodes above it use.
+    fn charge_team(&mut self, leader: &Leader, team: usize, job: &Job, need: &Amounts) {
         for node in leader.policy.teams.chain(team) {
             add_amounts(&mut self.used[node], need);
             if !job.is_preemptible() {
@@ -51,9 +48,12 @@
 
     /// Whether a job's team, and all nodes above it, may use so much more.
     pub fn within_limits(&self, leader: &Leader, job: &Job, need: &Amounts) -> bool {
-        let Some(team) = leader.policy.teams.find(&job.spec.team) else {
-            return false;
-        };
+        (leader.policy.teams.find(&job.spec.team))
+            .is_some_and(|team| self.team_within_limits(leader, team, job, need))
+    }
+
+    /// The same if the team's node of the tree is known.
+    fn team_within_limits(&self, leader: &Leader, team: usize, job: &Job, need: &Amounts) -> bool {
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
         };
@@ -64,6 +64,20 @@
             within_quota && fits(&self.used[node], &settings.limit)
         })
     }
+
+    /// Adds as many of `most` tasks of a job as its team's limits allow; returns how many.
+    pub fn charge_within_limits(&mut self, leader: &Leader, job: &Job, most: u32) -> u32 {
+        let Some(team) = leader.policy.teams.find(&job.spec.team) else {
+            return 0;
+        };
+        let need = amounts(&job.need);
+        let mut tasks = 0;
+        while tasks < most && self.team_within_limits(leader, team, job, &need) {
+            tasks += 1;
+            self.charge_team(leader, team, job, &need);
+        }
+        tasks
+    }
 }
 
 /// What a node of the team tree uses and its fair share.
@@ -101,11 +115,7 @@
             fair_share_of_all: Vec::new(),
             counts_gpus_apart: leader.policy.catalog.types.iter().any(|t| t.gpus <= 0.0),
         };
-        for job in leader
-            .jobs
-            .values()
-            .filter(|job| !job.placements.is_empty())
-        {
+        for job in (leader.jobs.values()).filter(|job| !job.placements.is_empty()) {
             let need = amounts(&job.need.times(job.placement_count()));
             account.charge(leader, job, &need);
         }
@@ -169,12 +179,13 @@
 
     /// Adds to what a job's team, and all nodes above it, use.
     pub(super) fn charge(&mut self, leader: &Leader, job: &Job, need: &Amounts) {
-        self.usage.charge(leader, job, need);
+        let Some(team) = leader.policy.teams.find(&job.spec.team) else {
+            return;
+        };
+        self.usage.charge_team(leader, team, job, need);
         let counted = self.counted_for_shares(need);
-        if let Some(team) = leader.policy.teams.find(&job.spec.team) {
-            for node in leader.policy.teams.chain(team) {
-                add_amounts(&mut self.counted[node], &counted);
-            }
+        for node in leader.policy.teams.chain(team) {
+            add_amounts(&mut self.counted[node], &counted);
         }
     }
 
