--- a/crates/controller/src/clients/peers.rs
+++ b/crates/controller/src/clients/peers.rs
@@ -4,7 +4,8 @@
 use bitcode::{DecodeOwned, Encode};
 use rudderreel_wire::peer::{
     Forward, ForwardedReports, ForwardedReportsReply, Heartbeat, HeartbeatReply,
-    ReplicateCancellations, ReplicateCancellationsReply,
+    ReplicateCancellations, ReplicateCancellationsReply, FORWARDED_REPORTS_PATH, FORWARD_PATH,
+    HEARTBEAT_PATH, REPLICATE_CANCELLATIONS_PATH,
 };
 use std::net::SocketAddrV4;
 use ureq::Agent;
@@ -15,7 +16,7 @@
     addr: SocketAddrV4,
     heartbeat: &Heartbeat,
 ) -> Option<HeartbeatReply> {
-    exchange(client, &format!("http://{addr}/peer/heartbeat"), heartbeat)
+    exchange(client, &format!("http://{addr}{HEARTBEAT_PATH}"), heartbeat)
 }
 
 /// Forwards status reports to the leader.
@@ -24,7 +25,11 @@
     addr: SocketAddrV4,
     reports: &ForwardedReports,
 ) -> Option<ForwardedReportsReply> {
-    exchange(client, &format!("http://{addr}/peer/reports"), reports)
+    exchange(
+        client,
+        &format!("http://{addr}{FORWARDED_REPORTS_PATH}"),
+        reports,
+    )
 }
 
 /// Replicates cancellations to a peer.
@@ -35,7 +40,7 @@
 ) -> Option<ReplicateCancellationsReply> {
     exchange(
         client,
-        &format!("http://{addr}/peer/announce"),
+        &format!("http://{addr}{REPLICATE_CANCELLATIONS_PATH}"),
         cancellations,
     )
 }
@@ -50,7 +55,7 @@
 
 /// Forwards a user's or an administrator's request to a peer; returns its status and body.
 pub fn forward(client: &Agent, addr: SocketAddrV4, request: &Forward) -> Option<(u16, String)> {
-    let url = format!("http://{addr}/peer/forward");
+    let url = format!("http://{addr}{FORWARD_PATH}");
     match post(client, &url, &bitcode::encode(request)) {
         Reply::Response(status, bytes) => Some((status, String::from_utf8(bytes).ok()?)),
         _ => None,
--- a/crates/controller/src/input_queues.rs
+++ b/crates/controller/src/input_queues.rs
@@ -17,8 +17,8 @@
 const TURNS_PER_ROUND: u32 = 4;
 
 /// An agent waits 4 s for the answer to its status report, a user 2 s for that to a status request, and a peer
-/// as long as this for that to a batch of status reports. Whoever has gone asks again: an answer to the first request is work
-/// for nobody, and the more of it there is the fewer are answered in time.
+/// as long as this for that to a batch of status reports. Whoever has gone asks again: an answer to the first
+/// request is work for nobody, and the more of it there is the fewer are answered in time.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(3_500);
 const STATUS_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a node waits for the leader's answer to a batch of status reports.
--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -13,7 +13,7 @@
 const MIN_QUEUED_REPORTS: usize = 1_024;
 /// Calls that may wait for a thread at least.
 const MIN_QUEUED_CALLS: usize = 256;
-/// Threads for commands to workers, and for calls that ask whether they are there, at least. The latter
+/// Threads for commands to agents, and for calls that ask whether they are there, at least. The latter
 /// wait for the ones that are not, and of a large fleet hundreds may be silent at once.
 const MIN_COMMAND_THREADS: usize = 16;
 const MIN_PROBE_THREADS: usize = 8;
@@ -29,7 +29,7 @@
 const DEFAULT_BUFFERED_BYTES: usize = 16 << 20;
 /// With less memory a node of a few hundred machines can hardly serve.
 const LOW_MEMORY_MB: f64 = 24.0;
-/// With a smaller share of a core it can hardly answer its workers.
+/// With a smaller share of a core it can hardly answer its agents.
 const LOW_CORE_SHARE: f64 = 0.01;
 
 /// What a node takes on.
@@ -37,13 +37,13 @@
 pub struct ProcessLimits {
     /// Connections that it takes.
     pub connections: ConnectionLimits,
-    /// Reports that may wait for the core: each worker has one under way.
+    /// Reports that may wait for the core: each agent has one under way.
     pub queued_reports: usize,
-    /// Calls to workers that may wait for a thread.
+    /// Calls to agents that may wait for a thread.
     pub queued_calls: usize,
-    /// Threads for commands to workers.
+    /// Threads for commands to agents.
     pub command_threads: usize,
-    /// Threads for asking workers whether they are there.
+    /// Threads for asking agents whether they are there.
     pub probe_threads: usize,
     /// Bytes of requests that have not come in whole, at each server.
     pub buffered_bytes: usize,
--- a/crates/controller/src/servers/peers.rs
+++ b/crates/controller/src/servers/peers.rs
@@ -11,15 +11,11 @@
 use rudderreel_core::{AdminRequest, Input, ReqId, RequestOrigin, UserRequest};
 use rudderreel_wire::peer::{
     Forward, ForwardedReports, ForwardedSubmission, Heartbeat, ReplicateCancellations,
-    SenderVersion,
+    SenderVersion, FORWARDED_REPORTS_PATH, FORWARD_PATH, HEARTBEAT_PATH,
+    REPLICATE_CANCELLATIONS_PATH,
 };
 use serde::Serialize;
 
-/// Paths of messages between nodes.
-const HEARTBEAT_PATH: &str = "/peer/heartbeat";
-const REPLICATE_CANCELLATIONS_PATH: &str = "/peer/announce";
-const FORWARDED_REPORTS_PATH: &str = "/peer/reports";
-const FORWARD_PATH: &str = "/peer/forward";
 /// Paths of the administration API.
 const ADMIN_PREFIX: &str = "/admin/";
 const REFUSALS_PATH: &str = "/admin/refusals";
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -12,12 +12,13 @@
 use crate::io::StoreCall;
 use crate::store::limits::StoreLimits;
 use crate::store::records::{job_key, JobRecord};
+use crate::store::transactions::{condition, put};
 use crate::teams::team_tree::{amounts, TeamTree};
 use crate::units::{Resources, Wall};
 use rudderreel_wire::cloud::Catalog;
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::job::{JobSpec, JobState, Kind};
-use rudderreel_wire::state::{Change, Condition, Transaction};
+use rudderreel_wire::state::Transaction;
 use std::collections::BTreeMap;
 
 /// How far a need may lie above a limit by rounding.
@@ -219,20 +220,11 @@
     others: &BTreeMap<JobId, Version>,
 ) -> StoreCall {
     let key = job_key(id);
-    let mut conditions = vec![Condition {
-        key: key.clone(),
-        version,
-    }];
-    conditions.extend(others.iter().map(|(id, &version)| Condition {
-        key: job_key(id),
-        version,
-    }));
+    let mut conditions = vec![condition(key.clone(), version)];
+    let others = others.iter();
+    conditions.extend(others.map(|(id, &version)| condition(job_key(id), version)));
     StoreCall::Commit(Transaction {
         conditions,
-        changes: vec![Change::Put {
-            key,
-            value: serde_json::to_value(record).unwrap_or_default(),
-            lease: None,
-        }],
+        changes: vec![put(key, record)],
     })
 }
--- a/crates/core/src/api/read_confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -16,6 +16,7 @@
 use crate::api::user_requests::{PendingRequest, REQUEST_TIMEOUT};
 use crate::cache::job_cache::JobCache;
 use crate::store::records::{job_key, JOB_PREFIX};
+use crate::store::transactions::condition;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::state::Condition;
@@ -167,7 +168,7 @@
         let mut settled = Vec::new();
         let mut batch = ConfirmationBatch::default();
         while let Some(read) = self.reads.pop_front() {
-            if is_final(jobs, read.job()) {
+            if jobs.is_final(read.job()) {
                 settled.push(SettledRead::Final(read));
                 continue;
             }
@@ -215,10 +216,7 @@
         (self.versions.iter())
             .skip(self.compared)
             .take(self.comparing)
-            .map(|(id, &version)| Condition {
-                key: job_key(id),
-                version,
-            })
+            .map(|(id, &version)| condition(job_key(id), version))
             .collect()
     }
 
@@ -251,7 +249,7 @@
     /// What is known of a job by now. The cache may have learned more meanwhile; what is told is the newest that is
     /// known.
     pub fn read(&self, id: &JobId, jobs: &JobCache) -> ReadResult {
-        if is_final(jobs, id) {
+        if jobs.is_final(id) {
             return ReadResult::Final;
         }
         let ancestry = jobs.ancestry_of(id);
@@ -271,10 +269,5 @@
     }
 }
 
-/// Whether the cache knows a job as done or cancelled.
-pub(crate) fn is_final(jobs: &JobCache, id: &JobId) -> bool {
-    (jobs.job(id)).is_some_and(|known| known.record.is_final())
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/api/read_confirmation/tests.rs
+++ b/crates/core/src/api/read_confirmation/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
-use crate::io::RequestOrigin;
-use crate::io::{ReqId, UserRequest};
+use crate::io::{ReqId, RequestOrigin, UserRequest};
 use crate::store::records::JobRecord;
 use crate::testing::{job, NOW};
 use rudderreel_wire::job::{JobSpec, JobState};
--- a/crates/core/src/api/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -62,10 +62,8 @@
     pub(crate) confirmation_queue: ConfirmationQueue,
     /// Jobs that are being cancelled since a dependency of theirs is.
     cancelling: BTreeSet<JobId>,
-    /// Users' requests that a peer was asked to serve.
+    /// Requests that a peer was asked to serve, users' and administrators'.
     forwarded: BTreeSet<ReqId>,
-    /// Administrators' requests that the leader was asked to serve.
-    forwarded_to_leader: BTreeSet<ReqId>,
     /// How long answers took.
     latency: Latency,
     /// Calls to the state service that are under way for users.
@@ -199,21 +197,14 @@
         self.cancelling.remove(id);
     }
 
-    /// A user's request was forwarded to a peer.
-    pub fn forwarded_to_peer(&mut self, id: ReqId) {
+    /// A request was forwarded to a peer.
+    pub fn forward_begun(&mut self, id: ReqId) {
         self.forwarded.insert(id);
     }
 
-    /// An administrator's request was forwarded to the leader.
-    pub fn forwarded_to_leader(&mut self, id: ReqId) {
-        self.forwarded_to_leader.insert(id);
-    }
-
     /// A forwarded request was answered. Returns false if none of this id was forwarded.
     pub fn forward_ended(&mut self, id: ReqId) -> bool {
-        let was_users = self.forwarded.remove(&id);
-        let was_administrators = self.forwarded_to_leader.remove(&id);
-        was_users || was_administrators
+        self.forwarded.remove(&id)
     }
 
     /// Records how long an answer took.
--- a/crates/core/src/api/user_requests/tests.rs
+++ b/crates/core/src/api/user_requests/tests.rs
@@ -50,8 +50,8 @@
 #[test]
 fn only_an_answer_to_a_forwarded_request_counts() {
     let mut requests = UserRequests::default();
-    requests.forwarded_to_peer(ReqId(1));
-    requests.forwarded_to_leader(ReqId(2));
+    requests.forward_begun(ReqId(1));
+    requests.forward_begun(ReqId(2));
     assert!(requests.forward_ended(ReqId(1)));
     assert!(!requests.forward_ended(ReqId(1)));
     assert!(requests.forward_ended(ReqId(2)));
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -78,11 +78,16 @@
     }
 
     /// Whether a job is known to be cancelled.
-    pub(super) fn is_cancelled(&self, id: &JobId) -> bool {
+    pub fn is_cancelled(&self, id: &JobId) -> bool {
         let known = self.jobs.get(id);
         known.is_some_and(|known| known.record.state == JobState::Cancelled)
     }
 
+    /// Whether a job is known to be done or cancelled.
+    pub fn is_final(&self, id: &JobId) -> bool {
+        (self.jobs.get(id)).is_some_and(|known| known.record.is_final())
+    }
+
     /// Which unfinished jobs need which others.
     pub fn graph(&self) -> &DependencyGraph {
         &self.graph
--- a/crates/core/src/jobs/cascade.rs
+++ b/crates/core/src/jobs/cascade.rs
@@ -14,7 +14,6 @@
 use crate::store::transactions::{condition, put};
 use crate::units::Now;
 use rudderreel_wire::ids::{JobId, Version};
-use rudderreel_wire::job::JobState;
 use rudderreel_wire::state::Transaction;
 
 /// Jobs that are looked at in one go: the rest follows with the next.
@@ -36,15 +35,12 @@
         limits: &StoreLimits,
         now: Now,
     ) -> Vec<CascadeCancellation> {
-        let is_cancelled = |id: &&JobId| {
-            (cache.job(id)).is_some_and(|known| known.record.state == JobState::Cancelled)
-        };
         let mut due: Vec<CascadeCancellation> = (cache.graph().awaiting_cascade())
             .filter(|id| !self.cascading.contains(*id))
             .take(MAX_JOBS_PER_PASS)
             .filter_map(|id| {
                 let known = cache.job(id)?;
-                let dependency = known.dependencies().iter().find(is_cancelled)?;
+                let dependency = (known.dependencies().iter()).find(|id| cache.is_cancelled(id))?;
                 Some(CascadeCancellation {
                     id: id.clone(),
                     version: known.version,
--- a/crates/core/src/jobs/job_table.rs
+++ b/crates/core/src/jobs/job_table.rs
@@ -5,6 +5,7 @@
 use rudderreel_wire::ids::JobId;
 use std::collections::btree_map::{Iter, Values, ValuesMut};
 use std::collections::{BTreeMap, BTreeSet};
+#[cfg(test)]
 use std::ops::Index;
 
 /// The jobs, by id.
@@ -68,6 +69,8 @@
     }
 }
 
+/// For tests: it panics if there is no such job.
+#[cfg(test)]
 impl Index<&JobId> for JobTable {
     type Output = Job;
 
--- a/crates/core/src/leadership/election/lease_votes.rs
+++ b/crates/core/src/leadership/election/lease_votes.rs
@@ -1,7 +1,6 @@
 //! Lease votes: how agents keep their leases in an outage of the store (the argument is in [`super`]).
 
-use super::Election;
-use crate::leadership::election::{LEADER_SILENCE_TIMEOUT, LEASE_VOTE_TTL};
+use super::{Election, LEADER_SILENCE_TIMEOUT, LEASE_VOTE_TTL};
 use crate::units::Time;
 use rudderreel_wire::ids::{Epoch, NodeName};
 
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -12,14 +12,14 @@
 use crate::leader::Leader;
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
-use crate::overload::fleet_limits::FleetLimits;
 use crate::store::calls::CallPriority;
 use crate::store::records::ADMIN_SETTINGS_KEY;
+use crate::store::transactions::{condition, put};
 use crate::units::Now;
 use rudderreel_wire::admin::{AdminSettings, Versioned};
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::peer::Forward;
-use rudderreel_wire::state::{Change, Condition, Transaction};
+use rudderreel_wire::state::Transaction;
 
 /// HTTP status.
 const OK: u16 = 200;
@@ -80,9 +80,7 @@
 
     fn leads_surely(&self, leader: &Leader, now: Now) -> bool {
         let store_reachable = self.election.store_reachable(now.time);
-        leader
-            .term
-            .may_answer_agents(now.time, store_reachable, self.election.majority())
+        (leader.term).may_answer_agents(now.time, store_reachable, self.election.majority())
     }
 
     fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, origin: RequestOrigin) {
@@ -95,7 +93,7 @@
                     req,
                     request: forward,
                 });
-                self.user_requests.forwarded_to_leader(req);
+                self.user_requests.forward_begun(req);
             }
             _ => self.refuse(req, Refusal::NoLeader),
         }
@@ -112,15 +110,8 @@
             return self.refuse(req, Refusal::StoreUnreachable);
         }
         let transaction = Transaction {
-            conditions: vec![Condition {
-                key: ADMIN_SETTINGS_KEY.into(),
-                version: new.version,
-            }],
-            changes: vec![Change::Put {
-                key: ADMIN_SETTINGS_KEY.into(),
-                value: serde_json::to_value(&new.settings).unwrap_or_default(),
-                lease: None,
-            }],
+            conditions: vec![condition(ADMIN_SETTINGS_KEY.into(), new.version)],
+            changes: vec![put(ADMIN_SETTINGS_KEY.into(), &new.settings)],
         };
         let purpose = PendingCall::ReplaceAdminSettings(req, Box::new(new.settings));
         self.store_calls
@@ -162,9 +153,7 @@
         log::info!("operators' settings applied version={version}");
         self.admin_settings = Versioned { version, settings };
         if let Some(leader) = self.leader.as_mut() {
-            leader
-                .policy
-                .apply(self.tree.clone(), &self.admin_settings.settings);
+            (leader.policy).apply(self.tree.clone(), &self.admin_settings.settings);
         }
     }
 
@@ -179,7 +168,7 @@
             state_service_answers: self.election.store_reachable(now.time),
             jobs_known: self.job_cache.job_count(),
             unreadable_records: self.job_cache.unreadable_records(),
-            connections_for: FleetLimits::of(&self.settings),
+            connections_for: self.fleet_limits,
             backlog: self.backlog.summary(now.time),
             answers_ms: self.user_requests.latency().summary(),
             leader_view: leader.map_or_else(LeaderOverview::default, LeaderOverview::of),
--- a/crates/core/src/node/admission.rs
+++ b/crates/core/src/node/admission.rs
@@ -1,7 +1,6 @@
 //! Carries out the admission of submissions: reads of what they depend on, and the commits that create jobs.
 
 use crate::api::admission::{Admission, ConfirmedDependencies, Creation, Feasibility, NewJob};
-use crate::api::read_confirmation::is_final;
 use crate::api::refusal::Refusal;
 use crate::api::user_requests::{PendingRequest, UserCall};
 use crate::io::{json, StoreAnswer, StoreCall, UserRequest};
@@ -90,7 +89,7 @@
                 // Another node may have read it and cancelled it meanwhile, or what it depends on.
                 let is_unconfirmed = job.confirms == ConfirmedDependencies::None;
                 let is_cancelled = self.job_cache.ancestry_of(&id).cancelled.is_some();
-                if is_final(&self.job_cache, &id) || is_unconfirmed || is_cancelled {
+                if self.job_cache.is_final(&id) || is_unconfirmed || is_cancelled {
                     return self.respond_to_read(request, now);
                 }
                 let state = JobState::Queued;
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -48,10 +48,10 @@
             StoreAnswer::Committed(version) => self.cascade_committed(jobs, version, now),
             // Not carried out: the jobs are due again.
             StoreAnswer::Refused | StoreAnswer::Rejected => {}
-            StoreAnswer::Conflict(keys) => self.read_jobs(
+            StoreAnswer::Conflict(keys) => self.reread_jobs(
                 (jobs.into_iter().map(|(id, _)| id)).filter(|id| keys.contains(&job_key(id))),
             ),
-            _ => self.read_jobs(jobs.into_iter().map(|(id, _)| id)),
+            _ => self.reread_jobs(jobs.into_iter().map(|(id, _)| id)),
         }
     }
 
@@ -67,12 +67,4 @@
             leader.request_cycle(now.time);
         }
     }
-
-    /// Reads what jobs' keys hold after a commit that failed.
-    fn read_jobs(&mut self, ids: impl Iterator<Item = JobId>) {
-        for id in ids {
-            let call = StoreCall::Get(job_key(&id));
-            self.call_store_as_leader(call, LeaderCall::RereadJob(id));
-        }
-    }
 }
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -72,7 +72,7 @@
     }
 
     /// Reads the records of jobs whose commit failed or has an unknown outcome.
-    fn reread_jobs(&mut self, ids: Vec<JobId>) {
+    pub(super) fn reread_jobs(&mut self, ids: impl IntoIterator<Item = JobId>) {
         for id in ids {
             let call = StoreCall::Get(job_key(&id));
             self.call_store_as_leader(call, LeaderCall::RereadJob(id));
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -79,9 +79,7 @@
     fn become_leader(&mut self, win: ElectionWin, now: Now) {
         log::info!("became leader epoch={}", win.epoch);
         let mut leader = Leader::new(&self.settings, self.tree.clone(), win, now.time);
-        leader
-            .policy
-            .apply(self.tree.clone(), &self.admin_settings.settings);
+        (leader.policy).apply(self.tree.clone(), &self.admin_settings.settings);
         leader.store_limits = self.limits;
         let seen = std::mem::take(&mut self.leader_partitioned_zones);
         (leader.fleet.partitioned_zones).set_seen_by_earlier_leader(seen);
@@ -128,7 +126,7 @@
     }
 
     /// Whether the key that this leader holds is among some.
-    pub(crate) fn names_leader_key(&self, keys: &[String]) -> bool {
+    fn names_leader_key(&self, keys: &[String]) -> bool {
         let held = self.leader.as_ref().map(|leader| leader.term.key().name());
         keys.iter().any(|key| Some(key.as_str()) == held)
     }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -105,10 +105,8 @@
         } else {
             VoteRequester::StandIn
         };
-        let grants_lease_vote = is_caught_up
-            && self
-                .election
-                .grant_lease_vote(now.time, heartbeat.epoch, requester);
+        let grants_lease_vote =
+            is_caught_up && (self.election).grant_lease_vote(now.time, heartbeat.epoch, requester);
         // Only an outage of the store makes lease votes, and catching up by them, needed.
         let catchup = catchup.filter(|_| !self.election.store_reachable(now.time));
         self.election.observe_epoch(heartbeat.epoch, now.time);
--- a/crates/core/src/node/read_confirmation/tests.rs
+++ b/crates/core/src/node/read_confirmation/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
-use crate::io::RequestOrigin;
-use crate::io::{Output, ReqId, UserRequest};
+use crate::io::{Output, ReqId, RequestOrigin, UserRequest};
 use crate::testing::{settings, NOW};
 use rudderreel_wire::settings::StateLimits;
 
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -1,12 +1,10 @@
 //! Carries out users' requests: receives them, calls the state service for them, forwards, answers and refuses them.
 
 use crate::api::admission::{put_job, Feasibility};
-use crate::api::read_confirmation::is_final;
 use crate::api::refusal::Refusal;
 use crate::api::user_requests::{PendingRequest, UserCall};
 use crate::cache::job_cache::KnownJob;
-use crate::io::RequestOrigin;
-use crate::io::{Output, ReqId, StoreAnswer, StoreCall, UserRequest};
+use crate::io::{Output, ReqId, RequestOrigin, StoreAnswer, StoreCall, UserRequest};
 use crate::node::pending_call::PendingCall;
 use crate::node::Node;
 use crate::store::calls::CallPriority;
@@ -33,7 +31,7 @@
         if !self.user_requests.has_room(self.store_calls.rate()) || self.store_calls.is_behind() {
             return self.refuse(request.id(), Refusal::TooManyOpenRequests);
         }
-        if is_final(&self.job_cache, request.job()) {
+        if self.job_cache.is_final(request.job()) {
             return self.respond(request, now);
         }
         if !self.election.store_reachable(now.time) {
@@ -44,7 +42,7 @@
 
     /// Serves a request by what the cache says of its job.
     pub(crate) fn serve(&mut self, request: PendingRequest, now: Now) {
-        if is_final(&self.job_cache, request.job()) {
+        if self.job_cache.is_final(request.job()) {
             return self.respond(request, now);
         }
         let known = self.job_cache.job(request.job()).cloned();
@@ -243,7 +241,7 @@
                     req: id,
                     request: request.to_forward(),
                 });
-                self.user_requests.forwarded_to_peer(id);
+                self.user_requests.forward_begun(id);
             }
             _ => self.refuse(request.id(), Refusal::StoreUnreachable),
         }
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -2,8 +2,7 @@
 //! then the machine types. Also what the gate has this node refuse.
 
 use crate::api::refusal::Refusal;
-use crate::io::RequestOrigin;
-use crate::io::{ReqId, StoreAnswer, StoreCall, UserRequest, Value};
+use crate::io::{ReqId, RequestOrigin, StoreAnswer, StoreCall, UserRequest, Value};
 use crate::leadership::step_down_reason::StepDownReason;
 use crate::leadership::version_gate::{VersionGateStep, KEY_MOVE_RETRY_INTERVAL};
 use crate::node::pending_call::LeaderCall;
@@ -81,10 +80,7 @@
 
     /// The answer to the call of the present step.
     pub(super) fn version_gate_answered(&mut self, answer: StoreAnswer, now: Now) {
-        let step = self
-            .leader
-            .as_ref()
-            .map(|leader| leader.term.version_gate());
+        let step = (self.leader.as_ref()).map(|leader| leader.term.version_gate());
         match step {
             Some(VersionGateStep::MovingKey) => self.key_move_answered(answer, now),
             Some(VersionGateStep::VerifyingKey) => self.key_verified(answer, now),
--- a/crates/core/src/placement_log/commit.rs
+++ b/crates/core/src/placement_log/commit.rs
@@ -7,7 +7,7 @@
 use crate::jobs::job_table::JobTable;
 use crate::leadership::term::Term;
 use crate::store::records::{segment_key, SegmentId, SegmentRecord};
-use crate::store::transactions::{condition, put};
+use crate::store::transactions::{condition, delete, put};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{MachineId, TaskId, Version};
 use rudderreel_wire::state::{Change, Transaction};
@@ -54,9 +54,7 @@
     pub(super) fn transaction(&self, segment: SegmentId, term: &Term) -> Transaction<Value> {
         let mut conditions = vec![term.key_condition()];
         let mut changes: Vec<Change<Value>> = (self.deletes.iter())
-            .map(|deleted| Change::Delete {
-                key: segment_key(*deleted),
-            })
+            .map(|deleted| delete(segment_key(*deleted)))
             .collect();
         if !self.is_deletion_only() {
             conditions.push(condition(segment_key(segment), Version(0)));
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -12,6 +12,15 @@
 /// cancellations are sent in batches, and task counts are cut.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
+/// Path of [`Heartbeat`] on a node's server for peers.
+pub const HEARTBEAT_PATH: &str = "/peer/heartbeat";
+/// Path of [`ReplicateCancellations`].
+pub const REPLICATE_CANCELLATIONS_PATH: &str = "/peer/announce";
+/// Path of [`ForwardedReports`].
+pub const FORWARDED_REPORTS_PATH: &str = "/peer/reports";
+/// Path of [`Forward`].
+pub const FORWARD_PATH: &str = "/peer/forward";
+
 /// A heartbeat. It is sent to every other node a few times a second.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Heartbeat {
