--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -21,7 +21,7 @@
 const WATCH_LOOKS: Duration = Duration::from_millis(5);
 
 /// How often a thread looks whether the test is over.
-const TASK_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const END_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long machines take to come up, at least and at most.
 const BOOT_MS: (u64, u64) = (200, 500);
 
@@ -113,7 +113,7 @@
         let (server, stand_ins, answer) = (server.clone(), stand_ins.clone(), answer.clone());
         std::thread::spawn(move || {
             while !stand_ins.is_over() {
-                let Ok(Some(mut request)) = server.recv_timeout(TASK_POLL_INTERVAL) else {
+                let Ok(Some(mut request)) = server.recv_timeout(END_POLL_INTERVAL) else {
                     continue;
                 };
                 let mut body = String::new();
@@ -276,7 +276,7 @@
                     agents.insert(id, agent);
                 }
             }
-            std::thread::sleep(TASK_POLL_INTERVAL);
+            std::thread::sleep(END_POLL_INTERVAL);
         }
     }
 }
--- a/crates/controller/tests/loopback/team_limits.rs
+++ b/crates/controller/tests/loopback/team_limits.rs
@@ -27,8 +27,8 @@
 const TEAMS: [(&str, f64); 2] = [("red", 10.0), ("blue", 14.0)];
 /// How long a task runs.
 const TASK: Duration = Duration::from_millis(700);
-/// Troubles of a run, and the pause between two.
-const TROUBLES: usize = 3;
+/// Faults of a run, and the pause between two.
+const FAULTS: usize = 3;
 const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
 /// How long a controller stands still: longer than the leader's lease or not.
 const FREEZE_MS: std::ops::Range<u64> = 500..6_000;
@@ -145,13 +145,11 @@
 /// One fault: the leader or any controller freezes, ends, or is refused by the store.
 fn inject_fault(rng: &mut StdRng, controllers: &mut [Controller], outside: &Outside) {
     let leader = outside.leader();
-    let leadership_condition = controllers
+    let leading = controllers
         .iter()
         .position(|c| Some(&c.name) == leader.as_ref());
     let any = rng.random_range(0..controllers.len());
-    let at = leadership_condition
-        .filter(|_| rng.random_bool(0.7))
-        .unwrap_or(any);
+    let at = leading.filter(|_| rng.random_bool(0.7)).unwrap_or(any);
     match rng.random_range(0..3) {
         0 => {
             controllers[at].freeze();
@@ -202,7 +200,7 @@
         })
         .collect();
     let mut leaders = std::collections::BTreeSet::new();
-    for _ in 0..TROUBLES {
+    for _ in 0..FAULTS {
         sleep_ms(rng.random_range(PAUSE_MS));
         leaders.extend(outside.leader());
         inject_fault(&mut rng, &mut controllers, &outside);
--- a/crates/core/tests/layers.rs
+++ b/crates/core/tests/layers.rs
@@ -77,8 +77,10 @@
         let own = rank(&layer).unwrap_or_else(|| panic!("{layer} has no place among the layers"));
         let text = fs::read_to_string(&source).expect("a source");
         for used in imports(&text) {
-            let allowed = rank(&used).is_none_or(|used| used <= own);
-            assert!(allowed, "{} imports {used}", source.display());
+            // What is imported from the root, or in braces, has no place either.
+            let used_rank = rank(&used)
+                .unwrap_or_else(|| panic!("{} imports `{used}` of the crate", source.display()));
+            assert!(used_rank <= own, "{} imports {used}", source.display());
         }
         seen.insert(layer);
     }
--- a/crates/core/tests/sim/cancellations_in_outages.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -55,7 +55,7 @@
     Withdrawal,
     Poll,
     RepeatedSubmission,
-    ForwardReply,
+    Forwarded,
 }
 
 /// What else goes wrong.
@@ -94,7 +94,7 @@
 /// Asks until the user is told that a job is cancelled, or a moment has come.
 fn ask_until_told(world: &mut World, node: usize, id: &JobId, path: Path, until: u64) {
     let action = match path {
-        Path::Withdrawal | Path::ForwardReply => UserAction::Cancel,
+        Path::Withdrawal | Path::Forwarded => UserAction::Cancel,
         Path::Poll => UserAction::Status,
         Path::RepeatedSubmission => UserAction::Submit,
     };
@@ -120,12 +120,12 @@
         world.cloud.down = true;
     }
     world.cut_from_store(old, end);
-    let action = node(1);
-    if case.path == Path::ForwardReply {
-        world.cut_from_store(action, end);
+    let teller = node(1);
+    if case.path == Path::Forwarded {
+        world.cut_from_store(teller, end);
     }
     if also == Also::OnlyTellerServed {
-        world.cut_pairs.push((old, action));
+        world.cut_pairs.push((old, teller));
         (2..case.nodes).for_each(|n| world.cut_from_store(node(n), end));
     }
     world.run_until(world.now + 500);
@@ -133,7 +133,7 @@
         Path::Withdrawal => {}
         Path::Poll | Path::RepeatedSubmission => world.withdraw_and_leave(node(2), &ids[0]),
         // The store refused it with the leader, and it has noticed that by now.
-        Path::ForwardReply => world.run_until(world.now + 800),
+        Path::Forwarded => world.run_until(world.now + 800),
     }
     if also == Also::AnotherReturns {
         world.end_for(node(2), 100);
@@ -141,13 +141,13 @@
     // The old leader's lease must not have ended when the service goes.
     let patience = match (also, case.path) {
         (Also::NoLinks, _) => 6_000,
-        (_, Path::ForwardReply) => 900,
+        (_, Path::Forwarded) => 900,
         _ => 1_600,
     };
     let latest = world.now + patience;
-    ask_until_told(&mut world, action, &ids[0], case.path, latest);
+    ask_until_told(&mut world, teller, &ids[0], case.path, latest);
     if also == Also::TellerEnds {
-        world.end_for(action, 90_000);
+        world.end_for(teller, 90_000);
     }
     world.run_until(latest);
     let leads = world.leader();
@@ -192,7 +192,7 @@
         Path::Withdrawal,
         Path::Poll,
         Path::RepeatedSubmission,
-        Path::ForwardReply,
+        Path::Forwarded,
     ];
     for (n, path) in paths.into_iter().enumerate() {
         for (nodes, spread) in [(3, false), (5, false), (5, true)] {
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -136,8 +136,8 @@
     // Its lease of 3 s, the election, and a little.
     world.run_until(world.now + 8_000);
     let id = world.agents.keys().next().cloned().expect("a machine");
-    let action = world.inject(old, report(&id, 1, 1));
-    assert_ne!(action, 200, "the cut node answers workers");
+    let status = world.inject(old, report(&id, 1, 1));
+    assert_ne!(status, 200, "the cut node answers workers");
     let (status, _) = world.admin(old, rudderreel_core::AdminRequest::Teams);
     assert_eq!(status, 503, "it takes itself for the leader");
     let new = world.leader().expect("another leader");
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -8,7 +8,7 @@
 struct Meeting {
     name: &'static str,
     /// What comes, and which two must have met.
-    faults_seen: &'static [Fault],
+    faults: &'static [Fault],
     met: (Fault, Fault),
     scenario: fn(&mut Scenario),
 }
@@ -19,7 +19,7 @@
 fn as_usual(_: &mut Scenario) {}
 
 /// Brings a meeting about, with three nodes and with five.
-fn inject_fault(meetings: &[Meeting]) {
+fn play_meetings(meetings: &[Meeting]) {
     for (n, meeting) in meetings.iter().enumerate() {
         for nodes in [3, 5] {
             let seed = 800 + 10 * n as u64 + nodes as u64;
@@ -41,7 +41,7 @@
     let mut scenario = Scenario {
         nodes,
         spread: seed % 20 >= 10,
-        only: meeting.faults_seen.to_vec(),
+        only: meeting.faults.to_vec(),
         jobs: 40,
         ..Scenario::default()
     };
@@ -92,16 +92,16 @@
 
 #[test]
 fn a_leader_ends() {
-    inject_fault(&[
+    play_meetings(&[
         Meeting {
             name: "new machines get work at once while writes lag",
-            faults_seen: &[SlowStore, LateWrites, LeaderCrashes],
+            faults: &[SlowStore, LateWrites, LeaderCrashes],
             met: (LateWrites, LeaderCrashes),
             scenario: quick_boots,
         },
         Meeting {
             name: "machines with long tasks can't be reached, or hear nobody",
-            faults_seen: &[
+            faults: &[
                 LeaderCrashes,
                 MachinesPartitioned,
                 MachinesUnreachable,
@@ -112,13 +112,13 @@
         },
         Meeting {
             name: "jobs of several tasks end far apart",
-            faults_seen: &[LeaderCrashes, NodeCrashes],
+            faults: &[LeaderCrashes, NodeCrashes],
             met: (LeaderCrashes, LeaderCrashes),
             scenario: uneven,
         },
         Meeting {
             name: "leaders change again and again, also in an outage",
-            faults_seen: &[
+            faults: &[
                 LeaderCrashes,
                 LeaderCrashes,
                 StoreRefusesLeader,
@@ -130,7 +130,7 @@
         },
         Meeting {
             name: "controllers hand over and back, all end, one returns at once",
-            faults_seen: &[
+            faults: &[
                 LeaderCrashes,
                 AllNodesCrash,
                 AllNodesRestartQuickly,
@@ -141,7 +141,7 @@
         },
         Meeting {
             name: "all controllers are away for longer than a lease",
-            faults_seen: &[AllNodesAway, JobsCancelled, NodeRestartsQuickly],
+            faults: &[AllNodesAway, JobsCancelled, NodeRestartsQuickly],
             met: (AllNodesAway, JobsCancelled),
             scenario: uneven,
         },
@@ -150,52 +150,52 @@
 
 #[test]
 fn jobs_are_cancelled() {
-    inject_fault(&[
+    play_meetings(&[
         Meeting {
             name: "while one controller's work changes hands",
-            faults_seen: &[JobsCancelled, JobsCancelled, LeaderCrashes, RapidStatusRequests],
+            faults: &[JobsCancelled, JobsCancelled, LeaderCrashes, RapidStatusRequests],
             met: (JobsCancelled, LeaderCrashes),
             scenario: uneven,
         },
         Meeting {
             name: "while machines hang or are cut off, all teams are at their limits and the leader changes",
-            faults_seen: &[JobsCancelled, MachinesHang, MachinesPartitioned, LeaderCrashes],
+            faults: &[JobsCancelled, MachinesHang, MachinesPartitioned, LeaderCrashes],
             met: (JobsCancelled, TeamsAtLimit),
             scenario: full,
         },
         Meeting {
             name: "while the state service refuses the leader, or everybody, or is slow",
-            faults_seen: &[JobsCancelled, StoreRefusesLeader, StoreDown, StoreBack, SlowStore, RapidStatusRequests],
+            faults: &[JobsCancelled, StoreRefusesLeader, StoreDown, StoreBack, SlowStore, RapidStatusRequests],
             met: (JobsCancelled, StoreRefusesLeader),
             scenario: uneven,
         },
         Meeting {
             name: "through another node while the leader hears only workers and users",
-            faults_seen: &[JobsCancelled, LeaderReachesOnlyAgents, RapidStatusRequests],
+            faults: &[JobsCancelled, LeaderReachesOnlyAgents, RapidStatusRequests],
             met: (JobsCancelled, LeaderReachesOnlyAgents),
             scenario: uneven,
         },
         Meeting {
             name: "at the end of their last task",
-            faults_seen: &[JobsCancelledAtCompletion, RapidStatusRequests],
+            faults: &[JobsCancelledAtCompletion, RapidStatusRequests],
             met: (JobsCancelledAtCompletion, RapidStatusRequests),
             scenario: as_usual,
         },
         Meeting {
             name: "four a second, a quarter of them, of one task",
-            faults_seen: &[RapidStatusRequests, JobsCancelledAtCompletion, LeaderCrashes],
+            faults: &[RapidStatusRequests, JobsCancelledAtCompletion, LeaderCrashes],
             met: (RapidStatusRequests, LeaderCrashes),
             scenario: rush,
         },
         Meeting {
             name: "while a zone with a controller is cut off for longer than a lease",
-            faults_seen: &[ZonePartitioned, JobsCancelled],
+            faults: &[ZonePartitioned, JobsCancelled],
             met: (ZonePartitioned, JobsCancelled),
             scenario: uneven,
         },
         Meeting {
             name: "whose machines can't report but can be commanded",
-            faults_seen: &[MachinesUnableToReport, JobsCancelled, LeaderCrashes],
+            faults: &[MachinesUnableToReport, JobsCancelled, LeaderCrashes],
             met: (MachinesUnableToReport, JobsCancelled),
             scenario: uneven,
         },
@@ -204,34 +204,34 @@
 
 #[test]
 fn messages_are_late() {
-    inject_fault(&[
+    play_meetings(&[
         Meeting {
             name: "a report reaches every node as a new leader begins",
-            faults_seen: &[ReportsHeldForNextLeader, LeaderCrashes],
+            faults: &[ReportsHeldForNextLeader, LeaderCrashes],
             met: (ReportsHeldForNextLeader, LeaderCrashes),
             scenario: uneven,
         },
         Meeting {
             name: "old reports after newer ones, also of earlier sessions",
-            faults_seen: &[LateReports, MachinesReboot, MachinesPartitioned],
+            faults: &[LateReports, MachinesReboot, MachinesPartitioned],
             met: (LateReports, MachinesReboot),
             scenario: as_usual,
         },
         Meeting {
             name: "transactions carried out late, after newer ones of the same node",
-            faults_seen: &[LateWrites, JobsCancelled, NodeRestartsQuickly],
+            faults: &[LateWrites, JobsCancelled, NodeRestartsQuickly],
             met: (LateWrites, JobsCancelled),
             scenario: as_usual,
         },
         Meeting {
             name: "transactions carried out whose answers are lost, while others read them",
-            faults_seen: &[LostAnswers, RapidStatusRequests, JobsCancelledAtCompletion],
+            faults: &[LostAnswers, RapidStatusRequests, JobsCancelledAtCompletion],
             met: (LostAnswers, RapidStatusRequests),
             scenario: as_usual,
         },
         Meeting {
             name: "a command or its answer is held up, and the machine goes on",
-            faults_seen: &[MachinesHang, MachinesPartitioned, SlowLinks, JobsCancelled],
+            faults: &[MachinesHang, MachinesPartitioned, SlowLinks, JobsCancelled],
             met: (MachinesHang, JobsCancelled),
             scenario: uneven,
         },
@@ -240,16 +240,16 @@
 
 #[test]
 fn users_ask_much() {
-    inject_fault(&[
+    play_meetings(&[
         Meeting {
             name: "at all nodes within milliseconds, and repeat submissions",
-            faults_seen: &[RapidStatusRequests, LeaderCrashes, SlowStore],
+            faults: &[RapidStatusRequests, LeaderCrashes, SlowStore],
             met: (RapidStatusRequests, LeaderCrashes),
             scenario: as_usual,
         },
         Meeting {
             name: "odd things, in every state of leadership",
-            faults_seen: &[
+            faults: &[
                 InvalidRequests,
                 LeaderCrashes,
                 StoreDown,
@@ -261,13 +261,13 @@
         },
         Meeting {
             name: "for more than there is, urgent and not, over slow links",
-            faults_seen: &[SlowLinks, SlowLinks, JobsCancelled],
+            faults: &[SlowLinks, SlowLinks, JobsCancelled],
             met: (SlowLinks, JobsCancelled),
             scenario: full,
         },
         Meeting {
             name: "for jobs bound to a zone that loses machines",
-            faults_seen: &[
+            faults: &[
                 MachinesReboot,
                 MachinesPartitioned,
                 MachinesHang,
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// After so long the sender of commands gives up.
+const UNANSWERED_AFTER_MS: u64 = 800;
+
 impl World {
     /// The tasks of a gang find one another by their attempt: they start together, and notice when
     /// one of them is gone.
@@ -36,6 +39,16 @@
         }
     }
 
+    /// The sender gets no answer to its commands.
+    fn direct_unanswered(&mut self, node: usize, life: u32, id: MachineId, body: DirectCommands) {
+        let input = Input::Direct {
+            machine: id,
+            commands: body,
+            outcome: DirectOutcome::Unknown,
+        };
+        self.after(UNANSWERED_AFTER_MS, Event::Input(node, life, input));
+    }
+
     pub(super) fn direct(
         &mut self,
         node: usize,
@@ -49,32 +62,17 @@
         let cut = apart || self.now < self.nodes[node].cut_from_agents_until;
         let deaf = (self.agents.get(&id)).is_some_and(|w| w.unreachable_until > self.now);
         if deaf && !late {
-            let input = Input::Direct {
-                machine: id,
-                commands: body,
-                outcome: DirectOutcome::Unknown,
-            };
-            return self.after(800, Event::Input(node, life, input));
+            return self.direct_unanswered(node, life, id, body);
         }
         let hung = (self.agents.get(&id)).map_or(0, |w| w.hangs_until);
         if hung > self.now {
             // Carried out when it goes on; the sender has given up by then.
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
             self.after(hung - self.now, held);
-            let input = Input::Direct {
-                machine: id,
-                commands: body,
-                outcome: DirectOutcome::Unknown,
-            };
-            return self.after(800, Event::Input(node, life, input));
+            return self.direct_unanswered(node, life, id, body);
         }
         let Some(agent) = self.agents.get_mut(&id) else {
-            let input = Input::Direct {
-                machine: id,
-                commands: body,
-                outcome: DirectOutcome::Unknown,
-            };
-            return self.after(800, Event::Input(node, life, input));
+            return self.direct_unanswered(node, life, id, body);
         };
         if !late
             && (cut
@@ -85,12 +83,7 @@
             let delay = self.rng.random_range(1_000..9_000);
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
             self.after(delay, held);
-            let input = Input::Direct {
-                machine: id,
-                commands: body,
-                outcome: DirectOutcome::Unknown,
-            };
-            return self.after(800, Event::Input(node, life, input));
+            return self.direct_unanswered(node, life, id, body);
         }
         agent.expire(self.now, self.scenario.lease_s * 1_000);
         let done = body.token >= agent.token && body.incarnation == agent.incarnation;
@@ -185,7 +178,7 @@
         let sent = self.now;
         let req = self.ask(
             node,
-            Requester::SimulatedAgent(id.clone(), sent | (incarnation << 48)),
+            Requester::Agent(id.clone(), sent | (incarnation << 48)),
         );
         let late = self.random_faults && self.rng.random_bool(0.02);
         let hop = if late {
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    /// A step of the core, measured if the plan says so.
+    /// A step of the core, measured if the scenario says so.
     pub(super) fn measured_step(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
         if !self.scenario.measures {
             return self.step_core(node, input, now);
--- a/crates/core/tests/sim/world/mod.rs
+++ b/crates/core/tests/sim/world/mod.rs
@@ -30,9 +30,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_core::units::{Now, Time, Wall};
-use rudderreel_core::{AdminRequest, RequestOrigin};
 use rudderreel_core::{
-    CallId, CloudAnswer, DirectOutcome, Input, Node, Output, ReqId, StoreAnswer, UserRequest,
+    AdminRequest, CallId, CloudAnswer, DirectOutcome, Input, Node, Output, ReqId, RequestOrigin,
+    StoreAnswer, UserRequest,
 };
 use rudderreel_wire::admin::AdminSettings;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, NodeName, Version};
@@ -51,7 +51,7 @@
 
 /// Who waits for the answer to a request.
 enum Requester {
-    SimulatedAgent(MachineId, u64),
+    Agent(MachineId, u64),
     User(JobId, UserAction, u64),
     Peer(usize, ReqId),
     Heartbeat(usize, Time),
@@ -217,7 +217,7 @@
         Self::of(seed, Scenario::default())
     }
 
-    /// A world by a plan.
+    /// A world by a scenario.
     pub fn of(seed: u64, scenario: Scenario) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings: Vec<Settings> = (0..scenario.nodes).map(|n| scenario.settings(n)).collect();
@@ -368,7 +368,7 @@
                     let input = Input::ForwardReply(req, None);
                     return self.after(500, Event::Input(from, life, input));
                 }
-                let action = self.ask(to, Requester::Peer(from, req));
+                let forwarded = self.ask(to, Requester::Peer(from, req));
                 let any = SenderVersion::KnowsDependencies;
                 let (request, sender) = match forward {
                     Forward::Submit(text) => {
@@ -380,7 +380,7 @@
                         return self.step(
                             to,
                             Input::Admin {
-                                req: action,
+                                req: forwarded,
                                 request,
                                 origin: RequestOrigin::Peer,
                             },
@@ -392,7 +392,7 @@
                 self.step(
                     to,
                     Input::ForwardedRequest {
-                        req: action,
+                        req: forwarded,
                         request,
                         sender,
                     },
@@ -458,7 +458,7 @@
                 [400, 422, 503].contains(&status),
                 "{id} was accepted: {status} {body}"
             ),
-            Requester::SimulatedAgent(id, tag) => {
+            Requester::Agent(id, tag) => {
                 if let Ok(reply) = serde_json::from_str::<StatusReportReply>(&body) {
                     self.note_starts(&reply.commands);
                 }
--- a/crates/core/tests/sim/world/pipelines.rs
+++ b/crates/core/tests/sim/world/pipelines.rs
@@ -74,9 +74,9 @@
 
     /// A job that is told to be cancelled was cancelled by its user, or needs one that was.
     pub(super) fn check_cancelled(&self, id: &JobId) {
-        let action = |id: &JobId| self.jobs[id].cancel_requested;
+        let cancel_requested = |id: &JobId| self.jobs[id].cancel_requested;
         assert!(
-            action(id) || self.ancestors(id).iter().any(action),
+            cancel_requested(id) || self.ancestors(id).iter().any(cancel_requested),
             "went_back: nobody cancelled {id}"
         );
     }
--- a/crates/core/tests/sim/world/rule_checks.rs
+++ b/crates/core/tests/sim/world/rule_checks.rs
@@ -20,7 +20,7 @@
     /// its team is under its limit. Replicas run only within quota (docs/questions.md), so they are not
     /// looked at; nor are gangs, whose room must be there all at once.
     pub(super) fn check_waiting(&mut self) {
-        let Some(end_faults) = self
+        let Some(faults_ended_at) = self
             .faults_ended_at
             .filter(|_| !self.scenario.crowd && !self.scenario.large)
         else {
@@ -77,7 +77,7 @@
                 told.startable_since = None;
                 continue;
             }
-            let since = *told.startable_since.get_or_insert(now.max(end_faults));
+            let since = *told.startable_since.get_or_insert(now.max(faults_ended_at));
             assert!(now <= since + 90_000, "left waiting: {id} at {now}");
         }
     }
--- a/crates/wire/tests/recorded_forms.rs
+++ b/crates/wire/tests/recorded_forms.rs
@@ -21,16 +21,13 @@
 }
 
 /// Each value is written as its word, and read from it.
-fn assert_words<T>(lease_votes: &[(T, &str)])
+fn assert_words<T>(words: &[(T, &str)])
 where
     T: DeserializeOwned + Serialize + PartialEq + Debug,
 {
-    for (value, grants_lease_vote) in lease_votes {
-        assert_eq!(
-            serde_json::to_value(value).expect("JSON"),
-            json!(grants_lease_vote)
-        );
-        let read: T = serde_json::from_value(json!(grants_lease_vote)).expect(grants_lease_vote);
+    for (value, word) in words {
+        assert_eq!(serde_json::to_value(value).expect("JSON"), json!(word));
+        let read: T = serde_json::from_value(json!(word)).expect(word);
         assert_eq!(read, *value);
     }
 }
