--- a/crates/controller/src/runtime.rs
+++ b/crates/controller/src/runtime.rs
@@ -75,7 +75,7 @@
                 next_tick = self.tick(next_tick);
             } else if let Some(arrived) = inputs.next(wait) {
                 self.node
-                    .note_wait(self.clock.time(), to_span(arrived.waited));
+                    .record_input_wait(self.clock.time(), to_span(arrived.waited));
                 match arrived.given_up() {
                     Some(request) => self.outgoing.refuse_late(request),
                     None => self.step(arrived.input),
@@ -92,7 +92,8 @@
         let began = Instant::now();
         let late = began.saturating_duration_since(due);
         // A process that has used up its share is woken late; nothing in its queues shows that.
-        self.node.note_wait(self.clock.time(), to_span(late));
+        self.node
+            .record_input_wait(self.clock.time(), to_span(late));
         self.step(Input::Tick);
         let pause = (began.elapsed()).clamp(self.tick_interval, LONGEST_TICK_PAUSE);
         Instant::now() + pause
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -266,7 +266,7 @@
     }
 
     /// Tells how long the input has waited that comes next. A node that is behind answers before it decides.
-    pub fn note_wait(&mut self, at: Time, waited: Span) {
+    pub fn record_input_wait(&mut self, at: Time, waited: Span) {
         self.backlog.record_wait(at, waited);
     }
 
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -117,7 +117,7 @@
             let waited = self.now - since;
             let clock = self.clock(node).time;
             if let Some(core) = self.nodes[node].process.as_mut() {
-                core.note_wait(clock, Span(waited));
+                core.record_input_wait(clock, Span(waited));
                 self.take(node, input, waited);
             }
         }
