--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -1,4 +1,5 @@
-//! Carries out administrators' requests: answers them, asks the leader, and replaces the operators' settings.
+//! Carries out administrators' requests: answers them, forwards them to the leader, and replaces the operators'
+//! settings.
 
 use crate::api::admin::jobs::JobView;
 use crate::api::admin::machines::MachinesPage;
@@ -21,12 +22,12 @@
 use rudderreel_wire::peer::Forward;
 use rudderreel_wire::state::Transaction;
 
-/// HTTP status.
+/// HTTP status of a request that succeeded.
 const OK: u16 = 200;
 
 impl Node {
-    /// An administrator's request.
-    pub(crate) fn admin(
+    /// Handles an administrator's request.
+    pub(crate) fn admin_request_received(
         &mut self,
         req: ReqId,
         request: AdminRequest,
@@ -45,7 +46,7 @@
                     Ok(body) => self.answer(req, OK, body),
                     Err(refusal) => self.refuse(req, refusal),
                 },
-                None => self.ask_leader(req, &request, origin),
+                None => self.forward_to_leader(req, &request, origin),
             },
         }
     }
@@ -55,14 +56,14 @@
         self.answer(req, OK, body);
     }
 
-    /// The answer that only a leader can give, as JSON.
+    /// Returns the answer that only a leader can give, as JSON.
     fn answer_as_leader(
         &self,
         leader: &Leader,
         request: AdminRequest,
         now: Now,
     ) -> Result<String, Refusal> {
-        if !self.leads_surely(leader, now) {
+        if !self.is_leadership_certain(leader, now) {
             return Err(Refusal::LeadershipUncertain);
         }
         Ok(match request {
@@ -78,12 +79,12 @@
         })
     }
 
-    fn leads_surely(&self, leader: &Leader, now: Now) -> bool {
+    fn is_leadership_certain(&self, leader: &Leader, now: Now) -> bool {
         let store_reachable = self.election.store_reachable(now.time);
         (leader.term).may_answer_agents(now.time, store_reachable, self.election.majority())
     }
 
-    fn ask_leader(&mut self, req: ReqId, request: &AdminRequest, origin: RequestOrigin) {
+    fn forward_to_leader(&mut self, req: ReqId, request: &AdminRequest, origin: RequestOrigin) {
         let leader = self.job_cache.leader().map(|record| record.node.clone());
         match leader {
             Some(leader) if origin == RequestOrigin::Direct && self.peers.contains(&leader) => {
@@ -103,7 +104,7 @@
         if let Err(error) = settings::check(&new.settings, &self.platform_tree) {
             return self.refuse(req, error);
         }
-        if !self.limits.fits(&new.settings) {
+        if !self.store_limits.fits(&new.settings) {
             return self.refuse(req, Refusal::SettingsTooLarge);
         }
         if !self.election.store_reachable(now.time) {
@@ -118,7 +119,7 @@
             .enqueue(CallPriority::User, StoreCall::Commit(transaction), purpose);
     }
 
-    /// The answer to a change of settings.
+    /// Handles the answer to the commit that replaces the operators' settings.
     pub(crate) fn admin_settings_replaced(
         &mut self,
         req: ReqId,
@@ -136,14 +137,14 @@
         }
     }
 
-    /// Applies settings that were stored, unless newer ones are applied already.
+    /// Applies settings that were stored, unless the same or a newer version has been applied already.
     pub(crate) fn apply_admin_settings(&mut self, version: Version, settings: AdminSettings) {
         if version <= self.admin_settings.version {
             return;
         }
         match settings::check(&settings, &self.platform_tree) {
             Ok(tree) => self.tree = tree,
-            // The platform's file may have changed since they were stored.
+            // The platform's settings file may have changed since these settings were stored.
             Err(error) => {
                 return log::error!(
                     "operators' settings not applied version={version} reason={error}"
--- a/crates/core/src/node/admission.rs
+++ b/crates/core/src/node/admission.rs
@@ -1,4 +1,4 @@
-//! Carries out the admission of submissions: reads of what they depend on, and the commits that create jobs.
+//! Carries out the admission of submissions: reads the dependencies that this node does not know, and commits new jobs.
 
 use crate::api::admission::{Admission, ConfirmedDependencies, Creation, Feasibility, NewJob};
 use crate::api::refusal::Refusal;
@@ -10,7 +10,7 @@
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobAnswer, JobSpec, JobState};
 
-/// HTTP status of a submission that was accepted just now.
+/// HTTP status of a newly accepted submission.
 const CREATED: u16 = 201;
 
 impl Node {
@@ -19,16 +19,16 @@
             catalog: self.catalog.as_ref(),
             teams: &self.tree,
             jobs: &self.job_cache,
-            limits: &self.limits,
+            limits: &self.store_limits,
         }
     }
 
-    /// Whether a job can ever run.
+    /// Returns whether a job can ever run.
     pub(crate) fn feasibility(&self, spec: &JobSpec) -> Feasibility {
         self.admission().feasibility(spec)
     }
 
-    /// Creates a job that can run and is not known to be accepted.
+    /// Creates a job that can run and is not known to have been accepted.
     pub(crate) fn create_job(&mut self, request: PendingRequest, now: Now) {
         let UserRequest::Submit(spec) = request.request() else {
             return;
@@ -46,7 +46,7 @@
         self.user_call(call, UserCall::ReadDependency(request, id));
     }
 
-    /// The answer to a read of a job that a submission depends on.
+    /// Handles the answer to a read of a job that a submission depends on.
     pub(crate) fn dependency_read(
         &mut self,
         request: PendingRequest,
@@ -61,7 +61,7 @@
                 };
                 self.job_cache.update_job(id, item.version, record);
             }
-            // It was read before what the cache has learned since.
+            // The read is older than what the cache has learned since.
             StoreAnswer::Missing if self.job_cache.contains_job(&id) => {}
             StoreAnswer::Missing => {
                 return self.refuse(request.id(), Refusal::UnknownDependency(id));
@@ -74,7 +74,7 @@
         self.serve(request, now);
     }
 
-    /// The answer to a job's creation.
+    /// Handles the answer to the commit that creates a job.
     pub(crate) fn job_created(
         &mut self,
         request: PendingRequest,
@@ -86,7 +86,7 @@
             StoreAnswer::Committed(version) => {
                 let id = request.job().clone();
                 self.job_cache.update_job(id.clone(), version, job.record);
-                // Another node may have read it and cancelled it meanwhile, or what it depends on.
+                // Another node may have read the new job and cancelled it meanwhile, or a job that it depends on.
                 let is_unconfirmed = job.confirms == ConfirmedDependencies::None;
                 let is_cancelled = self.job_cache.ancestry_of(&id).cancelled.is_some();
                 if self.job_cache.is_final(&id) || is_unconfirmed || is_cancelled {
@@ -96,13 +96,13 @@
                 self.answer(request.id(), CREATED, json(&JobAnswer { id, state }));
             }
             StoreAnswer::Conflict(keys) => self.creation_conflicted(request, &keys, now),
-            // It may have been created, or may yet be: reading or creating it again is safe.
+            // The job may have been created, or may still be: reading or creating it again is safe.
             StoreAnswer::Unknown => self.retry(request, now),
             _ => self.forward_or_refuse(request, now),
         }
     }
 
-    /// The job exists already, or what is known of its dependencies is out of date.
+    /// Handles a conflict: the job exists already, or the cached versions of its dependencies are out of date.
     fn creation_conflicted(&mut self, request: PendingRequest, failed_keys: &[String], now: Now) {
         let own_key = job_key(request.job());
         if failed_keys.contains(&own_key) {
--- a/crates/core/src/node/cache_sync.rs
+++ b/crates/core/src/node/cache_sync.rs
@@ -1,4 +1,4 @@
-//! Filling the cache of watched keys and keeping it current: list, then watch (see [`crate::cache::cache_sync`]).
+//! Fills the cache of watched keys by a listing and keeps it current by a watch (see [`crate::cache::cache_sync`]).
 
 use crate::cache::cache_sync::Listing;
 use crate::io::{Output, StoreAnswer, StoreCall, Value};
@@ -12,26 +12,28 @@
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::state::Events;
 
-/// How old a leader's cache may become before it is confirmed by a call.
+/// Age that a leader's cache may reach before it is confirmed by a call.
 const CACHE_CONFIRMATION_INTERVAL: Span = Span(750);
-/// Such a call that failed is repeated after so long.
+/// Delay before a failed confirmation call is repeated.
 const CACHE_CONFIRMATION_RETRY_INTERVAL: Span = Span(250);
 
-/// The calls that confirm the cache of a leader. The cache's age decides whether one is due.
+/// Returns the periodic call that confirms a leader's cache. Its interval is zero: the age of the cache decides whether
+/// a call is due.
 pub(super) fn cache_confirmation_calls() -> PeriodicCall {
     PeriodicCall::new(Span(0), CACHE_CONFIRMATION_RETRY_INTERVAL)
 }
 
 impl Node {
-    /// The watch has lost its place. Until everything has been listed again the cache may lack changes; the tick
-    /// repeats a listing that fails.
+    /// Handles the loss of the watch's position. Until all keys have been listed again the cache may lack changes; the
+    /// tick repeats a listing that fails.
     pub(super) fn watch_lost(&mut self, now: Time) {
         self.job_cache.set_complete(false);
         self.hand_confirmation_to_leader(now);
         self.begin_cache_sync();
     }
 
-    /// Begins a listing unless the cache is complete or one is under way.
+    /// Begins a listing if the cache is not complete, no listing is in progress, and the delay after a failed one has
+    /// passed.
     pub(super) fn begin_cache_sync_if_due(&mut self, now: Now) {
         if !self.job_cache.is_complete() && self.cache_sync.may_begin(now.time) {
             self.begin_cache_sync();
@@ -49,7 +51,7 @@
         self.store_calls.enqueue(CallPriority::User, call, purpose);
     }
 
-    /// The answer to the call for a page of a listing.
+    /// Handles the answer to the call for a page of a listing.
     pub(super) fn cache_sync_page_answered(
         &mut self,
         listing: Option<Listing>,
@@ -80,17 +82,18 @@
         self.out.push(Output::Watch(revision));
     }
 
-    /// Applies the changes that the watch has seen, and watches on from where the cache is then.
+    /// Applies the changes that the watch has reported, and continues the watch from the revision that the cache or the
+    /// watch has reached, whichever is later.
     pub(super) fn watch_events_received(&mut self, sent: Time, changes: Events<Value>, now: Now) {
         let revision = changes.revision;
         self.apply_changes(sent, changes, now);
-        // While a listing is under way nothing is confirmed, and the cache's revision stays behind the watch.
+        // While a listing is in progress nothing is confirmed, and the cache's revision stays behind the watch.
         let known = self.job_cache.confirmation().revision();
         self.out.push(Output::Watch(known.max(revision)));
     }
 
-    /// Applies all changes since the cache's revision or an earlier one, as a call brought them that was sent at a
-    /// moment. If the cache is further by now they are known already.
+    /// Applies all changes since the cache's revision or an earlier one, as returned by a call that was sent at `sent`.
+    /// If the cache has reached their revision already, the changes are known, and only the confirmation is recorded.
     fn apply_changes(&mut self, sent: Time, changes: Events<Value>, now: Now) {
         let revision = changes.revision;
         if revision > self.job_cache.confirmation().revision() {
@@ -103,7 +106,8 @@
         self.cache_confirmed(revision, sent, now.time);
     }
 
-    /// The cache holds every change up to a revision, as the answer to a call showed that was sent at a moment.
+    /// Records that the cache holds every change up to `revision`, as shown by the answer to a call that was sent at
+    /// `sent`.
     fn cache_confirmed(&mut self, revision: Version, sent: Time, now: Time) {
         self.job_cache.confirm(revision, sent);
         self.hand_confirmation_to_leader(now);
@@ -114,8 +118,8 @@
         self.extend_term(now, |term| term.cache_confirmed(confirmation));
     }
 
-    /// Reads what has changed since the cache was confirmed, if this node leads and nothing else confirms it: the watch
-    /// answers only when something changes, and may be slow to begin again after a pause or an outage.
+    /// Reads the changes since the cache was last confirmed, if this node leads and nothing else confirms the cache:
+    /// the watch answers only when something changes, and may be slow to resume after a pause or an outage.
     pub(super) fn confirm_cache_if_due(&mut self, now: Time) {
         let confirmation = self.job_cache.confirmation();
         let is_fresh = (confirmation.age(now)).is_some_and(|age| age < CACHE_CONFIRMATION_INTERVAL);
@@ -129,7 +133,7 @@
         }
     }
 
-    /// The answer to the call that confirms the cache.
+    /// Handles the answer to the call that confirms the cache.
     pub(super) fn cache_confirmation_answered(
         &mut self,
         sent: Time,
@@ -139,12 +143,13 @@
         self.cache_confirmation.end();
         match answer {
             StoreAnswer::Changes(changes) => self.apply_changes(sent, changes, now),
-            // If the store has forgotten changes since then, the watch finds that out, too, and all is listed again.
+            // If the store has forgotten the changes since that revision, the watch detects that as well, and all keys
+            // are listed again.
             _ => self.cache_confirmation.retry(now.time),
         }
     }
 
-    /// Takes over what the cache has read for other parts of the node.
+    /// Applies what the cache has read for other parts of the node: machine types, operators' settings and the epoch.
     fn apply_cached_settings(&mut self, now: Now) {
         if let Some(catalog) = self.job_cache.take_catalog() {
             self.catalog.get_or_insert(catalog);
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Hands the jobs that changed in the cache to the leader, and cancels or frees what depends on them.
+    /// Passes the jobs that changed in the cache to the leader, and cancels or releases the jobs that depend on them.
     pub(super) fn apply_job_changes(&mut self, now: Now) {
         let changed = self.job_cache.take_changed_jobs();
         let Some(leader) = self.leader.as_mut() else {
--- a/crates/core/src/node/cancellation_replication.rs
+++ b/crates/core/src/node/cancellation_replication.rs
@@ -1,5 +1,5 @@
-//! Carries out what [`CancellationReplicator`] decides: messages to peers, answers to users, and the record that
-//! publishes this node's watermark.
+//! Carries out the decisions of [`CancellationReplicator`]: sends messages to peers, answers users, and writes the
+//! record that publishes this node's watermark.
 //!
 //! [`CancellationReplicator`]: crate::api::cancellation_replication::CancellationReplicator
 
@@ -21,7 +21,7 @@
 use rudderreel_wire::state::Transaction;
 
 impl Node {
-    /// Answers a request by the cancellation of its job, once enough nodes know that.
+    /// Answers a request with the cancellation of its job, once enough nodes know of the cancellation.
     pub(crate) fn respond_cancelled(
         &mut self,
         request: PendingRequest,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Publishes the watermark if that is due, and decides about waiting requests.
+    /// Publishes the watermark if that is due, and decides on the waiting requests.
     pub(crate) fn cancellations_tick(&mut self, now: Now) {
         let records = self.job_cache.take_written_watermarks();
         self.cancellations.watermark_records_read(&records);
@@ -91,7 +91,7 @@
             .enqueue(CallPriority::User, call, PendingCall::WriteWatermark);
     }
 
-    /// The answer to the write of the watermark record.
+    /// Handles the answer to the write of the watermark record.
     pub(crate) fn watermark_written(&mut self, answer: &StoreAnswer) {
         let outcome = match answer {
             StoreAnswer::Committed(_) => WriteOutcome::Committed,
@@ -100,7 +100,7 @@
         self.cancellations.watermark_record_written(outcome);
     }
 
-    /// Sends the cancellations that peers have to know.
+    /// Sends the due messages that replicate cancellations to the peers.
     pub(crate) fn send_cancellation_replications(&mut self, now: Now) {
         let due = self.cancellations.messages_due(&self.job_cache, now.time);
         let outputs = due
@@ -109,7 +109,7 @@
         self.out.extend(outputs);
     }
 
-    /// A peer makes cancellations known.
+    /// Handles a peer's message that replicates cancellations to this node.
     pub(crate) fn cancellations_replicated(&mut self, req: ReqId, message: ReplicateCancellations) {
         self.cache_cancelled_jobs(&message.cancelled);
         let reply = self.cancellations.replication_received(&message);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A peer's answer to the cancellations sent to it; none if it gave none.
+    /// Handles a peer's reply to the cancellations sent to it; `reply` is `None` if the peer gave none.
     pub(crate) fn replication_answered(
         &mut self,
         peer: NodeName,
@@ -138,13 +138,13 @@
         }
     }
 
-    /// The watch, a read of all jobs or a catch-up has reached a revision.
+    /// Records that the watch, a read of all jobs or a catch-up has reached a revision.
     pub(crate) fn advance_cancellation_watermark(&mut self, revision: Version) {
         self.cancellations.advance_watermark(revision);
         self.election.observe_jobs_read();
     }
 
-    /// Records what a heartbeat says of its sender's watermark; returns what the sender lacks, if it asks for a
+    /// Records the watermark of a heartbeat's sender; returns the cancellations that the sender lacks, if it requests a
     /// lease vote.
     pub(crate) fn catch_up_for(&mut self, heartbeat: &Heartbeat) -> Option<CatchUpOffer> {
         let peer = NodeName::from(heartbeat.from.as_str());
@@ -153,9 +153,9 @@
         replicator.catch_up_for(heartbeat, &self.job_cache)
     }
 
-    /// Takes in what a peer's answer to a heartbeat says of cancellations. This has to be done before its lease
-    /// vote counts.
-    pub(crate) fn catch_up(&mut self, reply: &mut HeartbeatReply) {
+    /// Applies the watermark and the catch-up in a peer's reply to a heartbeat. This must be done before the reply's
+    /// lease vote counts.
+    pub(crate) fn apply_catch_up(&mut self, reply: &mut HeartbeatReply) {
         let peer = NodeName::from(reply.from.as_str());
         let watermark = reply.cancellation_watermark;
         self.cancellations.peer_watermark_received(&peer, watermark);
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -1,4 +1,4 @@
-//! Commits that jobs are cancelled with what they depend on (see `jobs::cascade`).
+//! Commits cascade cancellations: jobs that are cancelled because a job that they depend on is (see `jobs::cascade`).
 
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::pending_call::LeaderCall;
@@ -8,12 +8,13 @@
 use rudderreel_wire::ids::{JobId, Version};
 
 impl Node {
-    /// Writes the records that are due, within the leader's part of the store's writes.
-    pub(crate) fn flush_cancellations(&mut self, now: Now) {
+    /// Writes the cascade cancellations that are due, within the leader's share of the store's writes.
+    pub(crate) fn flush_cascade_cancellations(&mut self, now: Now) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let mut due = (leader.jobs).due_cascade_cancellations(&self.job_cache, &self.limits, now);
+        let mut due =
+            (leader.jobs).due_cascade_cancellations(&self.job_cache, &self.store_limits, now);
         while let Some(leader) = self.leader.as_mut() {
             let wanted = due.len().min(leader.store_limits.operations);
             let writes_per_s = leader.store_limits.placement_writes();
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The answer to a commit of cascade cancellations.
+    /// Handles the answer to a commit of cascade cancellations.
     pub(crate) fn cascade_commit_answered(
         &mut self,
         jobs: Vec<(JobId, JobRecord)>,
@@ -46,7 +47,7 @@
         (leader.jobs).cascade_commit_ended(jobs.iter().map(|(id, _)| id));
         match answer {
             StoreAnswer::Committed(version) => self.cascade_committed(jobs, version, now),
-            // Not carried out: the jobs are due again.
+            // The commit was not carried out: the jobs are due again.
             StoreAnswer::Refused | StoreAnswer::Rejected => {}
             StoreAnswer::Conflict(keys) => self.reread_jobs(
                 (jobs.into_iter().map(|(id, _)| id)).filter(|id| keys.contains(&job_key(id))),
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -1,4 +1,4 @@
-//! Handlers for the cloud: calls that are due, and the cloud's answers.
+//! Makes the calls to the cloud that are due, and handles the cloud's answers.
 
 use crate::capacity::scale_in::{MachinesToReturn, Urgency};
 use crate::cloud::calls::PendingCloudCall;
@@ -9,29 +9,29 @@
 use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
 use rudderreel_wire::ids::MachineId;
 
-/// Idle machines are returned together, at this interval: calls are few.
+/// Interval at which idle machines are returned together, since few calls to the cloud are allowed.
 const RETURN_INTERVAL: Span = Span(2_000);
-/// So long a follower waits for the stored machine types before it asks the cloud for them.
+/// Time for which a follower waits for the stored machine types before it requests them from the cloud.
 const FOLLOWER_CATALOG_INTERVAL: Span = Span(10_000);
-/// How soon the machine types are read again if a call for them has no answer.
+/// Delay before the machine types are read again if a call for them has no answer.
 const CATALOG_RETRY_INTERVAL: Span = Span(5_000);
-/// How often the machine types are read.
+/// Interval at which the machine types are read.
 const CATALOG_INTERVAL: Span = Span(60_000);
-/// The shortest time between two readings of the machine list.
+/// Minimum time between two readings of the machine list.
 const MIN_LIST_INTERVAL: Span = Span(4_000);
-/// No calls are made for so long after one was refused or had no answer.
+/// Time for which no calls are made after one was refused or had no answer.
 const REFUSED_CALL_PAUSE: Span = Span(700);
 
 impl Node {
-    /// Sends calls to the cloud that wait, while this node leads.
+    /// Sends queued calls to the cloud, if this node leads.
     pub(crate) fn send_cloud_calls(&mut self, now: Now) {
         if self.leader.is_some() {
             self.cloud.send_queued(now.time, &mut self.out);
         }
     }
 
-    /// A follower that has waited in vain for the stored machine types asks the cloud itself: they may be too large
-    /// to be stored.
+    /// Requests the machine types from the cloud if this node is a follower and the stored ones did not arrive in time:
+    /// they may be too large to be stored.
     pub(crate) fn fetch_catalog(&mut self, now: Now) {
         if self.leader.is_some() || self.catalog.is_some() || !self.job_cache.is_complete() {
             return;
@@ -47,7 +47,7 @@
         cloud.send_queued(now.time, &mut self.out);
     }
 
-    /// Makes the calls of the leader that are due.
+    /// Makes the leader's calls to the cloud that are due.
     pub(crate) fn call_cloud_if_due(&mut self, now: Now) {
         let Some(leader) = &self.leader else {
             return;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns machines: urgent ones at once, idle ones together.
+    /// Returns machines to the cloud: urgent ones at once, idle ones together.
     fn return_machines(&mut self, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Sends scale-out requests that are open and of which no call is under way.
+    /// Queues a call for each open scale-out request that has no pending call.
     fn repeat_scale_out_requests(&mut self) {
         let Some(leader) = &self.leader else {
             return;
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Handles an answer of the cloud.
-    pub(crate) fn cloud_answer(&mut self, id: CallId, answer: CloudAnswer, now: Now) {
+    /// Handles the cloud's answer to a call.
+    pub(crate) fn cloud_call_answered(&mut self, id: CallId, answer: CloudAnswer, now: Now) {
         let Some(call) = self.cloud.take_answered(id) else {
             return;
         };
@@ -134,8 +134,8 @@
             (PendingCloudCall::ScaleIn(machines), CloudAnswer::Returned) => {
                 self.machines_returned(&machines, now);
             }
-            // A list takes many pages. What is missing of it would not be read for long if it was begun anew each
-            // time that a page is refused.
+            // A list has many pages. If it were read from the beginning after each refused page, the remaining pages
+            // would not be read for a long time.
             (PendingCloudCall::List(after), CloudAnswer::Refused | CloudAnswer::Unknown) => {
                 self.cloud.enqueue(PendingCloudCall::List(after));
             }
@@ -151,7 +151,7 @@
             leader.request_cycle(now.time);
         }
         if self.catalog.is_none() {
-            self.keep_catalog(&catalog);
+            self.store_catalog(&catalog);
         }
         self.catalog = Some(catalog);
     }
@@ -200,7 +200,7 @@
                 leader.scale_out.refuse(request, now.time);
                 leader.request_cycle(now.time);
             }
-            // It may have been carried out: the same request is repeated, under the same name.
+            // The request may have been carried out: it is repeated under the same request id.
             _ => {}
         }
     }
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -5,7 +5,7 @@
 use rudderreel_wire::cloud::MachinePage;
 use rudderreel_wire::cloud::{ListedMachine, ListedState, MACHINES_PER_PAGE};
 
-/// Lets calls out and returns them.
+/// Sends the queued calls and returns them.
 fn calls(node: &mut Node, at: Now) -> Vec<(CallId, CloudCall)> {
     node.cloud.send_queued(at.time, &mut node.out);
     let call = |output| match output {
@@ -15,8 +15,8 @@
     node.out.drain(..).filter_map(call).collect()
 }
 
-/// When a page of the list was refused, the rest of the list was not read, and the next time it began
-/// anew: a list of eight or twelve pages was never read whole beside a busy cloud.
+/// A refused page must not make the reading of the list begin anew: a list of eight or twelve pages was never read
+/// completely while the cloud was busy, since the pages after a refused one were not read.
 #[test]
 fn list_of_many_pages_is_continued_after_a_refusal() {
     for machines in [4_000, 6_000] {
@@ -33,7 +33,7 @@
                 };
                 if round % 2 == 0 {
                     refused += 1;
-                    node.cloud_answer(id, CloudAnswer::Refused, now);
+                    node.cloud_call_answered(id, CloudAnswer::Refused, now);
                     continue;
                 }
                 let first = after.map_or(0, |id| id.as_str()[3..].parse().expect("a number"));
@@ -43,7 +43,7 @@
                     more: last < machines,
                 };
                 listed = last.max(listed);
-                node.cloud_answer(id, CloudAnswer::Page(page), now);
+                node.cloud_call_answered(id, CloudAnswer::Page(page), now);
             }
         }
         let leader = node.leader.as_ref().expect("it leads");
@@ -64,7 +64,7 @@
     }
 }
 
-/// The pages of a large fleet's list take a part of the calls and no more.
+/// Reading the pages of a large fleet's list takes at most a fixed fraction of the calls.
 #[test]
 fn large_fleet_is_listed_less_often() {
     let cloud = CloudCalls::new(1.0);
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -1,7 +1,7 @@
-//! Committing that jobs are done.
+//! Commits the completion of jobs.
 //!
-//! Each job's record is replaced under the condition that it still has the version that the leader knows, so a
-//! cancellation that was committed first wins. A commit of unknown outcome is followed by reading the jobs' keys.
+//! Each job's record is replaced on the condition that it still has the version that the leader knows, so a
+//! cancellation that was committed first wins. After a commit of unknown outcome the jobs' keys are read.
 
 use crate::fleet::Phase;
 use crate::io::{StoreAnswer, StoreCall, Value};
@@ -18,11 +18,11 @@
 use rudderreel_wire::worker::Cause;
 use std::collections::BTreeSet;
 
-/// Jobs whose completion one commit records, at most.
+/// Maximum number of jobs whose completion one commit records.
 const MAX_JOBS_PER_COMMIT: usize = 16;
 
 impl Node {
-    /// Commits that jobs are done whose tasks have all said so.
+    /// Commits the completion of jobs whose tasks have all been reported as done.
     pub(super) fn flush_completions(&mut self, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The answer to the commit that some jobs are done.
+    /// Handles the answer to a commit that records the completion of jobs.
     pub(super) fn completions_answered(&mut self, ids: Vec<JobId>, answer: StoreAnswer, now: Now) {
         if self.step_down_if_superseded(&answer) {
             return;
@@ -42,7 +42,7 @@
             StoreAnswer::Committed(version) => self.completions_committed(&ids, version, now),
             StoreAnswer::Refused | StoreAnswer::Rejected => self.retry_completions(&ids),
             StoreAnswer::Conflict(keys) if !keys.is_empty() => {
-                // The others were not at fault, and are tried again without these.
+                // The conditions of the other jobs did not fail: they are tried again without the conflicting ones.
                 let (conflicting, others): (Vec<_>, Vec<_>) =
                     ids.into_iter().partition(|id| keys.contains(&job_key(id)));
                 self.retry_completions(&others);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A job's record as read after a commit that failed.
+    /// Handles a job's record as read after a commit that failed or has an unknown outcome.
     pub(super) fn job_reread(&mut self, id: JobId, answer: StoreAnswer) {
         if let StoreAnswer::Found(item) = answer {
             if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
@@ -87,12 +87,13 @@
                 self.update_job_from_cache(&id);
             }
         }
-        // If it was not read, the commit is tried again with the version that is known: if the first try was carried
-        // out it fails by that, and the key is read again. (Reading on at once filled an outage with calls.)
+        // If the record was not read, the commit is tried again with the known version. If the first try was carried
+        // out, the second fails because of that version, and the key is read again. (Repeating the read at once would
+        // fill an outage with calls.)
         self.retry_completions(&[id]);
     }
 
-    /// Hands a job to the leader as the cache knows it.
+    /// Passes a job to the leader as the cache knows it.
     fn update_job_from_cache(&mut self, id: &JobId) {
         if let (Some(leader), Some(known)) = (self.leader.as_mut(), self.job_cache.job(id)) {
             leader.update_job(id, known.version, &known.record);
@@ -101,8 +102,8 @@
 }
 
 impl Leader {
-    /// The commits by which jobs become done whose tasks all are, with the jobs of each: many small jobs end at a
-    /// time, so one commit holds several.
+    /// Begins the commits that record the completion of jobs whose tasks are all done; returns each commit with its
+    /// jobs. Many small jobs end at about the same time, so one commit holds several.
     fn begin_completion_commits(&mut self, now: Now) -> Vec<(Vec<JobId>, Transaction<Value>)> {
         let leadership = self.term.key_condition();
         let limits = &self.store_limits;
@@ -131,7 +132,7 @@
         commits
     }
 
-    /// Notes on the placed tasks of some jobs that their success is on record.
+    /// Marks the placed tasks of some jobs that succeeded: their outcome is recorded in the store.
     fn mark_outcomes_recorded(&mut self, ids: &[JobId]) {
         let ids: BTreeSet<&JobId> = ids.iter().collect();
         let machines = self.fleet.machines.values_mut();
@@ -141,7 +142,7 @@
         }
     }
 
-    /// A job's completion is committed; returns the record, none if the job is not known any more.
+    /// Finishes a job whose completion was committed; returns its record, or `None` if the job is not known any more.
     fn complete_job(&mut self, id: &JobId, now: Now) -> Option<JobRecord> {
         let job = self.jobs.get_mut(id)?;
         log::info!("job done job={id}");
@@ -151,7 +152,7 @@
         Some(record)
     }
 
-    /// Jobs whose completion was not committed: it is tried again.
+    /// Makes the completion of jobs due again after it was not committed.
     fn retry_completions(&mut self, ids: &[JobId]) {
         for id in ids {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -161,8 +162,8 @@
     }
 }
 
-/// The record of a job whose tasks are all done. While some of its tasks may still be on machines it keeps the
-/// submission, so that a later leader knows whose capacity they use.
+/// Returns the record of a job whose tasks are all done. While some of its tasks may still be on machines, the record
+/// keeps the submission, so that a later leader knows whose capacity they use.
 pub(crate) fn completed_record(job: &Job, limits: &StoreLimits, now: Now) -> JobRecord {
     let record = JobRecord::done(job.spec.tasks, job.submitted, now.wall);
     if job.placements.is_empty() {
--- a/crates/core/src/node/dependencies.rs
+++ b/crates/core/src/node/dependencies.rs
@@ -5,7 +5,7 @@
 use rudderreel_wire::ids::JobId;
 
 impl Node {
-    /// Some jobs' records have changed.
+    /// Updates the leader's jobs after the records of the `changed` jobs have changed.
     pub(crate) fn refresh_dependencies(&mut self, changed: &[JobId], now: Now) {
         if let Some(leader) = self.leader.as_mut() {
             let catalog = &leader.policy.catalog;
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The state was recovered: all jobs are new to this leader.
+    /// Updates all jobs after the recovery of the state: all of them are new to this leader.
     pub(crate) fn refresh_all_dependencies(&mut self, now: Now) {
         if let Some(leader) = self.leader.as_mut() {
             let catalog = &leader.policy.catalog;
--- a/crates/core/src/node/direct_calls.rs
+++ b/crates/core/src/node/direct_calls.rs
@@ -1,4 +1,4 @@
-//! Status reports that agents send to this node, and direct calls to agents.
+//! Handles status reports that agents send to this node, and makes direct calls to agents.
 
 use crate::api::refusal::Refusal;
 use crate::dispatch::direct_calls::DirectCall;
@@ -9,7 +9,7 @@
 use rudderreel_wire::worker::{DirectCommands, StatusReport, StatusReportReply};
 
 impl Node {
-    /// An agent's status report: the leader answers it, another node forwards it or says where to report.
+    /// Handles an agent's status report: the leader answers it, any other node forwards it or redirects the agent.
     pub(crate) fn status_report_received(&mut self, req: ReqId, report: StatusReport, now: Now) {
         self.last_report_at = Some(now.time);
         if self.leader.is_some() {
@@ -34,9 +34,9 @@
         let token = leader.term.epoch();
         if log::log_enabled!(log::Level::Debug) {
             let by_lease = leader.term.may_act(now.time);
-            let right = leader.term.log_fields(now.time);
+            let term_fields = leader.term.log_fields(now.time);
             log::debug!(
-                "report answered machine={} by_lease={by_lease} {right}",
+                "report answered machine={} by_lease={by_lease} {term_fields}",
                 report.machine
             );
         }
@@ -48,7 +48,7 @@
         self.answer(req, 200, json(&StatusReportReply { token, commands }));
     }
 
-    /// A report at a node that does not lead and knows no leader to forward it to.
+    /// Answers a report on a node that neither leads nor has forwarded the report.
     fn answer_report_without_leader(&mut self, req: ReqId, report: &StatusReport, now: Now) {
         let epoch = self.election.epoch();
         if self.election.stands_in_for_leader(now.time) && report.token <= epoch {
@@ -65,9 +65,9 @@
         self.redirect_to_leader(req, now.time);
     }
 
-    /// Redirects an agent to the leader, if one is surely there: a node that is cut off may name one that has long
-    /// ended, and would send agents back and forth. (Two nodes that the store refused did so until the agents'
-    /// leases expired, since the one still believed the other to lead.)
+    /// Redirects an agent to the leader, if there surely is one. A node that is cut off may name a leader that ended
+    /// long ago, and would send agents back and forth. (Two nodes that the store refused did so until the agents'
+    /// leases expired, since one of them still believed that the other led.)
     fn redirect_to_leader(&mut self, req: ReqId, now: Time) {
         let recorded = self.job_cache.leader().map(|record| record.node.clone());
         let recorded = recorded.filter(|_| self.election.store_reachable(now));
@@ -75,7 +75,7 @@
         self.redirect_agent(req, leader.filter(|node| *node != self.settings.node));
     }
 
-    /// Sends the commands that wait for some machines, as far as the budget goes.
+    /// Sends the waiting commands of the given machines by direct calls, within the budget.
     pub(crate) fn push_starts(&mut self, machines: &[MachineId], now: Now) {
         let only_non_preemptible = self.backlog.is_behind(now.time);
         let Some(leader) = self.leader.as_mut() else {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Asks an agent that has missed a report, or is suspect, for one.
+    /// Requests a status report from an agent that has missed one or is suspect.
     pub(crate) fn probe(&mut self, id: &MachineId) {
         let call = self.leader.as_mut().and_then(|leader| leader.probe(id));
         if let Some(call) = call {
@@ -103,7 +103,7 @@
         });
     }
 
-    /// The outcome of a direct call.
+    /// Handles the outcome of a direct call.
     pub(crate) fn direct_call_ended(
         &mut self,
         id: MachineId,
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -1,4 +1,4 @@
-//! The node's part in the election: the calls that the election wants, becoming leader and stepping down.
+//! Makes the calls of the election, begins a term when this node wins, and ends the term when it steps down.
 
 use crate::io::{StoreAnswer, StoreCall};
 use crate::leader::Leader;
@@ -13,21 +13,21 @@
 use rudderreel_wire::ids::LeaseId;
 use rudderreel_wire::settings::Settings;
 
-/// The part of the store's rate limit that calls may use; the rest is for watches.
-const CALLS_PART: f64 = 0.8;
+/// Fraction of the store's rate limit that calls may use; the rest is left for watches.
+const CALL_RATE_FRACTION: f64 = 0.8;
 
-/// How many calls a second a node may make to the store: the leader, which keeps the placement log, twice as many as
-/// others. Each node's watch has a part of its own.
+/// Returns how many calls a second a node may make to the store. The leader, which writes the placement log, may make
+/// twice as many as other nodes. Each node's watch has a share of its own.
 pub(super) fn store_call_rate(settings: &Settings, leads: bool) -> f64 {
     let parts = f64::from(settings.params.nodes.max(1) + 1);
     StoreLimits::of(&settings.params.state).requests_per_s
-        * CALLS_PART
+        * CALL_RATE_FRACTION
         * if leads { 2.0 } else { 1.0 }
         / parts
 }
 
 impl Node {
-    /// Makes the calls of the election that are due: renewals of a leader's lease, looks at the leader's key, and
+    /// Makes the calls of the election that are due: renewals of a leader's lease, reads of the leader's key, and
     /// campaigns.
     pub(super) fn election_tick(&mut self, now: Now) {
         let held_lease = self.leader.as_ref().map(|leader| leader.term.lease_id());
@@ -43,7 +43,7 @@
             .enqueue(CallPriority::Lease, request.call, purpose);
     }
 
-    /// The answer to a call of the election.
+    /// Handles the answer to a call of the election.
     pub(super) fn election_call_answered(
         &mut self,
         call: ElectionCall,
@@ -81,7 +81,8 @@
         });
     }
 
-    /// Has a leader take in that its lease or its cache is fresher; logs it if it may act again by that.
+    /// Updates a leader's term after its lease or its cache became fresher; logs it if the leader may act again as a
+    /// result.
     pub(super) fn extend_term(&mut self, now: Time, extend: impl FnOnce(&mut Term)) {
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Begins a term, with the recovery of the state.
+    /// Begins a term, and with it the recovery of the state.
     fn become_leader(&mut self, win: ElectionWin, now: Now) {
         log::info!(
             "became leader epoch={} lease={} {}",
@@ -105,7 +106,7 @@
         let mut leader = Leader::new(&self.settings, self.tree.clone(), win, now.time);
         leader.term.cache_confirmed(self.job_cache.confirmation());
         (leader.policy).apply(self.tree.clone(), &self.admin_settings.settings);
-        leader.store_limits = self.limits;
+        leader.store_limits = self.store_limits;
         let seen = std::mem::take(&mut self.leader_partitioned_zones);
         (leader.fleet.partitioned_zones).set_seen_by_earlier_leader(seen);
         if let Some(catalog) = &self.catalog {
@@ -119,7 +120,7 @@
         self.begin_recovery();
     }
 
-    /// Ends this node's term, if it leads, and the lease with it, so that another node can win at once.
+    /// Ends this node's term, if it leads, and the term's lease, so that another node can win at once.
     pub(crate) fn step_down(&mut self, reason: StepDownReason) {
         let Some(leader) = self.leader.take() else {
             return;
@@ -135,23 +136,23 @@
         self.job_cache.forget_leader(leader.term.lease_id());
     }
 
-    /// Steps down if a failed commit shows that the leader's key is not this leader's any more; returns whether it
-    /// did. While a commit of its own may be changing the key, a conflict on it shows nothing.
+    /// Steps down if a failed commit shows that the leader's key no longer belongs to this leader; returns whether it
+    /// did. While a commit of this leader may be changing the key, a conflict on the key proves nothing.
     pub(crate) fn step_down_if_superseded(&mut self, answer: &StoreAnswer) -> bool {
         let StoreAnswer::Conflict(keys) = answer else {
             return false;
         };
         let is_key_changing =
             (self.leader.as_ref()).is_some_and(|leader| leader.term.is_key_changing());
-        let is_superseded = self.names_leader_key(keys) && !is_key_changing;
+        let is_superseded = self.contains_leader_key(keys) && !is_key_changing;
         if is_superseded {
             self.step_down(StepDownReason::KeyChanged);
         }
         is_superseded
     }
 
-    /// Whether the key that this leader holds is among some.
-    fn names_leader_key(&self, keys: &[String]) -> bool {
+    /// Returns whether `keys` contains the leader's key that this node holds.
+    fn contains_leader_key(&self, keys: &[String]) -> bool {
         let held = self.leader.as_ref().map(|leader| leader.term.key().name());
         keys.iter().any(|key| Some(key.as_str()) == held)
     }
--- a/crates/core/src/node/epoch_bump.rs
+++ b/crates/core/src/node/epoch_bump.rs
@@ -1,10 +1,10 @@
-//! Bumping the epoch, the fencing token: whatever was sent under the old epoch and has not arrived never will be
-//! carried out, since agents refuse an older token than the highest that they know.
+//! Bumps the epoch, the fencing token. A command that was sent under the old epoch and has not arrived will never be
+//! carried out, since agents refuse a token older than the highest that they know.
 //!
-//! A leader bumps its epoch if nothing else can show that a start which it sent is not carried out any more. The
-//! commit rewrites the leader's key and the epoch's key together. While it is open nothing else is committed, since
-//! every write depends on the version of the leader's key. If its outcome is unknown the key is read until it shows
-//! the new epoch; if the key shows anything else, the commit may yet be carried out, and the leader steps down.
+//! A leader bumps its epoch if nothing else can show that a start which it sent will not be carried out any more. The
+//! commit rewrites the leader's key and the epoch's key together. While it is open no other commit is made, since every
+//! write depends on the version of the leader's key. If its outcome is unknown, the leader's key is read until it shows
+//! the new epoch; if the key shows anything else, the commit may still be carried out, and the leader steps down.
 
 use crate::io::{StoreAnswer, StoreCall};
 use crate::leadership::step_down_reason::StepDownReason;
@@ -15,7 +15,7 @@
 use rudderreel_wire::ids::{Epoch, Version};
 
 impl Node {
-    /// Bumps the epoch if only that shows that a start will not arrive any more.
+    /// Bumps the epoch if nothing else shows that a start will not arrive any more.
     pub(super) fn bump_epoch_if_needed(&mut self, now: Now) {
         let is_needed = (self.leader.as_ref()).is_some_and(|leader| {
             leader.recovery.is_complete()
@@ -37,7 +37,7 @@
         self.call_store_as_leader(StoreCall::Commit(commit), LeaderCall::BumpEpoch(epoch));
     }
 
-    /// The answer to the commit that bumps the epoch.
+    /// Handles the answer to the commit that bumps the epoch.
     pub(super) fn epoch_bump_answered(&mut self, epoch: Epoch, answer: StoreAnswer, now: Now) {
         match answer {
             StoreAnswer::Committed(version) => self.epoch_bumped(epoch, version, now),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Reads the leader's key to see whether the commit was carried out.
+    /// Reads the leader's key to check whether the commit was carried out.
     fn verify_epoch_bump(&mut self, epoch: Epoch) {
         let Some(leader) = self.leader.as_ref() else {
             return;
@@ -57,7 +57,7 @@
         self.call_store_as_leader(call, LeaderCall::VerifyEpochBump(epoch));
     }
 
-    /// The leader's key as read after a commit of unknown outcome.
+    /// Handles the leader's key as read after a commit of unknown outcome.
     pub(super) fn epoch_bump_verification_answered(
         &mut self,
         epoch: Epoch,
@@ -70,7 +70,7 @@
                 if record.is_some_and(|r| r.epoch == epoch && r.node == self.settings.node) {
                     self.epoch_bumped(epoch, item.version, now);
                 } else {
-                    // It may yet be carried out, and would make every later commit fail: only a new term is
+                    // The commit may still be carried out, and would make every later commit fail: only a new term is
                     // certain.
                     self.step_down(StepDownReason::EpochBumpUnknown);
                 }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Heartbeats between the nodes: what each says of itself, the lease votes and acknowledgements that the answers carry,
-//! and the answer to the load balancer's health check.
+//! Heartbeats between the nodes, the lease votes and acknowledgements that their replies carry, and the answer to the
+//! load balancer's health check.
 //!
-//! A heartbeat goes to every peer at a steady interval. It asks for a lease vote if its sender leads, or could stand in
-//! for the leader. An answer that names the leader's own epoch acknowledges it. Votes and acknowledgements count from
-//! the sending of the heartbeat, so what comes late counts for less.
+//! A heartbeat goes to every peer at a fixed interval. It requests a lease vote if its sender leads, or could stand in
+//! for the leader. A reply that names the leader's own epoch acknowledges that epoch. Votes and acknowledgements count
+//! from the sending of the heartbeat, so a late reply counts for a shorter time.
 
 use crate::api::refusal::Refusal;
 use crate::api::user_requests::TaskProgress;
@@ -18,12 +18,12 @@
 
 /// Interval of the heartbeats to the other nodes.
 const HEARTBEAT_INTERVAL: Span = Span(500);
-/// The leader's counts of tasks are for display, and many: only one heartbeat of so many carries them.
+/// One in this many heartbeats carries the leader's task counts, which are large and only for display.
 const HEARTBEATS_PER_COUNTS: u64 = 4;
-/// Bytes of a job's counts in a heartbeat, at most.
-const COUNT_BYTES: usize = 40;
-/// Jobs whose tasks a heartbeat counts, at most, so that it fits into a message.
-const MAX_COUNTS: usize = MAX_MESSAGE_BYTES / 2 / COUNT_BYTES;
+/// Maximum size of one job's counts in a heartbeat, in bytes.
+const MAX_COUNT_BYTES: usize = 40;
+/// Maximum number of jobs whose task counts a heartbeat carries, so that it fits into a message.
+const MAX_COUNTS: usize = MAX_MESSAGE_BYTES / 2 / MAX_COUNT_BYTES;
 
 impl Node {
     /// Sends a heartbeat if one is due.
@@ -40,19 +40,19 @@
         if let Some(counts) = &counts {
             self.update_task_progress(counts);
         }
-        let heartbeat = self.heartbeat_now(counts, now);
+        let heartbeat = self.build_heartbeat(counts, now);
         self.out.push(Output::Heartbeat(heartbeat));
         self.update_old_leaders_fenced_at(now.time);
     }
 
-    /// The counts that the next heartbeat carries, if it carries any.
+    /// Returns the task counts for the next heartbeat; `None` if it carries none.
     fn counts_to_send(&self) -> Option<Vec<Count>> {
         let carries_counts = self.heartbeats_sent % HEARTBEATS_PER_COUNTS == 1;
         let leader = self.leader.as_ref().filter(|_| carries_counts)?;
-        Some(counts_of(leader))
+        Some(task_counts(leader))
     }
 
-    fn heartbeat_now(&mut self, counts: Option<Vec<Count>>, now: Now) -> Heartbeat {
+    fn build_heartbeat(&mut self, counts: Option<Vec<Count>>, now: Now) -> Heartbeat {
         let workers = self.reported_load(now.time);
         let leader = self.leader.as_ref();
         Heartbeat {
@@ -65,9 +65,11 @@
             workers,
             forwards_reports: leader.is_some() || self.reachable_leader(now.time).is_some(),
             worker_silence_ms: self.agent_silence(now.time).0,
-            partitioned_zones: (leader.iter().flat_map(|l| l.fleet.partitioned_zones.iter()))
-                .map(|(zone, since)| (zone.to_string(), (now.time - since).0))
-                .collect(),
+            partitioned_zones: (leader
+                .iter()
+                .flat_map(|leader| leader.fleet.partitioned_zones.iter()))
+            .map(|(zone, since)| (zone.to_string(), (now.time - since).0))
+            .collect(),
             counts,
             cancellation_watermark: self.cancellations.watermark(),
         }
@@ -85,20 +87,20 @@
         self.task_progress = progress_by_job.collect();
     }
 
-    /// Tasks of a job that are done and that run, as the leader counted them last.
+    /// Returns the numbers of done and running tasks of a job, as the leader last counted them.
     pub(crate) fn task_progress(&self, id: &JobId) -> TaskProgress {
         self.task_progress.get(id).copied().unwrap_or_default()
     }
 
-    /// A peer's heartbeat: notes what it says, decides on the lease vote, and answers.
-    pub(super) fn heartbeat(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
+    /// Handles a peer's heartbeat: records its content, decides on the lease vote, and replies.
+    pub(super) fn heartbeat_received(&mut self, req: ReqId, heartbeat: Heartbeat, now: Now) {
         self.record_peer_heartbeat(&heartbeat, now);
-        let is_leaders = heartbeat.leads && heartbeat.epoch >= self.election.epoch();
-        if is_leaders {
+        let is_from_leader = heartbeat.leads && heartbeat.epoch >= self.election.epoch();
+        if is_from_leader {
             self.election.observe_leader(now.time);
         }
         let catchup = self.catch_up_for(&heartbeat);
-        // The node that asks must know every cancellation that this one knows.
+        // The requester must know every cancellation that this node knows.
         let is_caught_up = catchup.as_ref().is_some_and(|offer| offer.is_complete);
         let requester = if heartbeat.leads {
             VoteRequester::Leader
@@ -107,11 +109,11 @@
         };
         let grants_lease_vote =
             is_caught_up && (self.election).grant_lease_vote(now.time, heartbeat.epoch, requester);
-        // Only an outage of the store makes lease votes, and catching up by them, needed.
+        // Lease votes, and the catch-up that comes with them, are needed only in an outage of the store.
         let catchup = catchup.filter(|_| !self.election.store_reachable(now.time));
         self.election.observe_epoch(heartbeat.epoch, now.time);
-        if is_leaders {
-            self.record_leaders_view(&heartbeat, now.time);
+        if is_from_leader {
+            self.record_leader_view(&heartbeat, now.time);
         }
         self.step_down_if_outdated(heartbeat.epoch);
         let reply = HeartbeatReply {
@@ -135,8 +137,8 @@
         self.agent_balancer.peer_load_updated(&name);
     }
 
-    /// Notes what the leader says of the fleet, which a node that follows it could not tell by itself.
-    fn record_leaders_view(&mut self, heartbeat: &Heartbeat, now: Time) {
+    /// Records what the leader reports about the fleet, which a follower can't observe itself.
+    fn record_leader_view(&mut self, heartbeat: &Heartbeat, now: Time) {
         self.leader_machines = heartbeat.machines;
         self.leader_partitioned_zones = (heartbeat.partitioned_zones.iter())
             .map(|(zone, ms)| (Zone::from(zone.as_str()), Time(now.0.saturating_sub(*ms))))
@@ -146,10 +148,15 @@
         }
     }
 
-    /// A peer's answer to a heartbeat that was sent at a moment.
-    pub(super) fn heartbeat_reply(&mut self, sent: Time, mut reply: HeartbeatReply, now: Now) {
-        // Before the lease vote in it counts.
-        self.catch_up(&mut reply);
+    /// Handles a peer's reply to a heartbeat that was sent at `sent`.
+    pub(super) fn heartbeat_reply_received(
+        &mut self,
+        sent: Time,
+        mut reply: HeartbeatReply,
+        now: Now,
+    ) {
+        // The catch-up must be applied before the lease vote in the same reply counts.
+        self.apply_catch_up(&mut reply);
         let name = NodeName::from(reply.from.as_str());
         let silence = Span(reply.worker_silence_ms);
         self.peers
@@ -183,7 +190,8 @@
         }
     }
 
-    /// A higher epoch than this leader's own means that another node leads, unless this leader is just bumping its own.
+    /// Steps down if `epoch` is higher than this leader's own: then another node leads, unless this leader is just
+    /// bumping its own epoch.
     fn step_down_if_outdated(&mut self, epoch: Epoch) {
         let is_outdated = (self.leader.as_ref())
             .is_some_and(|leader| epoch > leader.term.epoch() && !leader.term.is_bumping_epoch());
@@ -192,8 +200,8 @@
         }
     }
 
-    /// Updates from when on no older leader answers agents, and no node stands in for this leader: once a majority has
-    /// acknowledged the epoch, for longer than a lease vote is good for, and as long as the majority goes on
+    /// Updates the time from which no older leader answers agents and no node stands in for this leader: once a
+    /// majority has acknowledged the epoch for longer than a lease vote is valid, and as long as the majority keeps
     /// acknowledging.
     pub(crate) fn update_old_leaders_fenced_at(&mut self, now: Time) {
         let majority = self.election.majority();
@@ -204,13 +212,14 @@
         }
     }
 
-    /// How long no agent has reported here.
+    /// Returns the time since an agent last reported to this node.
     fn agent_silence(&self, now: Time) -> Span {
         self.last_report_at.map_or(Span(u64::MAX), |at| now - at)
     }
 
-    /// The load balancer's health check: a node is healthy if the store answers it or a peer that it can forward to.
-    pub(super) fn health(&mut self, req: ReqId, now: Now) {
+    /// Answers the load balancer's health check: a node is healthy if the store answers it, or answers a peer that it
+    /// can forward requests to.
+    pub(super) fn health_check_received(&mut self, req: ReqId, now: Now) {
         let is_peer_served = self.peers.first_served_by_store(now.time).is_some();
         if self.election.store_reachable(now.time) || is_peer_served {
             self.answer(req, 200, "{}".into());
@@ -220,8 +229,9 @@
     }
 }
 
-/// A leader's counts of tasks. Of a job that is not named nothing is done and nothing runs.
-fn counts_of(leader: &Leader) -> Vec<Count> {
+/// Returns a leader's task counts by job, for at most [`MAX_COUNTS`] jobs. Jobs with neither done nor running tasks are
+/// omitted, and a job that is omitted counts as having none.
+fn task_counts(leader: &Leader) -> Vec<Count> {
     let running = leader.running_tasks_by_job();
     (leader.jobs.iter())
         .map(|(id, job)| (id, job.done.len(), running.get(id).copied().unwrap_or(0)))
--- a/crates/core/src/node/heartbeats/tests.rs
+++ b/crates/core/src/node/heartbeats/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::testing::{job_of, leader, node, NOW};
 
-/// Counts of all jobs were sent whatever came of it: a message of more than 1 MiB is refused, and with it
-/// every fourth heartbeat.
+/// A message of more than 1 MiB is refused. When a heartbeat carried the counts of all jobs regardless of its size,
+/// every fourth heartbeat was refused.
 #[test]
 fn the_counts_of_a_hundred_thousand_jobs_fit_into_a_heartbeat() {
     let mut node = node();
@@ -22,6 +22,6 @@
     let counts = heartbeat.counts.clone().expect("counts");
     assert_eq!(counts.len(), MAX_COUNTS);
     assert!(bitcode::encode(&heartbeat).len() < MAX_MESSAGE_BYTES);
-    // What is not named has neither tasks that are done nor any that run.
+    // Jobs with neither done nor running tasks are omitted.
     assert!(counts.iter().all(|count| count.done + count.running > 0));
 }
--- a/crates/core/src/node/leader_tick.rs
+++ b/crates/core/src/node/leader_tick.rs
@@ -1,18 +1,19 @@
-//! What a leader does on each tick: the periodic reconcile pass, the scheduling cycle, and the commits, commands and
-//! cloud calls that follow from them.
+//! The leader's periodic work: the reconcile pass, the scheduling cycle, and the commits, commands and cloud calls that
+//! follow from them.
 
 use crate::node::Node;
 use crate::overload::pacing::LongStep;
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::MachineId;
 
-/// The least time between two reconcile passes.
+/// Minimum time between two reconcile passes.
 const RECONCILE_INTERVAL: Span = Span(100);
-/// A pass over a larger fleet takes longer, so it waits for one more millisecond for so many machines.
+/// Number of machines that add one millisecond to the reconcile interval, since a pass over a larger fleet takes
+/// longer.
 const MACHINES_PER_INTERVAL_MS: u64 = 12;
 
 impl Node {
-    /// Does what is due if this node leads.
+    /// Does the leader's work that is due, if this node leads.
     pub(super) fn leader_tick(&mut self, now: Now) {
         if self.leader.is_none() {
             return;
@@ -38,7 +39,8 @@
         is_recovered && now >= self.next_reconcile_at && self.pacing.may_reconcile(now, is_behind)
     }
 
-    /// Looks through all machines and jobs, schedules if that is due, and sends out what was decided.
+    /// Reconciles all machines and jobs, runs a scheduling cycle if one is due, and sends the resulting commits,
+    /// commands and calls.
     fn reconcile_pass(&mut self, now: Now) {
         self.pacing.begin(LongStep::Reconcile, now.time);
         self.reconcile_fleet(now);
@@ -49,7 +51,8 @@
         self.call_cloud_if_due(now);
     }
 
-    /// Compares what should run with what agents report, machine by machine, and acts on what is overdue.
+    /// Compares the tasks that should run with those that agents report, machine by machine, and handles what is
+    /// overdue.
     fn reconcile_fleet(&mut self, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -80,7 +83,7 @@
     }
 
     /// Makes the leader's commits that are due. None is made before the state has been recovered, nor while the
-    /// leader's key may be changing, which every write depends on.
+    /// leader's key, which every write depends on, may be changing.
     pub(crate) fn flush_leader_commits(&mut self, now: Now) {
         let may_commit = (self.leader.as_ref()).is_some_and(|leader| {
             leader.recovery.is_complete()
@@ -97,10 +100,10 @@
         }
         self.flush_placement_log(now);
         self.flush_completions(now);
-        self.flush_cancellations(now);
+        self.flush_cascade_cancellations(now);
     }
 
-    /// Calls agents directly: those that commands wait for, and those whose status report is overdue.
+    /// Calls agents directly: those with waiting commands, and those whose status report is overdue.
     fn send_direct_calls(&mut self, now: Now) {
         let Some(leader) = self.leader.as_ref() else {
             return;
--- a/crates/core/src/node/leadership_transfer/tests.rs
+++ b/crates/core/src/node/leadership_transfer/tests.rs
@@ -3,7 +3,7 @@
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::NodeName;
 
-/// A leader that has led for so long, with one peer that the store answers or not.
+/// Returns a node that has led for `led`, with one peer, which the store serves if `peer_served`.
 fn node_that_led(led: Span, peer_served: bool) -> (Node, Now) {
     let mut node = node();
     node.leader = Some(leader());
@@ -20,22 +20,23 @@
     (node, now)
 }
 
-/// Has inputs wait for so long during so much time; returns when that is over.
-fn wait(node: &mut Node, from: Now, during: Span, waited: Span) -> Now {
-    for ms in 0..=during.0 {
+/// Records inputs that each waited for `waited`, one per millisecond of `duration`; returns the end of that period.
+fn record_waits(node: &mut Node, from: Now, duration: Span, waited: Span) -> Now {
+    for ms in 0..=duration.0 {
         node.backlog.record_wait(from.time + Span(ms), waited);
     }
     Now {
-        time: from.time + during,
+        time: from.time + duration,
         ..from
     }
 }
 
-/// A leader at a third of its speed kept its lease for ten seconds, in which few agents were answered.
+/// Without a transfer, a leader that ran at a third of its speed kept its lease for ten seconds, in which few agents
+/// were answered.
 #[test]
 fn a_leader_that_stays_far_behind_transfers_leadership() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
-    let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
+    let now = record_waits(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_none());
     assert_eq!(
@@ -47,23 +48,23 @@
 #[test]
 fn a_leader_that_is_behind_for_a_moment_keeps_leadership() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, true);
-    let now = wait(
+    let now = record_waits(
         &mut node,
         now,
         Span(FAR_BEHIND_TIMEOUT.0 - 100),
         Span(1_500),
     );
     node.transfer_leadership_if_unfit(now);
-    let now = wait(&mut node, now, Span(5_000), Span(700));
+    let now = record_waits(&mut node, now, Span(5_000), Span(700));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_some());
 }
 
-/// Where all nodes are slow, leadership must not go round.
+/// Where all nodes are slow, leadership must not pass from node to node.
 #[test]
 fn a_leader_that_has_just_won_keeps_leadership_however_slow_it_is() {
     let (mut node, now) = node_that_led(Span(10_000), true);
-    let now = wait(&mut node, now, Span(20_000), Span(3_000));
+    let now = record_waits(&mut node, now, Span(20_000), Span(3_000));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_some());
 }
@@ -71,7 +72,7 @@
 #[test]
 fn a_slow_leader_keeps_leadership_where_no_peer_could_lead() {
     let (mut node, now) = node_that_led(MIN_TERM_BEFORE_OVERLOAD, false);
-    let now = wait(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
+    let now = record_waits(&mut node, now, FAR_BEHIND_TIMEOUT, Span(1_500));
     node.transfer_leadership_if_unfit(now);
     assert!(node.leader.is_some());
 }
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -1,8 +1,10 @@
-//! The node: routes each input to the part that handles it, and collects what the parts want sent, written and answered.
+//! The node: routes each input to the component that handles it, and collects the resulting messages, store calls and
+//! answers.
 //!
-//! [`Node::step`] is the only way in. It takes one input and the time and returns outputs; there is no clock, thread or
-//! socket here. The handlers stand in the modules below, one topic each (`impl Node`): they fetch the parts, call them,
-//! and push what they return. The parts stand in the other folders of the crate and know nothing of the node.
+//! [`Node::step`] is the only entry point for inputs: it takes one input and the current time and returns outputs. The
+//! node has no clock, thread or socket. The modules below hold the handlers, one topic each (`impl Node`): they call
+//! the components and push the outputs that these return. The components live in the other folders of the crate and
+//! know nothing of the node.
 
 mod administration;
 mod admission;
@@ -58,78 +60,78 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Calls a second to the cloud that this node allows itself, as a part of what the cloud takes.
-const CLOUD_CALLS_PART: f64 = 0.9;
+/// Fraction of the cloud's rate limit that this node uses.
+const CLOUD_CALLS_FRACTION: f64 = 0.9;
 
-/// A node: everything that it knows, in the parts that own it.
+/// A node: its settings and the components that own its state.
 pub struct Node {
     settings: Settings,
-    /// The teams by the platform's settings with the operators' laid over them.
+    /// Teams from the platform's settings, with the operators' settings applied on top.
     tree: TeamTree,
-    /// The teams by the platform's settings alone, which operators' settings are checked against.
+    /// Teams from the platform's settings alone, against which operators' settings are checked.
     platform_tree: TeamTree,
     admin_settings: Versioned,
-    /// Machine types, once they have been read.
+    /// Machine types; `None` until they have been read.
     catalog: Option<Catalog>,
 
     // The store.
     store_calls: StoreCalls<PendingCall>,
-    /// Limits of the store that every writer keeps to.
-    limits: StoreLimits,
+    /// Limits of the store that every writer observes.
+    store_limits: StoreLimits,
     job_cache: JobCache,
-    /// Whether the cache is being filled.
+    /// State of the listing that fills the cache.
     cache_sync: CacheSync,
-    /// The calls that confirm the cache of a leader.
+    /// The periodic call that confirms a leader's cache.
     cache_confirmation: PeriodicCall,
 
     // Leadership and the other nodes.
     election: Election,
-    /// What this node holds while it leads.
+    /// The leader's state; `None` while this node does not lead.
     leader: Option<Leader>,
     next_reconcile_at: Time,
     peers: PeerTable,
     next_heartbeat_at: Time,
     heartbeats_sent: u64,
-    /// Machines that the leader said it knows.
+    /// Number of machines in the fleet, as the leader last reported it.
     leader_machines: u32,
-    /// Zones that the leader said are partitioned, and since when.
+    /// Partitioned zones and the start of each partition, as the leader last reported them.
     leader_partitioned_zones: BTreeMap<Zone, Time>,
-    /// Tasks of jobs that are done and that run, as the leader counted them.
+    /// Done and running tasks of each job, as the leader last counted them.
     task_progress: BTreeMap<JobId, TaskProgress>,
 
     // Users and agents.
     user_requests: UserRequests,
     cancellations: CancellationReplicator,
     forwarding: ReportForwarding,
-    /// Which node each agent should report to.
+    /// Decides which node each agent should report to.
     agent_balancer: AgentBalancer,
-    /// When any agent last reported to this node.
+    /// Time of the last status report that any agent sent to this node.
     last_report_at: Option<Time>,
-    /// Since when agents have reached other nodes all the time.
+    /// Time since which agents have continuously reached some peer that the store serves; `None` if they reach none.
     peers_reached_since: Option<Time>,
 
     // The cloud.
     cloud: CloudCalls,
-    /// How late the cloud's list is.
+    /// Lag of the cloud's machine list.
     list_lag: Span,
 
     // Overload.
-    /// How many agents the nodes' connections suffice for, if that is known.
+    /// Number of agents that the nodes' connections suffice for; `None` if it is not known.
     fleet_limits: Option<FleetLimits>,
-    /// How often costly things are done.
+    /// Stretches the intervals of costly work on a node with a small share of a processor.
     processor_share: ProcessorShare,
-    /// Keeps reconcile passes and cycles to a part of the time.
+    /// Limits reconcile passes and scheduling cycles to a fraction of the time.
     pacing: Pacing,
-    /// Whether this node keeps up.
+    /// Tracks whether this node keeps up with its inputs.
     backlog: Backlog,
-    /// When this process stood still.
+    /// Pauses of the whole process.
     pauses: Pauses,
 
-    /// What the present step has to send, write and answer.
+    /// Outputs of the current step.
     out: Vec<Output>,
 }
 
-/// A node's place among the names of all nodes.
+/// Returns this node's position in the sorted names of all nodes.
 fn rank_among_nodes(settings: &Settings) -> u64 {
     let earlier = |name: &&NodeName| **name < settings.node;
     let peers = settings.peers.iter().map(|peer| &peer.node);
@@ -146,7 +148,7 @@
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     pub fn new(settings: Settings) -> Self {
         let nodes = settings.params.nodes.max(1) as usize;
         let rank = rank_among_nodes(&settings);
@@ -168,9 +170,9 @@
             job_cache: JobCache::default(),
             store_calls: StoreCalls::new(store_call_rate(&settings, false)),
             list_lag: Span::secs(settings.params.cloud.list_lag_s),
-            cloud: CloudCalls::new(settings.params.cloud.rps * CLOUD_CALLS_PART),
+            cloud: CloudCalls::new(settings.params.cloud.rps * CLOUD_CALLS_FRACTION),
             election,
-            limits: StoreLimits::of(&settings.params.state),
+            store_limits: StoreLimits::of(&settings.params.state),
             fleet_limits: FleetLimits::of(&settings),
             processor_share: ProcessorShare::of(&settings),
             user_requests: UserRequests::default(),
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Takes one input; returns what to send, write and answer.
+    /// Handles one input; returns the messages, calls and answers to send.
     pub fn step(&mut self, input: Input, now: Now) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
@@ -208,23 +210,25 @@
                 req,
                 request,
                 sender,
-            } => self.forwarded(req, request, sender, now),
+            } => self.forwarded_request_received(req, request, sender, now),
             Input::StatusReport(req, report) => self.status_report_received(req, *report, now),
-            Input::Health(req) => self.health(req, now),
+            Input::Health(req) => self.health_check_received(req, now),
             Input::Admin {
                 req,
                 request,
                 origin,
-            } => self.admin(req, request, origin, now),
-            Input::Heartbeat(req, heartbeat) => self.heartbeat(req, heartbeat, now),
-            Input::HeartbeatReply(sent, reply) => self.heartbeat_reply(sent, reply, now),
+            } => self.admin_request_received(req, request, origin, now),
+            Input::Heartbeat(req, heartbeat) => self.heartbeat_received(req, heartbeat, now),
+            Input::HeartbeatReply(sent, reply) => self.heartbeat_reply_received(sent, reply, now),
             Input::ForwardedReports(req, reports) => {
                 self.forwarded_reports_received(req, reports, now)
             }
             Input::ForwardedReportsReply(call, reply) => {
                 self.forwarded_reports_answered(call, reply, now)
             }
-            Input::ReplicateCancellations(req, told) => self.cancellations_replicated(req, told),
+            Input::ReplicateCancellations(req, message) => {
+                self.cancellations_replicated(req, message)
+            }
             Input::ReplicateCancellationsReply(peer, reply) => {
                 self.replication_answered(peer, reply, now)
             }
@@ -240,37 +244,39 @@
                 events,
             } => self.watch_events_received(sent_at, Events { revision, events }, now),
             Input::WatchLost => self.watch_lost(now.time),
-            Input::Cloud(id, answer) => self.cloud_answer(id, answer, now),
+            Input::Cloud(id, answer) => self.cloud_call_answered(id, answer, now),
             Input::Direct {
                 machine,
                 commands,
                 outcome,
             } => self.direct_call_ended(machine, commands, outcome, now),
         }
-        // At once, so that nothing of a job is started after its cancellation was acknowledged to its user.
+        // Job changes are applied within the same step, so that no task of a job is started after the job's
+        // cancellation was acknowledged to its user.
         self.apply_job_changes(now);
         self.send_cancellation_replications(now);
         self.store_calls.send_due(now.time, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
-    /// What the last step did, if that takes long in a large fleet; until [`Node::step_ended`] is called.
+    /// Returns what the last step did, if that takes long in a large fleet, until [`Node::step_ended`] is called.
     pub fn long_step(&self) -> Option<LongStep> {
         self.pacing.current()
     }
 
-    /// Tells how long the step took that has just ended, by the steady clock. Without it reconcile passes and cycles
-    /// follow one another as if they took no time.
+    /// Records how long the step took that has just ended, measured by a monotonic clock. Without this call reconcile
+    /// passes and cycles follow one another as if they took no time.
     pub fn step_ended(&mut self, at: Time, took: Span) {
         self.pacing.ended(at, took);
     }
 
-    /// Tells how long the input has waited that comes next. A node that is behind answers before it decides.
+    /// Records how long the next input has waited. A node that is behind answers its inputs before it makes scheduling
+    /// decisions.
     pub fn record_input_wait(&mut self, at: Time, waited: Span) {
         self.backlog.record_wait(at, waited);
     }
 
-    /// Does what is due by the time.
+    /// Runs the periodic work that is due.
     fn tick(&mut self, now: Now) {
         self.pauses.tick(now.time);
         self.begin_cache_sync_if_due(now);
--- a/crates/core/src/node/pending_call.rs
+++ b/crates/core/src/node/pending_call.rs
@@ -1,7 +1,7 @@
-//! What each open call to the store is for, so that its answer finds its handler.
+//! The purpose of each open call to the store, by which its answer is routed to its handler.
 //!
-//! One convention for all: a call is queued with its [`PendingCall`], and the answer is handed to the handler that
-//! belongs to it, together with what the variant carries. Nothing else about an open call is kept.
+//! A call is queued with its [`PendingCall`]. Its answer is passed to the handler of that variant, together with the
+//! data that the variant carries. Nothing else is kept about an open call.
 
 use crate::api::user_requests::UserCall;
 use crate::cache::cache_sync::Listing;
@@ -15,18 +15,18 @@
 use rudderreel_wire::admin::AdminSettings;
 use rudderreel_wire::ids::{Epoch, JobId, LeaseId};
 
-/// What a call to the store is for.
+/// The purpose of a call to the store.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingCall {
     /// A step of the election, or the renewal of the leader's lease.
     Election(ElectionCall),
-    /// List the watched keys into the cache: the listing so far, none for the first page.
+    /// List the watched keys into the cache. Carries the listing so far, or `None` for the first page.
     CacheSync(Option<Listing>),
-    /// Read what has changed since the cache was last confirmed.
+    /// Read the changes since the cache was last confirmed.
     ConfirmCache,
     /// A step of a user's request.
     User(UserCall),
-    /// A call of a leader. The lease identifies its term: answers to calls of an earlier term are dropped.
+    /// A call of a leader. The lease identifies the leader's term: answers to calls of an earlier term are dropped.
     Leader(LeaseId, LeaderCall),
     /// Replace the operators' settings for an administrator's request.
     ReplaceAdminSettings(ReqId, Box<AdminSettings>),
@@ -34,31 +34,31 @@
     WriteWatermark,
 }
 
-/// What a call of the leader is for.
+/// The purpose of a leader's call to the store.
 #[derive(Clone, Debug)]
 pub(crate) enum LeaderCall {
-    /// Read a page of the state for the failover recovery.
+    /// Read a page of the state during the failover recovery.
     RecoverPage(RecoveryPage),
     /// Write a segment of the placement log.
     CommitSegment(SegmentId),
     /// Record that jobs are done.
     CommitCompletions(Vec<JobId>),
-    /// See what a job's key holds after a commit that failed.
+    /// Read a job's key after a commit that failed or has an unknown outcome.
     RereadJob(JobId),
     /// Bump the epoch to this one.
     BumpEpoch(Epoch),
-    /// See whether the epoch was bumped to this one.
+    /// Check whether the epoch was bumped to this one.
     VerifyEpochBump(Epoch),
     /// Store the machine types for the other nodes.
     StoreCatalog,
-    /// A step of closing the version gate; the term knows which.
+    /// A step of closing the version gate; the term holds which one.
     CloseVersionGate,
-    /// Record that jobs are cancelled with what they depend on.
+    /// Record cascade cancellations.
     CommitCascade(Vec<(JobId, JobRecord)>),
 }
 
 impl Node {
-    /// Queues a call of the leader; nothing if this node does not lead.
+    /// Queues a call of the leader; does nothing if this node does not lead.
     pub(crate) fn call_store_as_leader(&mut self, call: StoreCall, purpose: LeaderCall) {
         let Some(leader) = &self.leader else {
             return;
@@ -68,7 +68,7 @@
             .enqueue(CallPriority::Leader, call, purpose);
     }
 
-    /// Hands the store's answer to the handler of the call.
+    /// Passes the store's answer to the handler of the call.
     pub(super) fn store_call_answered(
         &mut self,
         id: CallId,
@@ -81,7 +81,7 @@
             self.lower_store_limits();
         }
         let Some(purpose) = self.store_calls.complete(id) else {
-            return log::debug!("an answer to a call that is not open");
+            return log::debug!("store answer dropped reason=call_not_open");
         };
         match purpose {
             PendingCall::Election(call) => self.election_call_answered(call, sent, answer, now),
@@ -102,14 +102,16 @@
         }
     }
 
-    /// Whether this node leads in the term of a lease.
+    /// Returns whether this node leads in the term that a lease identifies.
     fn is_leading_in(&self, term: LeaseId) -> bool {
         (self.leader.as_ref()).is_some_and(|leader| leader.term.lease_id() == term)
     }
 
     fn leader_call_answered(&mut self, call: LeaderCall, answer: StoreAnswer, now: Now) {
         match call {
-            LeaderCall::RecoverPage(asked) => self.recovery_page_answered(asked, answer, now),
+            LeaderCall::RecoverPage(requested) => {
+                self.recovery_page_answered(requested, answer, now)
+            }
             LeaderCall::CommitSegment(segment) => {
                 self.segment_commit_answered(segment, answer, now)
             }
@@ -125,15 +127,16 @@
         }
     }
 
-    /// A transaction was rejected as too large: the store's limits are lower than was known.
+    /// Halves the limits of the store after a transaction was rejected as too large, which shows that the store's
+    /// limits are lower than was known.
     fn lower_store_limits(&mut self) {
-        self.limits.halve();
+        self.store_limits.halve();
         log::warn!(
-            "transaction rejected, limits are halved limits={:?}",
-            self.limits
+            "transaction rejected, store limits halved limits={:?}",
+            self.store_limits
         );
         if let Some(leader) = self.leader.as_mut() {
-            leader.store_limits = self.limits;
+            leader.store_limits = self.store_limits;
         }
     }
 }
--- a/crates/core/src/node/placement_log.rs
+++ b/crates/core/src/node/placement_log.rs
@@ -1,4 +1,4 @@
-//! Sends the commits of the leader's placement log, and hands it their answers.
+//! Sends the commits of the leader's placement log, and passes their answers to it.
 
 use crate::io::{StoreAnswer, StoreCall};
 use crate::node::pending_call::LeaderCall;
@@ -10,7 +10,7 @@
 impl Node {
     /// Sends the commits of the placement log that are due.
     pub(crate) fn flush_placement_log(&mut self, now: Now) {
-        let writes_per_s = self.limits.placement_writes();
+        let writes_per_s = self.store_limits.placement_writes();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -27,7 +27,8 @@
         }
     }
 
-    /// The answer to the commit of a segment: what was recorded for the first time may be started.
+    /// Handles the answer to the commit of a segment: tasks whose placement was recorded for the first time may be
+    /// started.
     pub(crate) fn segment_commit_answered(
         &mut self,
         segment: SegmentId,
--- a/crates/core/src/node/read_confirmation.rs
+++ b/crates/core/src/node/read_confirmation.rs
@@ -1,4 +1,4 @@
-//! Carries out confirmations of reads: the transactions of their batches, and what follows from the answers.
+//! Carries out the confirmation of reads: sends the transactions of their batches, and handles the answers.
 
 use crate::api::read_confirmation::{
     BatchProgress, ConfirmationBatch, ConfirmationBudget, FreshVersions, QueueFull, ReadResult,
@@ -18,11 +18,11 @@
     fn confirmation_budget(&self) -> ConfirmationBudget {
         ConfirmationBudget {
             calls_per_s: self.store_calls.rate(),
-            max_conditions: self.limits.conditions(),
+            max_conditions: self.store_limits.conditions(),
         }
     }
 
-    /// Confirms a read soon, with others.
+    /// Queues a read to be confirmed together with others; refuses it if the queue is full.
     pub(crate) fn queue_confirmation(&mut self, read: PendingRequest, now: Now) {
         let budget = self.confirmation_budget();
         let queue = &mut self.user_requests.confirmation_queue;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Sends the batches that are due.
+    /// Sends the batches of reads that are due for confirmation.
     pub(crate) fn send_due_confirmations(&mut self, now: Now) {
         let budget = self.confirmation_budget();
         let queue = &mut self.user_requests.confirmation_queue;
@@ -45,7 +45,7 @@
     }
 
     fn send_next_batch(&mut self, now: Now) {
-        let max_conditions = self.limits.conditions();
+        let max_conditions = self.store_limits.conditions();
         let queue = &mut self.user_requests.confirmation_queue;
         let next = queue.next_batch(&self.job_cache, max_conditions, now.time);
         for settled in next.settled {
@@ -67,13 +67,13 @@
     /// Sends the next transaction of a batch.
     fn send_confirmation(&mut self, mut batch: ConfirmationBatch) {
         let call = StoreCall::Commit(Transaction {
-            conditions: batch.next_conditions(self.limits.conditions()),
+            conditions: batch.next_conditions(self.store_limits.conditions()),
             changes: Vec::new(),
         });
         self.user_call(call, UserCall::ConfirmReads(batch));
     }
 
-    /// The answer to a transaction of a batch.
+    /// Handles the answer to a transaction of a batch.
     pub(crate) fn confirmation_answered(
         &mut self,
         batch: ConfirmationBatch,
@@ -121,7 +121,8 @@
         }
     }
 
-    /// The answer to a read of a job for all whose answers depend on it.
+    /// Handles the answer to a read of a job whose cached version was out of date, for all reads whose answers depend
+    /// on it.
     pub(crate) fn stale_job_read(
         &mut self,
         id: JobId,
--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -1,7 +1,7 @@
-//! Failover: reading the state that earlier leaders left in the store, before anything is decided.
+//! Failover recovery: reads the state that earlier leaders left in the store, before the new leader makes any decision.
 //!
-//! All jobs are read, then all segments of the placement log. The leader's key is held meanwhile, so nobody else
-//! writes segments; jobs may change, and the newer version wins, from whichever source it comes.
+//! All jobs are read, then all segments of the placement log. The leader's key is held meanwhile, so no other node
+//! writes segments. Jobs may change during the recovery; the newer version wins, whichever source it comes from.
 
 use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::leader::recovery_progress::{RecoveryPage, RecoverySource};
@@ -13,7 +13,7 @@
 use rudderreel_wire::state::Item;
 
 impl Node {
-    /// Begins to read the state.
+    /// Requests the first page of the state.
     pub(super) fn begin_recovery(&mut self) {
         self.request_recovery_page(RecoveryPage::first());
     }
@@ -23,7 +23,7 @@
         self.call_store_as_leader(call, LeaderCall::RecoverPage(page));
     }
 
-    /// Asks again for a page that was not read, once that is due.
+    /// Requests a page again that could not be read, once its retry is due.
     pub(super) fn retry_recovery_page(&mut self, now: Now) {
         let due =
             (self.leader.as_mut()).and_then(|leader| leader.recovery.take_due_retry(now.time));
@@ -32,24 +32,24 @@
         }
     }
 
-    /// The answer to the call for a page.
+    /// Handles the answer to the call for a page.
     pub(super) fn recovery_page_answered(
         &mut self,
-        asked: RecoveryPage,
+        requested: RecoveryPage,
         answer: StoreAnswer,
         now: Now,
     ) {
         let StoreAnswer::Page(page) = answer else {
             if let Some(leader) = self.leader.as_mut() {
-                leader.recovery.retry_later(asked, now.time);
+                leader.recovery.retry_later(requested, now.time);
             }
             return;
         };
         let last_key = page.items.last().map(|item| item.key.clone());
         for item in page.items {
-            self.recover_item(asked.source, item, now);
+            self.recover_item(requested.source, item, now);
         }
-        match asked.following(last_key.filter(|_| page.more)) {
+        match requested.following(last_key.filter(|_| page.more)) {
             Some(next) => self.request_recovery_page(next),
             None => self.complete_recovery(now),
         }
@@ -65,11 +65,11 @@
         };
         if recovered.is_none() {
             self.job_cache
-                .record_unreadable(&item.key, &"read for the recovery");
+                .record_unreadable(&item.key, &"read during the recovery");
         }
     }
 
-    /// Hands a job to the leader; none if its record can't be read.
+    /// Passes a job to the leader; returns `None` if its record can't be read.
     fn recover_job(&mut self, name: &str, version: Version, value: Value) -> Option<()> {
         let id: JobId = name.parse().ok()?;
         let record: JobRecord = serde_json::from_value(value).ok()?;
@@ -81,7 +81,7 @@
         Some(())
     }
 
-    /// Hands a segment to the leader; none if its record can't be read.
+    /// Passes a segment to the leader; returns `None` if its record can't be read.
     fn recover_segment(&mut self, name: &str, value: Value, now: Now) -> Option<()> {
         let segment = SegmentId::of_name(name)?;
         let record: SegmentRecord = serde_json::from_value(value).ok()?;
@@ -89,7 +89,8 @@
         Some(())
     }
 
-    /// All has been read: the status reports that came meanwhile are reconciled, and scheduling may begin.
+    /// Completes the recovery after the last page: reconciles the status reports that arrived meanwhile, and lets
+    /// scheduling begin.
     fn complete_recovery(&mut self, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -11,14 +11,14 @@
 use rudderreel_wire::peer::{ForwardedReports, ForwardedReportsReply};
 use rudderreel_wire::worker::{ReportRedirect, StatusReport};
 
-/// How long reports are collected for a batch, on a node that has enough of a processor.
+/// Time for which reports are collected into a batch, on a node with a sufficient share of a processor.
 const BATCH_INTERVAL: Span = Span(80);
-/// The HTTP status that redirects an agent to another node.
+/// HTTP status that redirects an agent to another node.
 const MISDIRECTED_REQUEST: u16 = 421;
 
 impl Node {
-    /// Forwards an agent's report, redirects the agent, or refuses. Returns the report if the agent has to be answered
-    /// in another way: there is no leader to forward it to, or the fleet is small.
+    /// Forwards an agent's report, redirects the agent, or refuses the report. Returns the report if the agent has to
+    /// be answered in another way: there is no leader to forward it to, or the fleet is small.
     pub(crate) fn forward_report(
         &mut self,
         req: ReqId,
@@ -29,7 +29,7 @@
             return Some(report);
         };
         if !self.is_report_forwarding_on(self.leader_machines) {
-            // A small fleet: the leader hears the agent itself, and so sooner.
+            // In a small fleet the leader receives the report from the agent itself, and so sooner.
             return Some(report);
         }
         if let Some(peer) = self.less_loaded_peer(&report.machine, now.time) {
@@ -50,37 +50,37 @@
         None
     }
 
-    /// Whether all nodes take the reports of a fleet of so many machines.
+    /// Returns whether all nodes accept the reports of a fleet of this many machines.
     pub(crate) fn is_report_forwarding_on(&self, machines: u32) -> bool {
         f64::from(machines) > self.admin_settings.settings.spread_reports_from
     }
 
-    /// The leader, if it was heard lately. A node that the store refuses may not have seen its key change, but hears
-    /// who leads in a later epoch.
+    /// Returns the leader, if a heartbeat or a reply was received from it recently. A node that the store refuses may
+    /// not have seen the leader's key change, but learns from heartbeats which node leads in a later epoch.
     pub(crate) fn reachable_leader(&self, now: Time) -> Option<NodeName> {
         let leads = |peer: &PeerStatus| peer.leads && peer.is_reachable(now);
         let recorded = self.job_cache.leader().map(|record| &record.node);
         let confirmed = recorded.filter(|node| self.peers.get(node).is_some_and(leads));
-        let heard = (self.peers.iter())
+        let by_heartbeat = (self.peers.iter())
             .filter(|(_, peer)| leads(peer) && peer.epoch >= self.election.epoch())
             .max_by_key(|(_, peer)| peer.epoch)
             .map(|(name, _)| name);
-        confirmed.or(heard).cloned()
+        confirmed.or(by_heartbeat).cloned()
     }
 
     fn report_interval(&self) -> Span {
         Span::secs(self.settings.params.workers.report_s)
     }
 
-    /// How many agents report here, for the peers, which redirect agents to where there are fewer. More are named if
-    /// this node can't keep up with those it has.
+    /// Returns the number of agents that report to this node, for its peers, which redirect agents to nodes with fewer.
+    /// The number is higher than that if this node can't keep up with its agents.
     pub(crate) fn reported_load(&mut self, now: Time) -> u32 {
         let report_interval = self.report_interval();
         let agents = self.agent_balancer.agent_count(report_interval, now);
         self.backlog.load_for_agents(agents)
     }
 
-    /// A peer that an agent should rather report to.
+    /// Returns a less loaded peer that an agent should report to instead, if there is one.
     fn less_loaded_peer(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
         let cluster = ClusterLoad {
             own_name: &self.settings.node,
@@ -93,7 +93,8 @@
         self.agent_balancer.redirect(machine, &cluster)
     }
 
-    /// At the leader: a peer that should take this agent's reports.
+    /// Returns the peer that should receive an agent's reports instead of this leader, if there is one. Otherwise the
+    /// agent is counted as reporting here.
     pub(crate) fn peer_for_report(&mut self, machine: &MachineId, now: Time) -> Option<NodeName> {
         let machines = (self.leader.as_ref()).map_or(0, |l| l.fleet.machines.len() as u32);
         let peer = (self.is_report_forwarding_on(machines))
@@ -105,7 +106,7 @@
         peer
     }
 
-    /// Redirects an agent to another node, or to any.
+    /// Redirects an agent to another node, or to any node if none is given.
     pub(crate) fn redirect_agent(&mut self, req: ReqId, report_to: Option<NodeName>) {
         self.answer(
             req,
@@ -114,7 +115,7 @@
         );
     }
 
-    /// Forwards the reports that have been collected.
+    /// Forwards the collected reports if a batch is due.
     pub(crate) fn forwarding_tick(&mut self, now: Now) {
         let interval = self.processor_share.stretched(BATCH_INTERVAL);
         let Some(batch) = self.forwarding.take_due_batch(interval, now.time) else {
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The leader's answer to forwarded reports, or none.
+    /// Handles the leader's answer to forwarded reports; `reply` is `None` if the leader gave none.
     pub(crate) fn forwarded_reports_answered(
         &mut self,
         call: CallId,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// At the leader: reports that a peer forwards.
+    /// Handles reports that a peer forwards to this node as the leader.
     pub(crate) fn forwarded_reports_received(
         &mut self,
         req: ReqId,
--- a/crates/core/src/node/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -18,7 +18,7 @@
     report
 }
 
-/// A follower that hears a leader of a large fleet.
+/// Returns a follower that receives the heartbeats of a leader of a large fleet.
 fn follower() -> Node {
     let mut node = crate::testing::node();
     node.leader_machines = 6_000;
@@ -32,7 +32,7 @@
     node
 }
 
-/// Answers a forwarded batch as the leader does; returns how many agents get an answer.
+/// Answers a forwarded batch as the leader does; returns how many agents are answered.
 fn answer_batch(node: &mut Node, call: CallId, reports: usize, now: Now) -> usize {
     let reply = ForwardedReportsReply {
         token: Some(Epoch(1)),
@@ -42,24 +42,27 @@
     node.out.drain(..).count()
 }
 
-/// When four of five nodes are gone, a fleet of 4,000 or 6,000 comes to one node at once. It took a thousand reports
-/// and refused the others, whose agents then sought another node in vain. Now all are forwarded, in messages that the
-/// leader takes, and only what would be answered too late is refused.
+/// When four of five nodes fail, all agents of a fleet of 4,000 or 6,000 report to the remaining node at once. A queue
+/// of a thousand reports made it refuse the others, whose agents then tried other nodes without success. All reports
+/// must be forwarded, in messages that the leader accepts, and only those that would be answered too late are refused.
 #[test]
-fn every_report_of_a_fleet_that_comes_at_once_is_forwarded() {
+fn every_report_of_a_fleet_that_reports_at_once_is_forwarded() {
     for machines in [4_000, 6_000] {
         let mut node = follower();
         for n in 0..machines {
             node.forward_report(ReqId(n as u64), report(n, 4), NOW);
         }
-        assert_eq!(node.out.drain(..).count(), 0, "all wait");
+        assert_eq!(node.out.drain(..).count(), 0, "all reports are queued");
         let late = Now {
             time: NOW.time + MAX_WAIT + Span(1),
             ..NOW
         };
         node.forward_report(ReqId(machines as u64), report(machines, 4), late);
         let refused = node.out.drain(..).count();
-        assert_eq!(refused, 1, "what would be answered too late is refused");
+        assert_eq!(
+            refused, 1,
+            "a report that would be answered too late is refused"
+        );
         let (mut forwarded, mut now) = (0, NOW);
         loop {
             now.time = now.time + BATCH_INTERVAL;
--- a/crates/core/src/node/user_requests.rs
+++ b/crates/core/src/node/user_requests.rs
@@ -1,4 +1,4 @@
-//! Carries out users' requests: receives them, calls the state service for them, forwards, answers and refuses them.
+//! Carries out users' requests: receives them, calls the store for them, forwards, answers and refuses them.
 
 use crate::api::admission::{put_job, Feasibility};
 use crate::api::refusal::Refusal;
@@ -14,12 +14,12 @@
 use rudderreel_wire::job::JobState;
 use std::collections::BTreeMap;
 
-/// HTTP statuses.
+/// HTTP status of a request that succeeded.
 const OK: u16 = 200;
 const UNAVAILABLE: u16 = 503;
 
 impl Node {
-    /// Receives a user's request, from the user or from a peer.
+    /// Handles a user's request that was received from the user or from a peer.
     pub(crate) fn user_request_received(
         &mut self,
         req: ReqId,
@@ -40,7 +40,7 @@
         self.serve(request, now);
     }
 
-    /// Serves a request by what the cache says of its job.
+    /// Serves a request according to the cached state of its job.
     pub(crate) fn serve(&mut self, request: PendingRequest, now: Now) {
         if self.job_cache.is_final(request.job()) {
             return self.respond(request, now);
@@ -49,13 +49,13 @@
         match (request.request(), known) {
             (UserRequest::Cancel(_), Some(known)) => self.cancel_job(request, known, None, now),
             (_, Some(_)) => self.queue_confirmation(request, now),
-            // That there is no such job is confirmed like anything else.
+            // The absence of a job is confirmed like any other read.
             (UserRequest::Status(_), None) if self.job_cache.is_complete() => {
                 self.queue_confirmation(request, now)
             }
             (UserRequest::Submit(spec), None) => match self.feasibility(spec) {
                 Feasibility::Runnable => self.create_job(request, now),
-                // It may have been accepted when it could run.
+                // The job may have been accepted at a time when it could run.
                 Feasibility::Never(_) => self.read_job(request),
                 Feasibility::Undecided => self.refuse(request.id(), Refusal::MachineTypesUnknown),
             },
@@ -69,7 +69,7 @@
             .enqueue(CallPriority::User, call, PendingCall::User(purpose));
     }
 
-    /// Cancels a job for its user, or with a dependency.
+    /// Commits the cancellation of a job, for its user or because of a cancelled dependency.
     fn cancel_job(
         &mut self,
         request: PendingRequest,
@@ -77,13 +77,15 @@
         dependency: Option<&JobId>,
         now: Now,
     ) {
-        let record = known.record.cancelled(now.wall, dependency, &self.limits);
+        let record = known
+            .record
+            .cancelled(now.wall, dependency, &self.store_limits);
         let call = put_job(request.job(), known.version, &record, &BTreeMap::new());
         self.user_call(call, UserCall::CancelJob(request, Box::new(record)));
     }
 
-    /// Answers a request about a job that can't become ready any more, since a dependency was cancelled: its own
-    /// record is written first.
+    /// Answers a request about a job that can't become ready any more, since a dependency was cancelled: the job's own
+    /// cancelled record is written first.
     pub(crate) fn cancel_with_dependency(
         &mut self,
         request: PendingRequest,
@@ -94,7 +96,7 @@
             return self.refuse(request.id(), Refusal::JobNotCached);
         };
         if !self.user_requests.begin_cancelling(request.job()) {
-            // Another request has it written at this moment.
+            // Another request is writing that record at this moment.
             return self.queue_confirmation(request, now);
         }
         self.cancel_job(request, known, Some(dependency), now);
@@ -105,7 +107,7 @@
         self.user_call(StoreCall::Get(key), UserCall::ReadJob(request));
     }
 
-    /// The answer to a call for users.
+    /// Handles the answer to a store call made for users.
     pub(crate) fn user_call_answered(&mut self, purpose: UserCall, answer: StoreAnswer, now: Now) {
         self.user_requests.call_ended();
         match purpose {
@@ -128,7 +130,7 @@
                 };
                 let id = request.job().clone();
                 self.job_cache.update_job(id, item.version, record);
-                // What the cache has learned since is newer still.
+                // What the cache has learned since the read is newer still.
                 let newest = self.job_cache.job(request.job()).cloned();
                 match (request.request(), newest) {
                     (UserRequest::Cancel(_), Some(known)) if !known.record.is_final() => {
@@ -137,7 +139,7 @@
                     _ => self.respond_to_read(request, now),
                 }
             }
-            // It was read before what the cache has learned since.
+            // The read is older than what the cache has learned since.
             StoreAnswer::Missing if self.job_cache.contains_job(request.job()) => {
                 self.retry(request, now)
             }
@@ -146,7 +148,7 @@
         }
     }
 
-    /// There is no job of this id: a submission creates it.
+    /// Handles a read that found no job of this id: a submission creates the job.
     fn job_missing(&mut self, request: PendingRequest, now: Now) {
         let UserRequest::Submit(spec) = request.request() else {
             return self.no_such_job(request, now);
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Reads the job again, if that is still allowed.
+    /// Reads the job again, if the request has attempts left and is not overdue; refuses it otherwise.
     pub(crate) fn retry(&mut self, mut request: PendingRequest, now: Now) {
         if !request.begin_attempt() || request.is_overdue(now.time) {
             return self.refuse(request.id(), Refusal::StoreTimeout);
@@ -185,8 +187,8 @@
         }
     }
 
-    /// There was no such job when that was asked. If one was accepted since, an answer that says so may
-    /// have been given by now.
+    /// Answers that there was no such job when the store was asked. If the job was accepted since, an answer that says
+    /// so may have been given by now, so the job is read again.
     pub(crate) fn no_such_job(&mut self, request: PendingRequest, now: Now) {
         if self.job_cache.contains_job(request.job()) {
             return self.retry(request, now);
@@ -194,7 +196,8 @@
         self.refuse(request.id(), Refusal::NoSuchJob);
     }
 
-    /// Answers by a job's record that was just read. What it depends on has yet to be confirmed.
+    /// Answers with a job's record that was just read. The dependencies of a job that is not final have yet to be
+    /// confirmed.
     pub(crate) fn respond_to_read(&mut self, mut request: PendingRequest, now: Now) {
         let needs_confirmation =
             |known: &KnownJob| !known.record.is_final() && !known.dependencies().is_empty();
@@ -208,8 +211,8 @@
         self.queue_confirmation(request, now);
     }
 
-    /// Answers by what is known of a job, which is fresh, or final. That a job is cancelled is acknowledged only
-    /// once enough nodes know it.
+    /// Answers with the cached state of a job, which is fresh, or final. A cancellation is acknowledged only once
+    /// enough nodes know of it.
     pub(crate) fn respond(&mut self, request: PendingRequest, now: Now) {
         match self.job_cache.job(request.job()) {
             Some(known) if known.record.state == JobState::Cancelled => {
@@ -220,7 +223,8 @@
         }
     }
 
-    /// The one place where a job's state is told: by the newest that is known at this moment.
+    /// Answers with the newest state of a job that is known at this moment. This is the only place where a cached state
+    /// is sent to a user.
     pub(crate) fn respond_now(&mut self, request: &PendingRequest, now: Now) {
         let Some(known) = self.job_cache.job(request.job()) else {
             return self.refuse(request.id(), Refusal::JobNotCached);
@@ -230,8 +234,8 @@
         self.answer(request.id(), OK, body);
     }
 
-    /// The state service does not serve this node: a peer may be luckier. If not, the user is told at once when to
-    /// come back.
+    /// Forwards a request to a peer that the store serves, since the store does not serve this node. If there is no
+    /// such peer or the request may not be forwarded, refuses it at once, with the time after which to retry.
     pub(crate) fn forward_or_refuse(&mut self, request: PendingRequest, now: Now) {
         match self.peers.first_served_by_store(now.time).cloned() {
             Some(peer) if request.may_be_forwarded(now.time) => {
@@ -247,7 +251,7 @@
         }
     }
 
-    /// A peer's answer to a forwarded request.
+    /// Handles a peer's answer to a forwarded request.
     pub(crate) fn forward_answered(&mut self, req: ReqId, answer: Option<(u16, String)>) {
         if !self.user_requests.forward_ended(req) {
             return;
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -1,5 +1,5 @@
-//! The commits by which a leader closes the version gate (see [`crate::leadership::version_gate`]): first its key moves,
-//! then the machine types. Also what the gate has this node refuse.
+//! Makes the commits by which a leader closes the version gate (see [`crate::leadership::version_gate`]): first the
+//! leader's key is moved, then the machine types. Also refuses the requests that the gate rules out.
 
 use crate::api::refusal::Refusal;
 use crate::io::{ReqId, RequestOrigin, StoreAnswer, StoreCall, UserRequest, Value};
@@ -16,9 +16,9 @@
 use rudderreel_wire::state::Transaction;
 
 impl Node {
-    /// A user's request that a peer forwards. Once jobs depend on others, a submission from a version that knows no
-    /// dependencies is refused: it may have lost them.
-    pub(crate) fn forwarded(
+    /// Handles a user's request that a peer forwards. Once jobs depend on others, a submission that was forwarded by a
+    /// version that knows no dependencies is refused: that version may have dropped the submission's dependencies.
+    pub(crate) fn forwarded_request_received(
         &mut self,
         req: ReqId,
         request: UserRequest,
@@ -33,7 +33,7 @@
         self.user_request_received(req, request, RequestOrigin::Peer, now);
     }
 
-    /// Has the leader close the gate, step by step, once a job depends on others.
+    /// Takes the leader's next step of closing the gate, once a job depends on others.
     pub(super) fn close_version_gate(&mut self, now: Now) {
         let Some(leader) = self.leader.as_ref() else {
             return;
@@ -62,7 +62,7 @@
         let (Some(leader), Some(catalog)) = (self.leader.as_ref(), self.catalog.as_ref()) else {
             return;
         };
-        let machine_types = self.storable(catalog);
+        let machine_types = self.catalog_if_storable(catalog);
         let call = StoreCall::Commit(leader.term.catalog_move_commit(&machine_types));
         self.advance_version_gate(VersionGateStep::MovingCatalog, call);
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The answer to the call of the present step.
+    /// Handles the answer to the call of the current step.
     pub(super) fn version_gate_answered(&mut self, answer: StoreAnswer, now: Now) {
         let step = (self.leader.as_ref()).map(|leader| leader.term.version_gate());
         match step {
@@ -107,7 +107,8 @@
         self.set_version_gate(VersionGateStep::MovingKeyAgainAt(at));
     }
 
-    /// The gated key as read after a commit that failed: if it is this leader's, an earlier try was carried out.
+    /// Handles the gated key as read after a commit that failed: if the key is this leader's, an earlier try was
+    /// carried out.
     fn key_verified(&mut self, answer: StoreAnswer, now: Now) {
         match answer {
             StoreAnswer::Found(item) => {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The gated key is this leader's.
+    /// Records that this leader holds the gated key.
     fn gated_key_held(&mut self, version: Version) {
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -135,7 +136,8 @@
         self.job_cache.leader_key_moved(version, record);
     }
 
-    /// What was not carried out, or may not have been, is tried again.
+    /// Handles the answer to the commit that moves the machine types. A commit that was not carried out, or may not
+    /// have been, is tried again.
     fn catalog_move_answered(&mut self, answer: StoreAnswer) {
         if let StoreAnswer::Committed(_) = answer {
             self.job_cache.catalog_moved();
@@ -144,15 +146,16 @@
         self.step_down_if_superseded(&answer);
     }
 
-    /// Stores the machine types for the other nodes. Once jobs depend on others they are stored where the
-    /// gate keeps them.
-    pub(crate) fn keep_catalog(&mut self, catalog: &Catalog) {
+    /// Stores the machine types for the other nodes, unless jobs depend on others: then they are stored under the gated
+    /// key, as a step of closing the gate.
+    pub(crate) fn store_catalog(&mut self, catalog: &Catalog) {
         let Some(leader) = (self.leader.as_ref()).filter(|_| !self.job_cache.dependencies_in_use())
         else {
             return;
         };
-        // What was stored before stays readable; without that, nodes ask the cloud themselves.
-        let Some(stored) = self.storable(catalog) else {
+        // If they are too large, what was stored before stays readable; without that, nodes request the machine types
+        // from the cloud themselves.
+        let Some(stored) = self.catalog_if_storable(catalog) else {
             return;
         };
         let call = StoreCall::Commit(Transaction {
@@ -162,12 +165,12 @@
         self.call_store_as_leader(call, LeaderCall::StoreCatalog);
     }
 
-    /// The machine types, if they are small enough to be stored.
-    fn storable(&self, catalog: &Catalog) -> Option<Value> {
+    /// Returns the machine types as JSON, if they are small enough to be stored.
+    fn catalog_if_storable(&self, catalog: &Catalog) -> Option<Value> {
         let value = serde_json::to_value(catalog).ok();
-        let fits = value.filter(|value| self.limits.fits(value));
+        let fits = value.filter(|value| self.store_limits.fits(value));
         if fits.is_none() {
-            log::warn!("the machine types are too large to be stored");
+            log::warn!("machine types not stored reason=too_large");
         }
         fits
     }
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -5,7 +5,7 @@
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
 
-/// A leader that has just won, on a node that has read everything.
+/// Returns a node that has just become the leader and whose cache is complete.
 fn leading_node() -> Node {
     let mut node = node();
     node.job_cache.set_complete(true);
@@ -13,7 +13,8 @@
     node
 }
 
-/// A superseded leader may go on by its own clock, so nothing is concluded from leases before that is over.
+/// A superseded leader may continue to act for a whole lease by its own clock, so nothing is concluded from leases
+/// before that time has passed.
 #[test]
 fn older_leaders_count_as_fenced_only_after_a_superseded_one_has_surely_stopped() {
     let fenced_at = |node: &mut Node| {
@@ -33,9 +34,10 @@
     assert!(fenced_at(&mut unread).expect("a moment") > NOW.time + LEADER_LEASE_TTL);
 }
 
-/// While nothing depends on anything, leaders of both versions are left alone; then only newer ones are.
+/// While no job depends on another, leaders of both versions are accepted; once one does, only leaders of the newer
+/// version are.
 #[test]
-fn who_leads_must_know_dependencies_only_once_there_are_some() {
+fn leaders_without_dependency_support_are_outdated_only_once_jobs_have_dependencies() {
     let record = |format: u32| LeaderRecord {
         format,
         ..LeaderRecord::new("n1".into(), Epoch(4), LeaseId(1))
@@ -69,10 +71,10 @@
     ));
 }
 
-/// The commit that moves the key is repeated when its outcome is not known; if it fails then, an earlier
-/// try was perhaps carried out, and the leader leads on by the other key.
+/// The commit that moves the key is repeated if its outcome is unknown. If the repeated commit fails, an earlier try
+/// may have been carried out; then the leader continues to lead with the gated key.
 #[test]
-fn a_leader_finds_out_that_its_key_was_moved_after_all() {
+fn a_leader_detects_that_an_earlier_key_move_was_committed() {
     let mut node = leading_node();
     node.job_cache.set_dependencies_seen();
     node.close_version_gate(NOW);
@@ -104,12 +106,12 @@
         lease,
     };
     node.version_gate_answered(StoreAnswer::Found(item), later);
-    let leader = node.leader.as_ref().expect("it leads on");
+    let leader = node.leader.as_ref().expect("it still leads");
     assert_eq!(
         (leader.term.key(), leader.term.key_condition().version),
         (LeaderKey::Gated, Version(8))
     );
-    // Another's key there means that it has lost.
+    // If the gated key is missing, the leader has lost its key.
     let mut lost = leading_node();
     lost.job_cache.set_dependencies_seen();
     lost.close_version_gate(NOW);
