--- a/crates/core/src/api/admin.rs
+++ b/crates/core/src/api/admin.rs
@@ -1,10 +1,11 @@
-//! The administration API: operators' settings, and what administrators are shown.
+//! The administration API: the operators' settings, and views of the deployment for administrators.
 //!
-//! Any node answers for the settings and, while it does not lead, for the overview; what only the leader knows is
-//! asked of it. Each answer is a struct in a module of its own. Lists are answered in pages or cut at
-//! [`MAX_LISTED`], and always say how many entries there are in all.
+//! Any node answers requests for the settings and, while it does not lead, for its own overview. Requests for
+//! information that only the leader has are forwarded to the leader. Each answer is a struct in a module of its own.
+//! Lists are answered in pages or cut off after [`MAX_LISTED`] entries, and always contain the total number of
+//! entries.
 //!
-//! Names and texts in the answers are part of the documented API.
+//! Field names and texts in the answers are part of the documented API.
 
 pub mod jobs;
 pub mod machines;
@@ -16,10 +17,10 @@
 
 use serde::Serialize;
 
-/// Entries of a list in one answer.
+/// Maximum number of entries of a list in one answer.
 pub(crate) const MAX_LISTED: usize = 200;
 
-/// An answer as JSON. Its fields stand in alphabetical order, as an object of `serde_json` keeps them.
+/// Returns an answer as JSON. Its fields are in alphabetical order, since `serde_json` sorts the keys of an object.
 pub(crate) fn to_json(answer: &impl Serialize) -> String {
     serde_json::to_value(answer).unwrap_or_default().to_string()
 }
--- a/crates/core/src/api/admin/jobs.rs
+++ b/crates/core/src/api/admin/jobs.rs
@@ -1,4 +1,4 @@
-//! Why a job is where it is.
+//! The view of one job: its state, its placements, and the reason why its next task is not started.
 
 use crate::api::admin::wait_reason::WaitReason;
 use crate::api::admin::MAX_LISTED;
@@ -12,45 +12,45 @@
 use rudderreel_wire::job::{JobState, Priority};
 use serde::Serialize;
 
-/// A job as administrators are shown it.
+/// A job as shown to administrators.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum JobView<'a> {
-    /// It is not final, or some of its tasks may still be somewhere.
+    /// The job is not final, or some of its tasks may still be on machines.
     Unfinished(Box<UnfinishedJob<'a>>),
-    /// The leader keeps nothing of it but its record.
+    /// The job is final, and the leader keeps nothing of it but its record.
     Final(FinalJob<'a>),
 }
 
-/// A job that the leader keeps.
+/// A job that the leader still schedules, or whose tasks it still tracks.
 #[derive(Serialize)]
 pub struct UnfinishedJob<'a> {
     id: &'a JobId,
     team: &'a Team,
-    /// Whether it was cancelled, or is done, and only its tasks' ends are awaited.
+    /// Whether the job is cancelled or done, and only the end of its remaining tasks is awaited.
     #[serde(rename = "cancelled")]
     is_ending: bool,
-    /// Dependencies that are not done, and how many.
+    /// Dependencies that are not done, [`MAX_LISTED`] at most, and their total number.
     waits_for: Vec<&'a JobId>,
     #[serde(rename = "waits_for_of")]
     waits_for_total: usize,
-    /// Jobs that depend on it, and how many.
+    /// Jobs that depend on this one, [`MAX_LISTED`] at most, and their total number.
     needed_by: Vec<&'a JobId>,
     #[serde(rename = "needed_by_of")]
     needed_by_total: usize,
-    /// Its own priority, or a higher one that it inherits.
+    /// The job's own priority, or a higher inherited one.
     priority: Priority,
     finish_by_ms: Option<u64>,
-    /// Tasks that are done, of how many.
+    /// Number of tasks that are done, and the total number of tasks.
     done: u32,
     #[serde(rename = "of")]
     total: u32,
-    /// Tasks that may be started.
+    /// Number of unplaced tasks that may be started.
     to_start: u32,
-    /// What keeps the next task from starting.
+    /// Why the next task is not started.
     #[serde(rename = "why")]
     reason: WaitReason,
-    /// Where its tasks are, and how many placements there are.
+    /// Placements of the job's tasks, [`MAX_LISTED`] at most, and their total number.
     tasks: Vec<TaskView<'a>>,
     tasks_of: u32,
 }
@@ -62,25 +62,25 @@
     index: u32,
     machine: &'a MachineId,
     attempt: Attempt,
-    /// None if the machine is not known to have it.
+    /// The phase of the task; none if the machine is not known to have it.
     phase: Option<String>,
-    /// Why it is being stopped, if it is.
+    /// Why the task is being stopped, if it is.
     #[serde(rename = "stopping")]
     stop_reason: Option<String>,
 }
 
-/// A job of which only the record is left.
+/// A final job of which only the record is left.
 #[derive(Serialize)]
 pub struct FinalJob<'a> {
     id: &'a JobId,
     state: JobState,
-    /// The dependency with which it was cancelled.
+    /// The cancelled dependency that led to the cancellation of this job, if there is one.
     #[serde(rename = "cancelled_with")]
     cancelled_by: Option<&'a JobId>,
 }
 
 impl<'a> JobView<'a> {
-    /// What a leader knows of a job.
+    /// Returns the leader's view of a job. Refuses the request if there is no such job.
     pub fn of(
         id: &'a JobId,
         leader: &'a Leader,
@@ -116,13 +116,13 @@
             total: job.spec.tasks,
             to_start: job.startable_tasks(),
             reason: WaitReason::of(job, leader, now),
-            tasks: tasks_of(job, leader),
+            tasks: task_views(job, leader),
             tasks_of: job.placement_count(),
         }
     }
 }
 
-fn tasks_of<'a>(job: &'a Job, leader: &'a Leader) -> Vec<TaskView<'a>> {
+fn task_views<'a>(job: &'a Job, leader: &'a Leader) -> Vec<TaskView<'a>> {
     let placements = (job.placements.iter())
         .flat_map(|(index, places)| places.iter().map(move |place| (*index, place)));
     (placements.take(MAX_LISTED))
@@ -150,7 +150,7 @@
     tasks.find(|task| task.attempt == attempt && task.task.index == index)
 }
 
-/// The phase of a task as administrators are shown it.
+/// Returns the text that shows a task's phase to administrators. The texts are part of the documented API.
 fn phase_text(phase: Phase) -> String {
     match phase {
         Phase::Planned => "to be started".into(),
--- a/crates/core/src/api/admin/machines.rs
+++ b/crates/core/src/api/admin/machines.rs
@@ -1,4 +1,4 @@
-//! The machines, and what they cost.
+//! The list of machines with their load and their price.
 
 use crate::api::admin::MAX_LISTED;
 use crate::fleet::{Machine, PlacedTask};
@@ -7,23 +7,23 @@
 use rudderreel_wire::ids::{JobId, MachineId, TypeName, Zone};
 use serde::Serialize;
 
-/// Thousandths in one CPU or GPU.
-const MILLI: f64 = 1_000.0;
+/// Thousandths, in which amounts are counted, of one CPU or GPU.
+const THOUSANDTHS_PER_UNIT: f64 = 1_000.0;
 
-/// A page of the list of machines, and what all machines cost.
+/// A page of the list of machines, and the total price of all machines.
 #[derive(Serialize)]
 pub struct MachinesPage<'a> {
     machines: Vec<MachineView<'a>>,
-    /// How many there are in all.
+    /// Total number of machines.
     #[serde(rename = "of")]
     total: usize,
-    /// By what the next page is asked for, if there is one.
+    /// The value of `after` that requests the next page; none on the last page.
     next_after: Option<&'a MachineId>,
-    /// What all machines cost.
+    /// Total price of all machines whose price is known.
     price_per_hour: f64,
 }
 
-/// A machine.
+/// A machine as shown to administrators.
 #[derive(Serialize)]
 struct MachineView<'a> {
     machine: &'a MachineId,
@@ -33,24 +33,25 @@
     #[serde(rename = "spot")]
     is_spot: bool,
     age_s: f64,
-    /// How long it has not been heard of; none before its first status report.
+    /// Seconds since the machine's agent was last heard from; none before its first status report.
     silent_s: Option<f64>,
-    /// Tasks that occupy room.
+    /// Number of tasks that occupy capacity.
     tasks: usize,
     free_cpus: f64,
     free_gpus: f64,
-    /// Why it is being retired, if it is.
+    /// Why the machine is being retired, if it is.
     #[serde(rename = "going")]
     retire_reason: Option<String>,
-    /// None if its type is not known.
+    /// The machine's price; none if its type is not known, or a spot machine's type has no spot price.
     price_per_hour: Option<f64>,
-    /// Jobs whose tasks failed on it lately.
+    /// Jobs whose tasks failed on the machine recently.
     failed_jobs: Vec<&'a JobId>,
+    /// Seconds until the quarantine of the machine ends; 0 if it is not in quarantine.
     quarantined_s: f64,
 }
 
 impl<'a> MachinesPage<'a> {
-    /// Machines after a name, as many as a page holds.
+    /// Returns the page that begins after a machine id, or the first page.
     pub fn of(leader: &'a Leader, after: Option<&MachineId>, now: Now) -> Self {
         let is_later = |machine: &&Machine| after.is_none_or(|after| machine.id > *after);
         let mut rest = leader.fleet.machines.values().filter(is_later);
@@ -83,8 +84,8 @@
             age_s: Leader::age(machine, now.wall).as_secs(),
             silent_s: (machine.last_heard_at).map(|heard| (now.time - heard).as_secs()),
             tasks: machine.tasks.iter().filter(occupying).count(),
-            free_cpus: free.cpus as f64 / MILLI,
-            free_gpus: free.gpus as f64 / MILLI,
+            free_cpus: free.cpus as f64 / THOUSANDTHS_PER_UNIT,
+            free_gpus: free.gpus as f64 / THOUSANDTHS_PER_UNIT,
             retire_reason: machine.retire_reason.map(|reason| reason.to_string()),
             price_per_hour: price_per_hour(leader, machine),
             failed_jobs: (machine.failed_jobs.iter())
@@ -95,7 +96,7 @@
     }
 }
 
-/// What a machine costs an hour, if its type is known.
+/// Returns the price of a machine per hour; none if its type is not known, or a spot machine's type has no spot price.
 fn price_per_hour(leader: &Leader, machine: &Machine) -> Option<f64> {
     let machine_type = leader.policy.machine_type(&machine.machine_type)?;
     if machine.is_spot {
--- a/crates/core/src/api/admin/machines/tests.rs
+++ b/crates/core/src/api/admin/machines/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::testing::{leader, up, NOW};
 
-/// Only the first 200 machines were shown, without saying so, and only their cost was added up.
+/// Guards against a list that silently ends after the first 200 machines, and a total price of only these.
 #[test]
-fn all_machines_are_listed_in_pages_and_all_are_paid_for() {
+fn all_machines_are_listed_in_pages_and_counted_in_the_price() {
     for fleet in [4_000, 6_000] {
         let mut leader = leader();
         for n in 0..fleet {
--- a/crates/core/src/api/admin/overview.rs
+++ b/crates/core/src/api/admin/overview.rs
@@ -1,4 +1,4 @@
-//! How the deployment is doing, as one node sees it.
+//! The overview: the state of the deployment as one node sees it.
 
 use crate::leader::Leader;
 use crate::metrics::LatencySummary;
@@ -11,49 +11,50 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The overview. What only the leader knows is null elsewhere.
+/// The overview. On other nodes than the leader, the values that only the leader has are null.
 #[derive(Serialize)]
 pub struct Overview<'a> {
-    /// The node that answers.
+    /// The node that answers the request.
     pub node: &'a NodeName,
-    /// The node that leads by its key in the state service, if one does.
+    /// The leader according to the leader's key in the state service, if there is one.
     pub leader: Option<&'a NodeName>,
     /// The leader's epoch.
     pub epoch: Option<Epoch>,
-    /// Whether the node that answers leads.
+    /// Whether the node that answers the request leads.
     pub leads: bool,
     /// Whether the state service answers this node.
     pub state_service_answers: bool,
-    /// Jobs in the node's cache.
+    /// Number of jobs in the node's cache.
     pub jobs_known: usize,
-    /// How old the node's cache may be.
+    /// Upper bound on the age of the node's cache.
     pub cache: CacheAge,
-    /// When the whole process stood still.
+    /// Pauses of the whole process.
     pub pauses: PauseFigures,
-    /// Records that could not be read since the node started.
+    /// Number of stored records that could not be read since the node started.
     pub unreadable_records: u64,
-    /// How many workers the nodes' connections suffice for.
+    /// How many agents the nodes' connections suffice for; none if the settings contain no limit on sockets.
     pub connections_for: Option<FleetLimits>,
     /// Whether the node keeps up with its inputs.
     pub backlog: Value,
-    /// How long answers to users took.
+    /// Latency of answers to users, in milliseconds.
     pub answers_ms: LatencySummary,
-    /// What only the leader knows.
+    /// The values that only the leader has.
     #[serde(flatten)]
     pub leader_view: LeaderOverview<'a>,
 }
 
-/// How old a node's cache may be.
+/// Upper bound on the age of a node's cache.
 #[derive(Serialize)]
 pub struct CacheAge {
     /// The revision of the state service up to which every change has been applied.
     revision: Version,
-    /// Milliseconds since that was surely the newest one; null if changes may have been missed.
+    /// Milliseconds since the latest moment at which that was surely the newest revision; null if changes may have
+    /// been missed.
     confirmed_ms_ago: Option<u64>,
 }
 
 impl CacheAge {
-    /// The age at a moment.
+    /// Returns the age at a moment.
     pub fn of(cache: CacheConfirmation, now: Time) -> Self {
         Self {
             revision: cache.revision(),
@@ -62,12 +63,12 @@
     }
 }
 
-/// When the whole process stood still although its clock went on.
+/// Pauses of the whole process, during which its main loop did not run although its clock advanced.
 #[derive(Serialize)]
 pub struct PauseFigures {
-    /// How often since it started.
+    /// Number of pauses since the process started.
     count: u64,
-    /// Milliseconds of the last pause.
+    /// Length of the last pause in milliseconds.
     last_ms: u64,
 }
 
@@ -80,21 +81,23 @@
     }
 }
 
-/// What only the leader knows. Without a leader all is null.
+/// The values that only the leader has. On other nodes all of them are null.
 #[derive(Default, Serialize)]
 pub struct LeaderOverview<'a> {
     jobs_unfinished: Option<usize>,
     machines: Option<usize>,
+    /// Number of machines that the nodes' connections don't suffice for.
     machines_beyond_connections: Option<usize>,
-    /// Segments of the placement log.
+    /// Number of segments of the placement log.
     #[serde(rename = "pages")]
     placement_log_segments: Option<usize>,
     counters: Option<&'a BTreeMap<&'static str, u64>>,
+    /// Waiting times of tasks before their first start, in milliseconds, by class.
     start_waits_ms: Option<BTreeMap<String, LatencySummary>>,
 }
 
 impl<'a> LeaderOverview<'a> {
-    /// What a leader knows.
+    /// Returns the values of a leader.
     pub fn of(leader: &'a Leader) -> Self {
         let start_waits = leader.metrics.start_waits.iter();
         Self {
--- a/crates/core/src/api/admin/settings/tests.rs
+++ b/crates/core/src/api/admin/settings/tests.rs
@@ -12,7 +12,7 @@
         reserve_factor: -1.0,
         ..AdminSettings::default()
     };
-    let error = check(&changed, &platform()).expect_err("no number");
+    let error = check(&changed, &platform()).expect_err("not a number");
     assert_eq!(error.to_string(), "period_s: must be from 0.1 to 60");
     changed.period_s = 2.0;
     let error = check(&changed, &platform()).expect_err("too low");
--- a/crates/core/src/api/admin/stops.rs
+++ b/crates/core/src/api/admin/stops.rs
@@ -1,12 +1,12 @@
-//! Tasks that were stopped lately, and why.
+//! The list of recently stopped tasks, with the reasons.
 
 use crate::metrics::StopRecord;
 use serde::Serialize;
 use std::collections::VecDeque;
 
-/// The list of stops, the oldest first.
+/// The most recent stops of tasks.
 #[derive(Serialize)]
 pub struct RecentStops<'a> {
-    /// The stops.
+    /// The stops, the oldest first.
     pub stops: &'a VecDeque<StopRecord>,
 }
--- a/crates/core/src/api/admin/teams.rs
+++ b/crates/core/src/api/admin/teams.rs
@@ -1,4 +1,4 @@
-//! Who uses what, against quota, limit and fair share.
+//! Resource usage of teams and groups, compared with quota, limit and fair share.
 
 use crate::leader::Leader;
 use crate::scheduling::snapshot::Snapshot;
@@ -6,35 +6,36 @@
 use rudderreel_wire::ids::Team;
 use serde::Serialize;
 
-/// Kinds of resources, by their place in amounts.
+/// Indices of the resource kinds in amounts.
 const CPUS: usize = 0;
 const GPUS: usize = 1;
 
-/// All teams and groups.
+/// The list of all teams and groups.
 #[derive(Serialize)]
 pub struct TeamsView<'a> {
     teams: Vec<TeamView<'a>>,
 }
 
-/// A team or group.
+/// A team or group as shown to administrators.
 #[derive(Serialize)]
 struct TeamView<'a> {
     team: &'a Team,
-    /// The group that it belongs to.
+    /// The group that the team or group belongs to.
     parent: Option<&'a Team>,
     priority: i32,
     weight: f64,
     cpus: ResourceView,
     gpus: ResourceView,
-    /// Usage against the fair share; none if the share is unlimited.
+    /// The highest ratio of counted usage to fair share among the resources; null if it is infinite, because a resource
+    /// is used of which the fair share is 0.
     saturation: Option<f64>,
 }
 
-/// What a team uses of one kind of resource. Infinite amounts are null.
+/// Usage and bounds of a team for one kind of resource. Infinite amounts are null.
 #[derive(Serialize)]
 struct ResourceView {
     used: f64,
-    /// What of that counts for the fair share.
+    /// The part of the usage that is counted against the fair share.
     #[serde(rename = "of_share")]
     counted: f64,
     #[serde(rename = "share")]
@@ -43,16 +44,17 @@
     limit: Option<f64>,
 }
 
+/// Returns an amount, or none if it is infinite.
 fn finite(amount: f64) -> Option<f64> {
     amount.is_finite().then_some(amount)
 }
 
 impl<'a> TeamsView<'a> {
-    /// The teams at this moment.
+    /// Returns the teams and groups at a moment.
     pub fn of(leader: &'a Leader, now: Now) -> Self {
         let snapshot = Snapshot::take(leader, now);
         let nodes = leader.policy.teams.nodes.iter().enumerate();
-        // The root is no team.
+        // The first node is the root, which is not a team.
         let teams = nodes.skip(1).map(|(index, team)| {
             let usage = snapshot.team_usage(index);
             let resource = |kind: usize| ResourceView {
--- a/crates/core/src/api/admin/wait_reason.rs
+++ b/crates/core/src/api/admin/wait_reason.rs
@@ -1,4 +1,4 @@
-//! What keeps a job's next task from starting.
+//! The reason why a job's next task is not started.
 
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -9,33 +9,33 @@
 use serde::{Serialize, Serializer};
 use std::fmt;
 
-/// Why a job's next task is not started, as administrators are told.
+/// The reason why a job's next task is not started, as shown to administrators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// The job is not active any more.
+    /// The job is no longer active.
     Cancelled,
-    /// Dependencies are not done.
+    /// Some dependencies of the job are not done.
     Dependencies,
-    /// Its tasks fail on every machine.
+    /// The job's tasks fail on every machine, so the job itself is suspected of a fault.
     Suspected,
-    /// There is no task left to start.
+    /// No task is left to start.
     NothingToStart,
-    /// A pause after a failure.
+    /// The job is in backoff after a failure of its tasks.
     Backoff,
-    /// A preemptible job of a team at its limit.
+    /// The job is preemptible, and its team is at its limit.
     LimitUsedUp,
-    /// A job that can't be preempted, of a team at its quota.
+    /// The job is not preemptible, and its team is at its quota.
     QuotaUsedUp,
-    /// It will be placed at once.
+    /// A machine has room for the task, which will be placed in the next cycle.
     NextCycle,
-    /// There is no room, and no scale-out under way.
+    /// No machine has room for the task, and no scale-out is in progress.
     NoRoom,
-    /// There is no room yet, but a scale-out is under way.
+    /// No machine has room for the task yet, but a scale-out is in progress.
     ScalingOut,
 }
 
 impl WaitReason {
-    /// What keeps a job's next task from starting at this moment. The first reason counts.
+    /// Returns the first reason that applies at a moment, in the order of the checks.
     pub fn of(job: &Job, leader: &Leader, now: Now) -> Self {
         if !job.is_active() {
             Self::Cancelled
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The reason for a job that could start by its own state.
+    /// Returns the reason for a job whose own state permits a start.
     fn by_capacity(job: &Job, leader: &Leader, now: Now) -> Self {
         let snapshot = Snapshot::take(leader, now);
         if !snapshot.within_limits(leader, job, &amounts(&job.need)) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The text that administrators are shown. It is part of the documented API.
+    /// Returns the text that is shown to administrators. The texts are part of the documented API.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Cancelled => "it was cancelled",
--- a/crates/core/src/api/admin/wait_reason/tests.rs
+++ b/crates/core/src/api/admin/wait_reason/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_reason_of_the_job_itself_comes_before_room() {
+fn a_reason_of_the_job_itself_precedes_a_lack_of_capacity() {
     let leader = leader();
     let mut job = job(1, "sweep", "red", "normal");
     job.retry_at = NOW.time + Span(1);
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,16 +1,16 @@
-//! What users and administrators ask of a node.
+//! The requests of users and administrators, and the rules by which they are served.
 //!
-//! Any node answers any request. The parts here hold the rules; the handlers in `node` fetch what the parts need,
-//! call them and carry out what they return. The rules guard three promises:
+//! Any node answers any request. The modules here hold the rules. The handlers in `node` fetch the data that the
+//! rules need, call them and carry out their decisions. The rules maintain three guarantees:
 //!
-//! - answers never go back: a final state may be told from the cache, anything else is a linearizable read
-//!   ([`read_confirmation`]);
-//! - a job is accepted once, by a commit on the condition that there is no record of it yet ([`admission`]);
-//! - no user is told that a job is cancelled while a node could still keep its tasks running
+//! - Answers about a job never go back to an older state: a final state may be answered from the cache, anything
+//!   else is a linearizable read ([`read_confirmation`]).
+//! - A job is accepted once, by a commit on the condition that it has no record yet ([`admission`]).
+//! - No user is told that a job is cancelled while a node could still keep its tasks running
 //!   ([`cancellation_replication`]).
 //!
-//! [`user_requests`] holds the requests that are being served, [`refusal`] what is said of those that are not,
-//! and [`admin`] the administration API.
+//! [`user_requests`] holds the requests that are being served, [`refusal`] the reasons for refusing a request, and
+//! [`admin`] the administration API.
 
 pub mod admin;
 pub mod admission;
