--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,11 +1,11 @@
 //! Admission of submissions: whether a job can ever run, and the commit that accepts it.
 //!
-//! Any node accepts a job, by creating its record on the condition that there is none yet. A job that depends on
-//! others is accepted only if all of them were: acceptance is permanent, so that may be checked before. The same
-//! commit confirms that none of what it depends on, directly or through others, was cancelled meanwhile; a job that
-//! names a cancelled one is accepted as cancelled.
+//! Any node accepts a job, by creating the job's record on the condition that there is none yet. A job with
+//! dependencies is accepted only if all of them were accepted; acceptance is permanent, so this may be checked before
+//! the commit. The same commit confirms that none of the job's dependencies, direct or transitive, was cancelled
+//! meanwhile. A job that depends on a cancelled job, directly or transitively, is accepted as cancelled.
 //!
-//! [`Admission`] decides by what the node knows and has no state of its own.
+//! [`Admission`] decides on the basis of what the node knows, and has no state of its own.
 
 use crate::cache::dependencies::Ancestry;
 use crate::cache::job_cache::JobCache;
@@ -21,28 +21,28 @@
 use rudderreel_wire::state::Transaction;
 use std::collections::BTreeMap;
 
-/// How far a need may lie above a limit by rounding.
+/// Tolerance for rounding errors when a need is compared with a limit.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// Why a job can never run. Its user is told so with 422 and does not try again.
+/// The reason why a job can never run. The submission is refused with status 422 and is not to be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NeverRuns {
-    /// No such team.
+    /// The team does not exist.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type that it allows holds one of its tasks.
+    /// No machine type that the job allows can hold one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachine,
-    /// It needs more than its team may use.
+    /// The job needs more than its team's limit, or the limit of a group above the team.
     #[error("the job needs more than its team's limit")]
     OverLimit,
-    /// It depends on itself.
+    /// The job depends on itself.
     #[error("the job depends on itself")]
     DependsOnItself,
-    /// It depends on a service, which is never done.
+    /// The job depends on a service, which is never done.
     #[error("the job depends on a service, which is never done")]
     DependsOnService,
-    /// Its record would be larger than the state service takes.
+    /// The job's record would be larger than the state service accepts.
     #[error("the submission is too large to be stored: fewer dependencies or machine types")]
     TooLarge,
 }
@@ -50,56 +50,56 @@
 /// Whether a job can ever run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Feasibility {
-    /// It can.
+    /// The job can run.
     Runnable,
-    /// It never can.
+    /// The job can never run.
     Never(NeverRuns),
-    /// The machine types are not known yet.
+    /// This can't be decided yet, because the machine types are not known.
     Undecided,
 }
 
-/// What a node knows that decides about submissions.
+/// The knowledge of a node on which it decides about submissions.
 #[derive(Clone, Copy)]
 pub struct Admission<'a> {
-    /// The machine types, once they are known.
+    /// The machine types; none until they are known.
     pub catalog: Option<&'a Catalog>,
     /// The teams with their limits.
     pub teams: &'a TeamTree,
-    /// The jobs that were accepted, as far as this node knows.
+    /// The accepted jobs that this node knows of.
     pub jobs: &'a JobCache,
-    /// What the state service takes.
+    /// The limits of the state service.
     pub limits: &'a StoreLimits,
 }
 
 /// A job that is being created.
 #[derive(Clone, Debug)]
 pub struct NewJob {
-    /// Its record.
+    /// The job's record.
     pub record: JobRecord,
-    /// Which of its dependencies the commit confirms.
+    /// Which dependencies of the job the commit confirms.
     pub confirms: ConfirmedDependencies,
 }
 
-/// Which dependencies of a new job its commit confirms.
+/// The dependencies of a new job that its commit confirms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfirmedDependencies {
-    /// All that are not done, directly or through others.
+    /// All dependencies that are not done, direct and transitive.
     All,
-    /// None: they are too many for one transaction, and are confirmed before the user is told.
+    /// No dependency: there are too many for one transaction, so they are confirmed before the user is answered.
     None,
 }
 
-/// How a job can be created.
+/// The next step in creating a job.
 #[derive(Clone, Debug)]
 pub enum Creation {
-    /// A dependency has to be read first: this node does not know it.
+    /// Read this dependency first, since this node does not know it.
     ReadDependency(JobId),
-    /// By this commit.
+    /// Send this commit, which creates the job.
     Commit(StoreCall, Box<NewJob>),
 }
 
 impl Admission<'_> {
-    /// Whether a job can ever run.
+    /// Returns whether a job can ever run.
     pub fn feasibility(&self, spec: &JobSpec) -> Feasibility {
         let Some(catalog) = self.catalog else {
             return Feasibility::Undecided;
@@ -117,7 +117,7 @@
         if !fits_a_machine_type(spec, &task, catalog) {
             return Err(NeverRuns::FitsNoMachine);
         }
-        // Tasks of an array may run one after the other, those of other kinds run together.
+        // Tasks of an array may run one after another; tasks of the other kinds run together.
         let tasks_at_once = match spec.kind {
             Kind::Array => 1,
             _ => spec.tasks,
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// A submission without the dependencies that are done: nothing waits for these.
+    /// Returns a copy of a submission without the dependencies that are done, since the job need not wait for them.
     fn without_done_dependencies(&self, spec: &JobSpec) -> JobSpec {
         let is_done = |id: &JobId| {
             let known = self.jobs.job(id);
@@ -164,7 +164,7 @@
         spec
     }
 
-    /// How a job is created that can run and is not known to be accepted.
+    /// Returns the next step in creating a job that can run and is not known to be accepted.
     pub fn creation_of(&self, spec: &JobSpec, now: Wall) -> Creation {
         let is_unknown = |id: &&JobId| !self.jobs.contains_job(id);
         if let Some(unknown) = spec.dependencies.iter().find(is_unknown) {
@@ -175,13 +175,14 @@
             mut unfinished,
         } = self.jobs.ancestry(&spec.dependencies);
         let mut record = JobRecord::queued(&self.without_done_dependencies(spec), now);
-        // Those that are done are not stored, but that there were some shows that dependencies are in use.
+        // Dependencies that are done are not stored. That the submission had any is recorded nevertheless, since it
+        // shows that dependencies are in use.
         record.names_dependencies = !spec.dependencies.is_empty();
         if let Some(dependency) = &cancelled {
             record = record.cancelled(now, Some(dependency), self.limits);
             unfinished.clear();
         }
-        // The job's own key takes one of the transaction's conditions.
+        // The job's own key takes up one of the transaction's conditions.
         let confirms = if unfinished.len() < self.limits.conditions() {
             ConfirmedDependencies::All
         } else {
@@ -200,7 +201,7 @@
     Ok(())
 }
 
-/// Whether a machine type that a job allows holds one of its tasks.
+/// Returns whether a machine type that a job allows can hold one of its tasks.
 fn fits_a_machine_type(spec: &JobSpec, task: &Resources, catalog: &Catalog) -> bool {
     catalog.types.iter().any(|machine_type| {
         let allows_type =
@@ -212,7 +213,7 @@
     })
 }
 
-/// A commit of a job's record, on the condition of its version and of some other jobs'.
+/// Returns a commit of a job's record, on the condition that this job and some other jobs still have these versions.
 pub fn put_job(
     id: &JobId,
     version: Version,
--- a/crates/core/src/api/refusal/tests.rs
+++ b/crates/core/src/api/refusal/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_temporary_refusal_says_when_to_come_back() {
+fn a_temporary_refusal_has_a_retry_delay() {
     let refusal = Refusal::StoreUnreachable;
     assert_eq!(refusal.status(), 503);
     assert_eq!(refusal.retry_after_s(), Some(1));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_final_refusal_does_not_ask_to_come_back() {
+fn a_permanent_refusal_has_no_retry_delay() {
     let dependency: JobId = "wk-000001".parse().expect("an id");
     let cases = [
         (Refusal::NoSuchJob, 404, "no such job"),
--- a/crates/core/src/api/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -1,12 +1,12 @@
-//! Users' requests that a node is serving: a submission, a question for a status, a cancellation.
+//! The users' requests that a node is serving: submissions, status queries and cancellations.
 //!
-//! A [`PendingRequest`] goes from its receipt to exactly one answer. On the way it is held by one owner: a call to
-//! the state service ([`UserCall`] names each kind), the queue of reads to be confirmed, the peer that it was
-//! forwarded to, or the requests that wait for a cancellation's acknowledgements. [`UserRequests`] counts the calls
-//! under way and holds what was forwarded.
+//! A [`PendingRequest`] exists from the receipt of a request until its answer, and is answered exactly once. Until
+//! then it has one owner: a call to the state service ([`UserCall`] names each kind), the queue of reads to be
+//! confirmed, the peer that the request was forwarded to, or the list of requests that wait for the acknowledgements
+//! of a cancellation. [`UserRequests`] counts the calls in flight and holds the ids of the forwarded requests.
 //!
-//! Answers never go back. A final state in the cache is told at once; anything else is confirmed with the state
-//! service first (see [`read_confirmation`](crate::api::read_confirmation)).
+//! Answers about a job never go back to an older state. A final state in the cache is answered at once; anything else
+//! is confirmed with the state service first (see [`read_confirmation`](crate::api::read_confirmation)).
 
 use crate::api::admission::NewJob;
 use crate::api::read_confirmation::{ConfirmationBatch, ConfirmationQueue};
@@ -19,16 +19,17 @@
 use rudderreel_wire::peer::{Forward, ForwardedSubmission};
 use std::collections::BTreeSet;
 
-/// A request that took longer is refused rather than tried again.
+/// Age beyond which a request is refused rather than tried again.
 pub(crate) const REQUEST_TIMEOUT: Span = Span(1_500);
-/// A request that has been here for longer is not forwarded any more: the peer needs time, too.
-const FORWARD_WITHIN: Span = Span(1_000);
-/// A job's key is read so often for one request at most.
+/// Age from which a request is no longer forwarded, because the peer needs time to serve it.
+const MAX_FORWARD_AGE: Span = Span(1_000);
+/// Maximum number of further attempts at one request, in which its job is read or confirmed again.
 const MAX_ATTEMPTS: u32 = 4;
-/// Calls for users that may be under way at once at least: more if the state service admits more in their time.
+/// Lower bound of the limit on calls in flight for users. The limit is higher if the state service admits more calls
+/// within [`REQUEST_TIMEOUT`].
 const MIN_CALL_LIMIT: usize = 400;
 
-/// A user's request that has yet to be answered.
+/// A user's request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
     id: ReqId,
@@ -41,37 +42,37 @@
 /// A call to the state service for users.
 #[derive(Clone, Debug)]
 pub enum UserCall {
-    /// Read the job, then serve the request by what it says.
+    /// Reads the job, in order to serve the request according to its record.
     ReadJob(PendingRequest),
-    /// Create the job.
+    /// Creates the job.
     CreateJob(PendingRequest, Box<NewJob>),
-    /// Read a job that a submission depends on.
+    /// Reads a job that a submission depends on.
     ReadDependency(PendingRequest, JobId),
-    /// Write the job's cancelled record.
+    /// Writes the job's cancelled record.
     CancelJob(PendingRequest, Box<JobRecord>),
-    /// Compare cached versions.
+    /// Compares cached versions with those in the state service.
     ConfirmReads(ConfirmationBatch),
-    /// Read a job whose cached version was out of date, for all whose answers depend on it.
+    /// Reads a job whose cached version was out of date, for all requests whose answers depend on the job.
     RereadStaleJob(JobId, Vec<PendingRequest>),
 }
 
-/// Requests that are being served.
+/// The requests that a node is serving.
 #[derive(Default)]
 pub struct UserRequests {
-    /// Reads that wait to be confirmed.
+    /// The reads that wait to be confirmed.
     pub(crate) confirmation_queue: ConfirmationQueue,
-    /// Jobs that are being cancelled since a dependency of theirs is.
+    /// Jobs that are being cancelled because a dependency of theirs is cancelled.
     cancelling: BTreeSet<JobId>,
-    /// Requests that a peer was asked to serve, users' and administrators'.
+    /// Requests of users and administrators that were forwarded to a peer and are not answered yet.
     forwarded: BTreeSet<ReqId>,
-    /// How long answers took.
+    /// Times from the receipt of a request to its answer.
     latency: Latency,
-    /// Calls to the state service that are under way for users.
+    /// Number of calls to the state service that are in flight for users.
     open_calls: usize,
 }
 
 impl PendingRequest {
-    /// A request that has just come.
+    /// Creates a request that has just been received.
     pub fn new(id: ReqId, request: UserRequest, origin: RequestOrigin, received_at: Time) -> Self {
         Self {
             id,
@@ -82,17 +83,17 @@
         }
     }
 
-    /// By what its answer is matched to it.
+    /// Returns the id by which the answer is matched to the request.
     pub fn id(&self) -> ReqId {
         self.id
     }
 
-    /// What is asked.
+    /// Returns the content of the request.
     pub fn request(&self) -> &UserRequest {
         &self.request
     }
 
-    /// The job that it is about.
+    /// Returns the job that the request is about.
     pub fn job(&self) -> &JobId {
         match &self.request {
             UserRequest::Submit(spec) => &spec.id,
@@ -100,28 +101,28 @@
         }
     }
 
-    /// For how long it has been served.
+    /// Returns the time since the receipt of the request.
     pub fn age(&self, now: Time) -> Span {
         now - self.received_at
     }
 
-    /// Whether it has taken too long to go on.
+    /// Returns whether the request is older than [`REQUEST_TIMEOUT`].
     pub fn is_overdue(&self, now: Time) -> bool {
         now > self.received_at + REQUEST_TIMEOUT
     }
 
-    /// Counts another attempt. Returns whether that is still allowed.
+    /// Counts another attempt at the request. Returns whether this attempt is still allowed.
     pub fn begin_attempt(&mut self) -> bool {
         self.attempts += 1;
         self.attempts <= MAX_ATTEMPTS
     }
 
-    /// Whether a peer may be asked to serve it.
+    /// Returns whether the request may be forwarded to a peer.
     pub fn may_be_forwarded(&self, now: Time) -> bool {
-        self.origin == RequestOrigin::Direct && now < self.received_at + FORWARD_WITHIN
+        self.origin == RequestOrigin::Direct && now < self.received_at + MAX_FORWARD_AGE
     }
 
-    /// The message that asks a peer to serve it.
+    /// Returns the message that forwards the request to a peer.
     pub fn to_forward(&self) -> Forward {
         match &self.request {
             UserRequest::Submit(spec) => Forward::Submit(ForwardedSubmission::text(spec)),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The answer by a job's record, as JSON.
+    /// Returns the answer that a job's record gives, as JSON.
     pub fn answer_body(&self, record: &JobRecord, progress: TaskProgress) -> String {
         let id = self.job().clone();
         let state = match record.state {
@@ -160,59 +161,60 @@
     }
 }
 
-/// How many tasks of a job are done, and how many run. For display.
+/// The numbers of done and running tasks of a job, for display only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskProgress {
-    /// Tasks that are done.
+    /// Number of done tasks.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
 impl UserRequests {
-    /// Whether calls for one more request may be made, with so many calls a second to the state service.
+    /// Returns whether the calls for one more request may be made, given the number of calls per second that this
+    /// node may make to the state service.
     pub fn has_room(&self, calls_per_s: f64) -> bool {
         let admitted_in_time = calls_per_s * REQUEST_TIMEOUT.as_secs();
         self.open_calls < MIN_CALL_LIMIT.max(admitted_in_time as usize)
     }
 
-    /// A call for users was queued.
+    /// Records that a call for users was queued.
     pub fn call_begun(&mut self) {
         self.open_calls += 1;
     }
 
-    /// A call for users was answered.
+    /// Records that a call for users was answered.
     pub fn call_ended(&mut self) {
         self.open_calls = self.open_calls.saturating_sub(1);
     }
 
-    /// A job's cancelled record is to be written since a dependency was cancelled. Returns false if another request
-    /// has it written at this moment.
+    /// Records that a job's cancelled record is about to be written because a dependency was cancelled. Returns false
+    /// if that record is already being written for another request.
     pub fn begin_cancelling(&mut self, id: &JobId) -> bool {
         self.cancelling.insert(id.clone())
     }
 
-    /// The write of a job's cancelled record has ended.
+    /// Records that the write of a job's cancelled record has ended.
     pub fn cancelling_ended(&mut self, id: &JobId) {
         self.cancelling.remove(id);
     }
 
-    /// A request was forwarded to a peer.
+    /// Records that a request was forwarded to a peer.
     pub fn forward_begun(&mut self, id: ReqId) {
         self.forwarded.insert(id);
     }
 
-    /// A forwarded request was answered. Returns false if none of this id was forwarded.
+    /// Records that a forwarded request was answered. Returns false if no request of this id is forwarded.
     pub fn forward_ended(&mut self, id: ReqId) -> bool {
         self.forwarded.remove(&id)
     }
 
-    /// Records how long an answer took.
+    /// Records the time from the receipt of a request to its answer.
     pub fn record_latency(&mut self, span: Span) {
         self.latency.record(span);
     }
 
-    /// How long answers took.
+    /// Returns the times from the receipt of a request to its answer.
     pub fn latency(&self) -> &Latency {
         &self.latency
     }
--- a/crates/core/src/api/user_requests/tests.rs
+++ b/crates/core/src/api/user_requests/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn calls_under_way_are_limited_by_what_the_store_admits_in_time() {
+fn calls_in_flight_are_limited_by_what_the_store_admits_within_the_timeout() {
     let mut requests = UserRequests::default();
     for _ in 0..MIN_CALL_LIMIT {
         assert!(requests.has_room(1.0));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn only_an_answer_to_a_forwarded_request_counts() {
+fn only_the_first_answer_to_a_forwarded_request_counts() {
     let mut requests = UserRequests::default();
     requests.forward_begun(ReqId(1));
     requests.forward_begun(ReqId(2));
