--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -1,35 +1,37 @@
-//! Replication of cancellations, and when a user may be told that a job is cancelled.
+//! Replication of cancellations, and the decision when a user may be told that a job is cancelled.
 //!
 //! A node that answers agents keeps their tasks running. In an outage of the state service it may do so by lease
-//! votes of a majority, without being able to read what was committed before. What it must not do is to keep a
-//! task running whose user was told that its job is cancelled. The argument that it never does:
+//! votes of a majority, without being able to read what was committed before. It must not keep a task running after
+//! the user was told that the task's job is cancelled. The argument that it never does:
 //!
-//! - **Quorum to acknowledge.** No user is told of a cancellation before a majority of the nodes (this one
-//!   included) knows it: [`CancellationReplicator::acknowledge_or_wait`].
+//! - **Quorum to acknowledge.** No user is told of a cancellation before a majority of the nodes, this one
+//!   included, knows the cancellation: [`CancellationReplicator::acknowledge_or_wait`].
 //! - **Catch-up with a lease vote.** A node that grants a lease vote sends with it all cancellations that it knows
-//!   and the candidate lacks, and the vote counts only after the candidate has taken them in:
-//!   [`CancellationReplicator::catch_up_for`]. If they don't fit into one message there is no vote yet.
-//! - **Quorum intersection.** Any two majorities share a node. So whoever holds votes of a majority has caught up
-//!   with a node that knows each cancellation that was ever acknowledged to a user, and stops its tasks.
+//!   and the candidate lacks, and the vote counts only after the candidate has applied them:
+//!   [`CancellationReplicator::catch_up_for`]. If they don't fit into one message, the vote is not granted yet.
+//! - **Quorum intersection.** Any two majorities share a node. So a node that holds the votes of a majority has, for
+//!   each cancellation that was ever acknowledged to a user, caught up with a node that knows this cancellation, and
+//!   stops the job's tasks.
 //!
 //! **Replication watermark.** A node knows all cancellations up to the revision that its watch (or its catch-up)
-//! has reached, which is its watermark, and single later ones. Nodes tell each other their watermarks with
-//! heartbeats and replication messages. The node that wants to acknowledge a cancellation sends those that lie
-//! above a peer's watermark to that peer; each answer acknowledges them. A watermark may only say that *everything*
-//! below it is known, so a catch-up that is cut off moves it no further than the cut.
+//! has reached, and possibly single later ones. That revision is its watermark. Nodes send their watermarks to each
+//! other with heartbeats and replication messages. A node that wants to acknowledge a cancellation sends the
+//! cancellations above a peer's watermark to that peer; each answer acknowledges the cancellations that were sent. A
+//! watermark may only state that *everything* below it is known, so a catch-up that is cut off advances the watermark
+//! no further than the cut.
 //!
-//! If too few peers acknowledge in time, the user is refused and comes back. Then nodes that the state service
-//! serves publish their watermarks through it (see `watermark_publication`): links between nodes may fail while each
-//! reaches the state service.
+//! If too few peers acknowledge in time, the user's request is refused and may be sent again. The nodes that the state
+//! service serves then publish their watermarks through it (see `watermark_publication`), since links between nodes
+//! may fail while each node reaches the state service.
 //!
 //! **Exception.** A leader that holds a valid lease and has recovered all placements may acknowledge at once if
-//! no task of the job is left: every start stands in the placement log that it has read back, and nobody else may
-//! start tasks. What no machine holds nobody keeps running.
+//! no task of the job is left: every start is recorded in the placement log that the leader has read back, and no other
+//! node may start tasks. A task that is on no machine is kept running by no node.
 //!
-//! The leader's own acknowledgement is awaited for a moment, so that it starts nothing more of the job after its
-//! user was told. Safety does not depend on that. Who *keeps* tasks running by votes has caught up, as argued above. Who
-//! *starts* them does so by its lease, without votes, and only while its cache is as fresh as the lease
-//! ([`Term::may_act_until`](crate::leadership::term::Term::may_act_until)).
+//! The leader's own acknowledgement is awaited for a limited time, so that the leader starts no more tasks of the job
+//! after the user was told. Safety does not depend on that. A node that *keeps* tasks running by votes has caught up,
+//! as argued above. A node that *starts* tasks does so by its lease, without votes, and only while its cache is as
+//! fresh as the lease ([`Term::may_act_until`](crate::leadership::term::Term::may_act_until)).
 
 mod acknowledgement;
 mod knowledge;
@@ -40,7 +42,7 @@
 use crate::cache::job_cache::JobCache;
 use crate::store::records::WatermarkRecord;
 use crate::units::{Span, Time};
-use knowledge::{ClusterKnowledge, LackedCancellation};
+use knowledge::{ClusterKnowledge, MissingCancellation};
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use rudderreel_wire::peer::{
     Catchup, Heartbeat, ReplicateCancellations, ReplicateCancellationsReply,
@@ -51,61 +53,63 @@
 pub use acknowledgement::{Acknowledgement, AcknowledgementContext};
 pub use watermark_publication::WriteOutcome;
 
-/// For how long the leader's own acknowledgement is awaited once a majority has acknowledged.
+/// Time for which a request waits for the leader's own acknowledgement although a majority knows the cancellation,
+/// counted from the start of its wait.
 const LEADER_ACKNOWLEDGEMENT_TIMEOUT: Span = Span(150);
-/// A request that has waited longer for acknowledgements is refused.
+/// Waiting time for acknowledgements beyond which a request is refused.
 const ACKNOWLEDGEMENT_TIMEOUT: Span = Span(300);
-/// Requests that may wait for acknowledgements.
+/// Maximum number of requests that wait for acknowledgements.
 const MAX_WAITING_REQUESTS: usize = 400;
-/// A message that a peer did not answer is followed by the next one only after so long.
+/// Minimum time between the failure of a message that a peer did not answer and the next message to that peer.
 const REPLICATION_RETRY_INTERVAL: Span = Span(250);
-/// Cancellations in one message, about. More follow with the next.
+/// Approximate number of cancellations in one message. Further ones follow with the next message.
 const MAX_CANCELLATIONS_PER_MESSAGE: usize = 1_000;
 
-/// Replicates cancellations to the other nodes, and holds the requests that wait until enough of them know.
+/// Replicates cancellations to the other nodes, and holds the requests that wait until enough nodes know a
+/// cancellation.
 #[derive(Debug)]
 pub struct CancellationReplicator {
     node: NodeName,
     knowledge: ClusterKnowledge,
-    /// The messages to each peer.
+    /// The state of the messages to each peer.
     links: BTreeMap<NodeName, PeerLink>,
     waiting: Vec<WaitingRequest>,
-    /// Whether there may be something to send.
+    /// Whether there may be cancellations to send.
     send_due: bool,
     watermark_publication: WatermarkPublication,
 }
 
-/// The messages to one peer: one at a time.
+/// The state of the messages to one peer. One message is in flight at a time.
 #[derive(Debug, Default)]
 struct PeerLink {
-    /// What the message holds that is under way.
-    in_flight: Option<Vec<LackedCancellation>>,
-    /// After a message without an answer: when the next may be sent.
+    /// The cancellations in the message that is in flight, if there is one.
+    in_flight: Option<Vec<MissingCancellation>>,
+    /// The time from which the next message may be sent, after a message that was not answered.
     retry_at: Option<Time>,
 }
 
-/// A request whose answer is that a job is cancelled.
+/// A request that waits to be answered that its job is cancelled.
 #[derive(Debug)]
 struct WaitingRequest {
     request: PendingRequest,
     since: Time,
 }
 
-/// A message to a peer.
+/// A replication message to a peer.
 #[derive(Debug)]
 pub struct OutgoingReplication {
-    /// Whom it is for.
+    /// The peer that the message is sent to.
     pub peer: NodeName,
     /// The message.
     pub message: ReplicateCancellations,
 }
 
-/// What a node that asks for a lease vote lacks.
+/// The cancellations that a node which asks for a lease vote lacks.
 #[derive(Debug)]
 pub struct CatchUpOffer {
-    /// What is sent to it.
+    /// The cancellations to send to that node.
     pub catchup: Catchup,
-    /// Whether that is all that this node knows. Otherwise the vote must not be granted.
+    /// Whether these are all that this node knows and the other lacks. Otherwise the vote must not be granted.
     pub is_complete: bool,
 }
 
@@ -116,7 +120,7 @@
 }
 
 impl CancellationReplicator {
-    /// The replicator of a node that has just started.
+    /// Creates the replicator of a node that has just started.
     pub fn new(node: NodeName, peers: impl IntoIterator<Item = NodeName>, majority: usize) -> Self {
         let peers: BTreeSet<NodeName> = peers.into_iter().collect();
         let links = peers.iter().cloned();
@@ -130,30 +134,31 @@
         }
     }
 
-    /// Every cancellation up to this revision is known to this node.
+    /// Returns this node's watermark: every cancellation up to this revision is known to it.
     pub fn watermark(&self) -> Version {
         self.knowledge.own_watermark()
     }
 
-    /// The watch, a read of all jobs or a catch-up has reached a revision: everything up to it is known.
+    /// Records that the watch, a read of all jobs or a catch-up has reached a revision: every cancellation up to it is
+    /// known to this node.
     pub fn advance_watermark(&mut self, revision: Version) {
         self.knowledge.advance_own_watermark(revision);
     }
 
-    /// A peer's message says how far its watermark is. Others than peers are ignored.
+    /// Records the watermark in a peer's message. Messages of nodes that are not peers are ignored.
     pub fn peer_watermark_received(&mut self, peer: &NodeName, watermark: Version) {
         if self.knowledge.is_peer(peer) {
-            (self.knowledge).advance_published_watermark(peer, watermark);
+            (self.knowledge).advance_reported_watermark(peer, watermark);
         }
     }
 
-    /// Whether no request waits and no cancellation is replicated.
+    /// Returns whether no request waits and no cancellation is being replicated.
     pub fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.knowledge.has_no_replications()
     }
 
-    /// Decides about a request whose answer is that its job was cancelled at a version. None if it has to wait for
-    /// acknowledgements; then the cancellation is sent to the peers.
+    /// Decides about a request whose answer is that its job was cancelled at a version. Returns none if the request has
+    /// to wait for acknowledgements; the cancellation is then sent to the peers.
     pub fn acknowledge_or_wait(
         &mut self,
         request: PendingRequest,
@@ -175,7 +180,7 @@
         None
     }
 
-    /// Whether a user who has waited for some time may be told that a job is cancelled.
+    /// Returns whether a user whose request has waited for a time may be told that a job is cancelled.
     fn may_acknowledge(
         &self,
         id: &JobId,
@@ -190,7 +195,8 @@
         is_majority && leader_settled || context.is_surely_without_tasks(id)
     }
 
-    /// Names what a user is told of a cancellation on: its revision, and whether a majority knows it, or no task is left.
+    /// Logs on what the acknowledgement of a cancellation to its user is based: the revision of the cancellation, and
+    /// whether a majority knows it; if not, no task of the job is left.
     fn log_acknowledgement(&self, id: &JobId, version: Version) {
         let is_known_to_majority = self.knowledge.is_known_to_majority(id, version);
         log::debug!(
@@ -198,8 +204,8 @@
         );
     }
 
-    /// Decides about the waiting requests: answers what may be answered by now, and refuses what has waited too
-    /// long.
+    /// Decides about the waiting requests: answers those that may be answered by now, and refuses those that have
+    /// waited too long.
     pub fn decide_waiting(&mut self, context: &AcknowledgementContext<'_>) -> Vec<Acknowledgement> {
         let mut decided = Vec::new();
         for WaitingRequest { request, since } in std::mem::take(&mut self.waiting) {
@@ -221,14 +227,15 @@
         decided
     }
 
-    /// Forgets what a majority knows by its watermarks, unless a request waits for it.
+    /// Forgets the replications of cancellations that a majority knows according to the nodes' watermarks, except those
+    /// that a request waits for.
     pub fn forget_replicated(&mut self) {
         let waited_for: BTreeSet<&JobId> = self.waiting.iter().map(|w| w.request.job()).collect();
         (self.knowledge).forget_replicated(|id| waited_for.contains(id));
         self.send_due |= self.knowledge.has_requested();
     }
 
-    /// The messages that are due: one to each peer at a time.
+    /// Returns the messages that are due: at most one to each peer, and none to a peer while one to it is in flight.
     pub fn messages_due(&mut self, jobs: &JobCache, now: Time) -> Vec<OutgoingReplication> {
         if !std::mem::take(&mut self.send_due) {
             return Vec::new();
@@ -238,14 +245,14 @@
             if !link.may_send(now) {
                 continue;
             }
-            let lacked = (self.knowledge).lacked_by(peer, MAX_CANCELLATIONS_PER_MESSAGE);
-            if lacked.is_empty() {
+            let missing = (self.knowledge).missing_at(peer, MAX_CANCELLATIONS_PER_MESSAGE);
+            if missing.is_empty() {
                 continue;
             }
-            let cancelled = (lacked.iter())
-                .filter_map(|lacked| jobs.cancellation(&lacked.id, lacked.version))
+            let cancelled = (missing.iter())
+                .filter_map(|missing| jobs.cancellation(&missing.id, missing.version))
                 .collect();
-            link.in_flight = Some(lacked);
+            link.in_flight = Some(missing);
             messages.push(OutgoingReplication {
                 peer: peer.clone(),
                 message: ReplicateCancellations {
@@ -258,14 +265,14 @@
         messages
     }
 
-    /// A peer makes cancellations known, which it knows therefore itself.
+    /// Records that a peer has sent cancellations, which the peer therefore knows itself. Returns the reply.
     pub fn replication_received(
         &mut self,
         message: &ReplicateCancellations,
     ) -> ReplicateCancellationsReply {
         let from = NodeName::from(message.from.as_str());
         if self.knowledge.is_peer(&from) {
-            (self.knowledge).advance_published_watermark(&from, message.cancellation_watermark);
+            (self.knowledge).advance_reported_watermark(&from, message.cancellation_watermark);
             for job in &message.cancelled {
                 if let Ok(id) = job.job.parse() {
                     self.knowledge.observe(&id, job.version, &from);
@@ -277,7 +284,7 @@
         }
     }
 
-    /// A peer has acknowledged the message that is under way to it. Returns whether there was one.
+    /// Records that a peer has acknowledged the message in flight to it. Returns whether a message was in flight.
     pub fn replication_acknowledged(
         &mut self,
         peer: &NodeName,
@@ -289,31 +296,33 @@
         for cancellation in &acknowledged {
             self.knowledge.acknowledge(&cancellation.id, peer);
         }
-        (self.knowledge).advance_published_watermark(peer, reply.cancellation_watermark);
+        (self.knowledge).advance_reported_watermark(peer, reply.cancellation_watermark);
         self.send_due = true;
         true
     }
 
-    /// A peer gave no usable answer: the next message waits for a while.
+    /// Records that a peer gave no usable answer. The next message to it is sent no sooner than after
+    /// [`REPLICATION_RETRY_INTERVAL`].
     pub fn replication_unanswered(&mut self, peer: &NodeName, now: Time) {
         self.message_ended(peer, Some(now + REPLICATION_RETRY_INTERVAL));
     }
 
-    /// Ends the message that is under way to a peer; returns what it held.
+    /// Ends the message in flight to a peer. Returns the cancellations in it, or none if no message was in flight.
     fn message_ended(
         &mut self,
         peer: &NodeName,
         retry_at: Option<Time>,
-    ) -> Option<Vec<LackedCancellation>> {
+    ) -> Option<Vec<MissingCancellation>> {
         let link = self.links.get_mut(peer)?;
         let held = link.in_flight.take()?;
         link.retry_at = retry_at;
         Some(held)
     }
 
-    /// What the sender of a heartbeat lacks, if it asks for a lease vote. Without that it must not be granted.
+    /// Returns the cancellations that the sender of a heartbeat lacks, if it asks for a lease vote. Without this offer
+    /// the vote must not be granted.
     pub fn catch_up_for(&self, heartbeat: &Heartbeat, jobs: &JobCache) -> Option<CatchUpOffer> {
-        // A node that has not read the jobs lacks too much to be sent.
+        // A node that has not read the jobs lacks too many cancellations to send.
         let has_read_jobs = heartbeat.cancellation_watermark != Version(0);
         if !heartbeat.requests_lease_vote || !has_read_jobs {
             return None;
@@ -322,7 +331,8 @@
             heartbeat.cancellation_watermark,
             MAX_CANCELLATIONS_PER_MESSAGE,
         );
-        // Above its own watermark this node knows only some, and the watermark sent must not leave any out.
+        // Above its own watermark this node knows only some cancellations, and the watermark that is sent must not
+        // cover a cancellation that is left out.
         let own = self.knowledge.own_watermark();
         let covered = later.cut_after.map_or(own, |cut| own.min(cut));
         Some(CatchUpOffer {
@@ -334,23 +344,23 @@
         })
     }
 
-    /// Takes in the watermark records that nodes have published in the state service.
+    /// Applies the watermark records that nodes have published in the state service.
     pub fn watermark_records_read(&mut self, records: &BTreeMap<NodeName, WatermarkRecord>) {
         for (node, record) in records {
-            (self.knowledge).advance_published_watermark(node, record.cancellation_watermark);
+            (self.knowledge).advance_reported_watermark(node, record.cancellation_watermark);
             if *node != self.node {
                 self.watermark_publication.requested_by_peer(record.asks);
             }
         }
     }
 
-    /// The watermark record that has to be published now, if any.
+    /// Returns the watermark record that has to be published now, if any. It counts as published until its write fails.
     pub fn watermark_record_due(&mut self, now: Time) -> Option<WatermarkRecord> {
         let watermark = self.knowledge.own_watermark();
         self.watermark_publication.write_due(watermark, now)
     }
 
-    /// The write of the watermark record has ended.
+    /// Records how the write of the watermark record has ended.
     pub fn watermark_record_written(&mut self, outcome: WriteOutcome) {
         self.watermark_publication.write_ended(outcome);
     }
--- a/crates/core/src/api/cancellation_replication/acknowledgement.rs
+++ b/crates/core/src/api/cancellation_replication/acknowledgement.rs
@@ -1,4 +1,4 @@
-//! The decision about one request: what it depends on, and what becomes of the request.
+//! The decision about one request whose job is cancelled: its inputs and its result.
 
 use crate::api::refusal::Refusal;
 use crate::api::user_requests::PendingRequest;
@@ -8,30 +8,30 @@
 use crate::units::Now;
 use rudderreel_wire::ids::{JobId, NodeName};
 
-/// What a decision about an acknowledgement depends on besides the replicator.
+/// The inputs of a decision about an acknowledgement, besides the state of the replicator.
 pub struct AcknowledgementContext<'a> {
-    /// This node's cache of jobs.
+    /// This node's job cache.
     pub jobs: &'a JobCache,
-    /// This node's state as the leader, if it leads.
+    /// This node's state as the leader; none if it does not lead.
     pub leader: Option<&'a Leader>,
-    /// The node that leads, if it is another one that can be reached.
+    /// The leader, if it is another node and can be reached.
     pub reachable_leader: Option<NodeName>,
-    /// The moment.
+    /// The time of the decision.
     pub now: Now,
 }
 
-/// What becomes of a request that has been decided.
+/// The result of the decision about a request.
 #[derive(Debug)]
 pub enum Acknowledgement {
-    /// Its user may be told that the job is cancelled.
+    /// The request's user may be told that the job is cancelled.
     Respond(PendingRequest),
-    /// It is refused.
+    /// The request is refused for this reason.
     Refuse(PendingRequest, Refusal),
 }
 
 impl AcknowledgementContext<'_> {
-    /// Whether this node leads and surely no task of a job is left on any machine. Every start stands in the
-    /// placement log that it has read back, and nobody else may start tasks.
+    /// Returns whether this node leads and surely no task of a job is left on any machine. Every start is recorded in
+    /// the placement log that the leader has read back, and no other node may start tasks.
     pub(super) fn is_surely_without_tasks(&self, id: &JobId) -> bool {
         let is_without_tasks = |job: &Job| !job.is_active() && job.placements.is_empty();
         self.leader.is_some_and(|leader| {
--- a/crates/core/src/api/cancellation_replication/knowledge.rs
+++ b/crates/core/src/api/cancellation_replication/knowledge.rs
@@ -1,48 +1,49 @@
-//! Which nodes are known to know which cancellations.
+//! The record of which nodes are known to know which cancellations.
 //!
-//! A node's knowledge is its watermark, up to which it knows every cancellation, and the single later ones that it
-//! has acknowledged. Knowledge only grows: no node forgets a cancellation.
+//! A node's knowledge consists of its watermark, up to which it knows every cancellation, and of the single later
+//! cancellations that it has acknowledged. Knowledge only grows: no node forgets a cancellation.
 
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of all nodes' knowledge.
+/// The knowledge of all nodes, as far as this node knows it.
 #[derive(Debug)]
 pub(super) struct ClusterKnowledge {
     /// The other nodes.
     peers: BTreeSet<NodeName>,
-    /// How many nodes make a majority.
+    /// Number of nodes that make a majority.
     majority: usize,
-    /// Every cancellation up to this revision is known here; 0 before the jobs were read.
+    /// Every cancellation up to this revision is known to this node; 0 before the jobs were read.
     own_watermark: Version,
-    /// The same for other nodes, as they said last. This node's own published record may be among them.
-    published_watermarks: BTreeMap<NodeName, Version>,
-    /// Cancellations that no majority is known to know by its watermarks.
+    /// The highest watermark that each other node has reported. This node's own published record may be among them.
+    reported_watermarks: BTreeMap<NodeName, Version>,
+    /// Replications of the cancellations that, by the watermarks, no majority is known to know.
     replications: BTreeMap<JobId, Replication>,
 }
 
-/// The replication of one cancellation.
+/// The state of the replication of one cancellation.
 #[derive(Debug)]
 struct Replication {
     /// The revision of the cancellation.
     version: Version,
-    /// Peers that are known to know it, whatever their watermarks.
+    /// Peers that are known to know the cancellation, whatever their watermarks.
     acknowledged_by: BTreeSet<NodeName>,
+    /// Whether the cancellation is sent to peers.
     demand: Demand,
 }
 
 /// Whether a cancellation is sent to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Demand {
-    /// No user of this node has asked: it is only recorded who knows it.
+    /// The cancellation is not sent: no user of this node has asked, and only the peers that know it are recorded.
     Observed,
-    /// A user waits, or has waited, to be told.
+    /// The cancellation is sent to peers: a user waits, or has waited, for its acknowledgement.
     Requested,
 }
 
-/// A cancellation that a peer is not known to know.
+/// A cancellation that has to be sent to a peer, because the peer is not known to know it.
 #[derive(Clone, Debug)]
-pub(super) struct LackedCancellation {
+pub(super) struct MissingCancellation {
     pub(super) id: JobId,
     pub(super) version: Version,
 }
@@ -53,7 +54,7 @@
             peers,
             majority,
             own_watermark: Version::default(),
-            published_watermarks: BTreeMap::new(),
+            reported_watermarks: BTreeMap::new(),
             replications: BTreeMap::new(),
         }
     }
@@ -70,45 +71,46 @@
         self.peers.contains(node)
     }
 
-    /// A node has said how far its watermark is.
-    pub(super) fn advance_published_watermark(&mut self, node: &NodeName, watermark: Version) {
-        let known = self.published_watermarks.entry(node.clone()).or_default();
+    /// Records a watermark that a node has reported.
+    pub(super) fn advance_reported_watermark(&mut self, node: &NodeName, watermark: Version) {
+        let known = self.reported_watermarks.entry(node.clone()).or_default();
         *known = watermark.max(*known);
     }
 
-    /// Whether a node knows a cancellation.
+    /// Returns whether a node is known to know a cancellation.
     pub(super) fn is_known_to(&self, node: &NodeName, id: &JobId, version: Version) -> bool {
-        let watermark = self.published_watermarks.get(node);
+        let watermark = self.reported_watermarks.get(node);
         let acknowledged = |replication: &Replication| replication.acknowledged_by.contains(node);
         watermark.is_some_and(|watermark| *watermark >= version)
             || self.replications.get(id).is_some_and(acknowledged)
     }
 
-    /// Whether a majority knows a cancellation, this node included.
+    /// Returns whether a majority of the nodes, this node included, is known to know a cancellation.
     pub(super) fn is_known_to_majority(&self, id: &JobId, version: Version) -> bool {
         let knowing_peers = self.peers.iter();
         let knowing_peers = knowing_peers.filter(|peer| self.is_known_to(peer, id, version));
         knowing_peers.count() + 1 >= self.majority
     }
 
-    /// Has a cancellation sent to those that lack it.
+    /// Requests that a cancellation is sent to the peers that lack it.
     pub(super) fn request_replication(&mut self, id: &JobId, version: Version) {
         self.replication_of(id, version).demand = Demand::Requested;
     }
 
-    /// A peer has made a cancellation known, so it knows it.
+    /// Records that a peer has sent a cancellation, and therefore knows it.
     pub(super) fn observe(&mut self, id: &JobId, version: Version, peer: &NodeName) {
         let replication = self.replication_of(id, version);
         replication.acknowledged_by.insert(peer.clone());
     }
 
-    /// A peer has acknowledged a cancellation that was sent to it.
+    /// Records that a peer has acknowledged a cancellation that was sent to it.
     pub(super) fn acknowledge(&mut self, id: &JobId, peer: &NodeName) {
         if let Some(replication) = self.replications.get_mut(id) {
             replication.acknowledged_by.insert(peer.clone());
         }
     }
 
+    /// Returns the replication of a cancellation, which is created as only observed if there is none.
     fn replication_of(&mut self, id: &JobId, version: Version) -> &mut Replication {
         let replication = self.replications.entry(id.clone());
         replication.or_insert_with(|| Replication {
@@ -118,40 +120,41 @@
         })
     }
 
-    /// The requested cancellations that a peer is not known to know, so many at most.
-    pub(super) fn lacked_by(&self, peer: &NodeName, most: usize) -> Vec<LackedCancellation> {
-        let watermark = self.published_watermarks.get(peer);
+    /// Returns the requested cancellations that a peer is not known to know, at most `max_count` of them.
+    pub(super) fn missing_at(&self, peer: &NodeName, max_count: usize) -> Vec<MissingCancellation> {
+        let watermark = self.reported_watermarks.get(peer);
         let watermark = watermark.copied().unwrap_or_default();
-        let is_lacked = |replication: &Replication| {
+        let is_missing = |replication: &Replication| {
             replication.demand == Demand::Requested
                 && replication.version > watermark
                 && !replication.acknowledged_by.contains(peer)
         };
         (self.replications.iter())
-            .filter(|(_, replication)| is_lacked(replication))
-            .map(|(id, replication)| LackedCancellation {
+            .filter(|(_, replication)| is_missing(replication))
+            .map(|(id, replication)| MissingCancellation {
                 id: id.clone(),
                 version: replication.version,
             })
-            .take(most)
+            .take(max_count)
             .collect()
     }
 
-    /// Forgets the replications of what a majority knows by its watermarks, unless a request waits for it.
+    /// Forgets the replications of cancellations that a majority knows according to the nodes' watermarks, except those
+    /// that a request waits for.
     pub(super) fn forget_replicated(&mut self, is_waited_for: impl Fn(&JobId) -> bool) {
-        let watermarks = &self.published_watermarks;
+        let watermarks = &self.reported_watermarks;
         let nodes_past = |version: Version| watermarks.values().filter(|w| **w >= version).count();
         self.replications.retain(|id, replication| {
             nodes_past(replication.version) + 1 < self.majority || is_waited_for(id)
         });
     }
 
-    /// Whether no cancellation is replicated.
+    /// Returns whether no cancellation is being replicated.
     pub(super) fn has_no_replications(&self) -> bool {
         self.replications.is_empty()
     }
 
-    /// Whether a replication is left that a user has asked for.
+    /// Returns whether a replication is left that a user has requested.
     pub(super) fn has_requested(&self) -> bool {
         let mut replications = self.replications.values();
         replications.any(|replication| replication.demand == Demand::Requested)
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -13,7 +13,7 @@
     job(1, "sweep", "red", "normal").spec.id.clone()
 }
 
-/// The node n0 of three.
+/// Returns the replicator of node n0 of three nodes.
 fn replicator() -> CancellationReplicator {
     let peers = ["n1", "n2"].map(NodeName::from);
     let mut replicator = CancellationReplicator::new("n0".into(), peers, 2);
@@ -21,7 +21,7 @@
     replicator
 }
 
-/// A cache that holds one cancelled job.
+/// Returns a cache that holds one cancelled job.
 fn cache() -> JobCache {
     let mut record = JobRecord::queued(&job(1, "sweep", "red", "normal").spec, NOW.wall);
     record.state = JobState::Cancelled;
@@ -47,7 +47,7 @@
     }
 }
 
-/// A replicator with one request that waits.
+/// Returns a replicator with one waiting request.
 fn waiting_replicator(jobs: &JobCache) -> CancellationReplicator {
     let mut replicator = replicator();
     let decided = replicator.acknowledge_or_wait(request(1), CANCELLED_AT, &context(jobs, Span(0)));
@@ -75,7 +75,7 @@
     assert!(replicator
         .decide_waiting(&context(&jobs, Span(1)))
         .is_empty());
-    // The peer's watermark is far behind: the message itself is what it knows the cancellation by.
+    // The peer's watermark is far behind: the peer knows the cancellation only from the message.
     assert!(replicator.replication_acknowledged(&"n1".into(), &reply(3)));
     let decided = replicator.decide_waiting(&context(&jobs, Span(1)));
     assert!(matches!(decided[..], [Acknowledgement::Respond(_)]));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn others_than_peers_acknowledge_nothing() {
+fn messages_of_nodes_that_are_not_peers_acknowledge_nothing() {
     let jobs = cache();
     let mut replicator = replicator();
     replicator.peer_watermark_received(&"n9".into(), CANCELLED_AT);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_peer_that_makes_a_cancellation_known_knows_it() {
+fn a_peer_that_sends_a_cancellation_knows_it() {
     let jobs = cache();
     let mut replicator = waiting_replicator(&jobs);
     let cancelled = jobs.cancellation(&id(), CANCELLED_AT);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_leaders_own_acknowledgement_is_awaited_for_a_moment() {
+fn the_leaders_own_acknowledgement_is_awaited_until_a_timeout() {
     let jobs = cache();
     let mut replicator = waiting_replicator(&jobs);
     replicator.peer_watermark_received(&"n1".into(), CANCELLED_AT);
@@ -171,7 +171,7 @@
     assert!(matches!(&decided[..], [Acknowledgement::Refuse(_, why)] if *why == refusal));
     let record = replicator.watermark_record_due(late.now.time);
     assert_eq!(record.map(|record| record.asks), Some(CANCELLED_AT));
-    // It is written once, unless the write fails.
+    // The record is written once, unless the write fails.
     let later = late.now.time + Span(2_000);
     replicator.watermark_record_written(WriteOutcome::Committed);
     assert_eq!(replicator.watermark_record_due(later), None);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn one_message_is_under_way_to_a_peer_and_an_unanswered_one_is_repeated_later() {
+fn one_message_to_a_peer_is_in_flight_and_an_unanswered_one_is_sent_again_later() {
     let jobs = cache();
     let mut replicator = waiting_replicator(&jobs);
     assert_eq!(replicator.messages_due(&jobs, NOW.time).len(), 2);
@@ -253,7 +253,7 @@
     assert!(offer.is_complete);
     assert_eq!(offer.catchup.cancellation_watermark, CANCELLED_AT);
     assert_eq!(offer.catchup.cancelled.len(), 1);
-    // Nobody catches up who asks for no vote, or has not read the jobs.
+    // There is no offer for a node that asks for no vote, or has not read the jobs.
     assert!(replicator
         .catch_up_for(&heartbeat(19, false), &jobs)
         .is_none());
@@ -266,7 +266,7 @@
 fn a_catch_up_covers_no_more_than_this_node_knows_completely() {
     let mut jobs = cache();
     let mut replicator = replicator();
-    // A single later cancellation that a peer made known is sent, but does not move the watermark.
+    // A single later cancellation that a peer sent is part of the offer, but does not advance the watermark.
     let mut record = jobs.job(&id()).expect("a job").record.clone();
     record.state = JobState::Cancelled;
     let later = job(2, "sweep", "red", "normal").spec.id.clone();
@@ -275,7 +275,7 @@
     let offer = offer.expect("an offer");
     assert_eq!(offer.catchup.cancelled.len(), 2);
     assert_eq!(offer.catchup.cancellation_watermark, CANCELLED_AT);
-    // What is cut off lies above the watermark that is sent, and there is no vote yet.
+    // The cancellations that are cut off lie above the watermark that is sent, and the vote is not granted yet.
     replicator.advance_watermark(Version(50_000));
     let template = jobs.job(&id()).expect("a job").record.clone();
     for n in 0..MAX_CANCELLATIONS_PER_MESSAGE as u32 {
--- a/crates/core/src/api/cancellation_replication/watermark_publication.rs
+++ b/crates/core/src/api/cancellation_replication/watermark_publication.rs
@@ -1,30 +1,30 @@
-//! The record by which a node publishes its watermark in the state service.
+//! The record in which a node publishes its watermark in the state service.
 //!
 //! Links between nodes may fail while each of them reaches the state service. A node whose users could not be told
-//! of a cancellation then asks, in its own record, that the others publish how far their watermarks are. A node
-//! writes its record only if it has to ask or to answer, and not more often than [`WRITE_INTERVAL`].
+//! of a cancellation then requests, in its own record, that the other nodes publish their watermarks. A node writes
+//! its record only if it has to request or to publish a watermark, and at most once per [`WRITE_INTERVAL`].
 
 use crate::store::records::WatermarkRecord;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::Version;
 
-/// How often a node writes its record, at most.
+/// Minimum time between two writes of a node's record.
 const WRITE_INTERVAL: Span = Span(1_000);
 
-/// What a node has published of its watermark, and what it has yet to.
+/// The watermark that a node has published, and the requests for watermarks that are not answered yet.
 #[derive(Debug, Default)]
 pub(super) struct WatermarkPublication {
-    /// The others are asked to publish that their watermarks have reached this revision.
+    /// The other nodes are requested to publish their watermarks once these have reached this revision.
     requested_from_peers: Version,
-    /// Others ask the same of this node.
+    /// This node is requested by others to publish its watermark once it has reached this revision.
     requested_by_peers: Version,
-    /// What was written last.
+    /// The record that was written last.
     published: WatermarkRecord,
     write: WriteState,
     next_write_at: Time,
 }
 
-/// The write of the record.
+/// Whether a write of the record is in progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum WriteState {
     #[default]
@@ -32,27 +32,27 @@
     InProgress,
 }
 
-/// How a write of the record has ended.
+/// The outcome of a write of the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was committed.
+    /// The write was committed.
     Committed,
-    /// It was not, or that is unknown. It is written again when it is next needed.
+    /// The write was not committed, or its outcome is unknown. The record is written again when it is next needed.
     Failed,
 }
 
 impl WatermarkPublication {
-    /// A user could not be told of a cancellation: the others have to say whether they know it.
+    /// Requests the watermarks of the other nodes, since a user could not be told of the cancellation at a revision.
     pub(super) fn request_from_peers(&mut self, version: Version) {
         self.requested_from_peers = version.max(self.requested_from_peers);
     }
 
-    /// Another node's record asks for a revision.
+    /// Records that another node's record requests a watermark that has reached a revision.
     pub(super) fn requested_by_peer(&mut self, version: Version) {
         self.requested_by_peers = version.max(self.requested_by_peers);
     }
 
-    /// The record to write now, which counts as published until the write fails.
+    /// Returns the record to write now, if any. It counts as published until its write fails.
     pub(super) fn write_due(&mut self, watermark: Version, now: Time) -> Option<WatermarkRecord> {
         let has_answer = self.requested_by_peers > self.published.cancellation_watermark
             && watermark >= self.requested_by_peers;
@@ -70,7 +70,7 @@
         Some(self.published)
     }
 
-    /// The write has ended.
+    /// Records how the write has ended. After a failed write nothing counts as published.
     pub(super) fn write_ended(&mut self, outcome: WriteOutcome) {
         self.write = WriteState::Idle;
         if outcome == WriteOutcome::Failed {
--- a/crates/core/src/api/read_confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -1,17 +1,18 @@
-//! Linearizable reads of unfinished jobs: what the cache says is confirmed with the state service before users are
-//! told.
+//! Linearizable reads of unfinished jobs: the cached state of a job is confirmed with the state service before a user
+//! is answered.
 //!
-//! Reads that came within a short while are confirmed together, by a commit that only compares versions and changes
+//! Reads that arrive within a short time are confirmed together, by a commit that only compares versions and changes
 //! nothing. If all versions are as cached, the cache was fresh at the moment of the commit. That moment lies after
-//! the receipt of each read, since a batch holds only reads that came before it was sent.
+//! the receipt of each read, since a batch holds only reads that were received before the batch was sent.
 //!
-//! What a job depends on and is not done is confirmed with it: if any of that is cancelled, so is the job. A set
-//! that is too large for one transaction is confirmed in several. That is sound since done and cancelled are final:
-//! what was not cancelled at a later transaction was not at an earlier one either.
+//! All dependencies of a job that are not done, direct and transitive, are confirmed together with the job: if any of
+//! them is cancelled, so is the job. A set that is too large for one transaction is confirmed in several. This is
+//! sound because done and cancelled are final states: a job that was not cancelled at a later transaction was not
+//! cancelled at an earlier one either.
 //!
-//! [`ConfirmationQueue`] owns the waiting reads and when batches may be sent; its budget is a part of the node's
-//! calls to the state service. So reads cost more with the jobs asked about and with time, but not with how often
-//! users ask. [`ConfirmationBatch`] is one set that is being confirmed.
+//! [`ConfirmationQueue`] owns the waiting reads and decides when batches may be sent; its budget is a part of the
+//! node's calls to the state service. The cost of reads therefore grows with the number of jobs that users ask about
+//! and with time, but not with the number of requests. [`ConfirmationBatch`] is one set that is being confirmed.
 
 use crate::api::user_requests::{PendingRequest, REQUEST_TIMEOUT};
 use crate::cache::job_cache::JobCache;
@@ -22,118 +23,121 @@
 use rudderreel_wire::state::Condition;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// For how long reads are collected before they are confirmed together, at least.
+/// Minimum time for which reads are collected before they are confirmed together.
 const COLLECTION_TIME: Span = Span(15);
-/// The part of a node's calls to the state service that confirmations may use.
-const CALLS_PART: f64 = 0.3;
-/// The rate of confirmations is never taken for lower, in calls a second.
+/// Fraction of a node's calls to the state service that confirmations may use.
+const CALLS_FRACTION: f64 = 0.3;
+/// Lower bound of the rate of confirmations, in calls per second.
 const MIN_CALLS_PER_S: f64 = 0.1;
-/// Batches that are sent at one time; what does not fit waits for the next.
+/// Number of batches that are sent in one round, at most; reads that don't fit wait for the next round.
 pub(crate) const BATCHES_PER_ROUND: usize = 2;
-/// Reads that may wait at least, however few the state service lets be confirmed before they are overdue.
+/// Lower bound of the number of reads that may wait, however few the state service permits to confirm before they
+/// are overdue.
 const MIN_QUEUE_LIMIT: usize = 2_000;
 
-/// What the state service lets a node confirm.
+/// The limits of the state service that bound the confirmations of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfirmationBudget {
-    /// Calls a second that this node may make for anything.
+    /// Calls per second that this node may make for all purposes together.
     pub calls_per_s: f64,
-    /// Conditions that one transaction holds.
+    /// Maximum number of conditions of one transaction.
     pub max_conditions: usize,
 }
 
-/// Reads that wait to be confirmed, and when the next batches may be sent.
+/// The reads that wait to be confirmed, and the time from which the next batches may be sent.
 #[derive(Default)]
 pub struct ConfirmationQueue {
     reads: VecDeque<PendingRequest>,
+    /// Start of the collection of the waiting reads; none if no read waits.
     collecting_since: Option<Time>,
     next_round_at: Time,
 }
 
-/// The queue is full; the read was not taken.
+/// The error of a full queue. It returns the read, which was not queued.
 #[derive(Debug)]
 pub struct QueueFull(pub PendingRequest);
 
-/// What was taken from the queue for one transaction.
+/// The reads that were taken from the queue for one batch.
 #[derive(Default)]
 pub struct NextBatch {
-    /// Reads that need no confirmation any more, in their order.
+    /// The reads that no longer need a confirmation, in the order of the queue.
     pub settled: Vec<SettledRead>,
-    /// What is to be confirmed, if anything.
+    /// The reads to be confirmed, if there are any.
     pub batch: Option<ConfirmationBatch>,
 }
 
-/// A read that needs no confirmation any more.
+/// A read that no longer needs a confirmation.
 #[derive(Debug)]
 pub enum SettledRead {
-    /// Its job is final by now.
+    /// The read's job is final by now.
     Final(PendingRequest),
-    /// It has waited too long.
+    /// The read has waited too long.
     Overdue(PendingRequest),
-    /// Something that its job depends on is cancelled.
+    /// This dependency of the read's job, direct or transitive, is cancelled.
     CancelledBy(PendingRequest, JobId),
 }
 
-/// Reads that are being confirmed together.
+/// A set of reads that are being confirmed together.
 #[derive(Clone, Debug, Default)]
 pub struct ConfirmationBatch {
     reads: Vec<PendingRequest>,
-    /// The cached versions that must be fresh.
+    /// The cached versions that must be fresh: those of the reads' jobs and of their unfinished dependencies.
     versions: BTreeMap<JobId, Version>,
-    /// How many of these, in their order, earlier transactions have compared.
+    /// How many of the versions, in the order of the map, earlier transactions have compared.
     compared: usize,
-    /// How many the transaction that is under way compares.
+    /// How many of the versions the transaction in flight compares.
     comparing: usize,
 }
 
-/// What is left of a batch after one of its transactions.
+/// The progress of a batch after one of its transactions.
 pub enum BatchProgress {
-    /// Another transaction has to be sent.
+    /// Another transaction of the batch has to be sent.
     Unfinished(ConfirmationBatch),
-    /// It is finished.
+    /// The batch is finished.
     Finished {
-        /// Its reads.
+        /// The reads of the batch.
         reads: Vec<PendingRequest>,
         /// The versions that were confirmed as fresh.
         fresh: FreshVersions,
     },
 }
 
-/// Versions of jobs that a batch has confirmed.
+/// The versions of jobs that a batch has confirmed as fresh.
 #[derive(Debug)]
 pub struct FreshVersions(BTreeMap<JobId, Version>);
 
-/// What is known of a job after its confirmation.
+/// The state of a job after the confirmation of its batch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// It is not final, and nothing that it depends on is cancelled.
+    /// The job is not final, and none of its dependencies, direct or transitive, is cancelled.
     Fresh,
-    /// It does not exist.
+    /// The job does not exist.
     Missing,
-    /// It is final by now.
+    /// The job is final by now.
     Final,
-    /// What it depends on is cancelled.
+    /// This dependency of the job, direct or transitive, is cancelled.
     CancelledBy(JobId),
-    /// A job has to be read again first.
+    /// This job, which the answer depends on, has to be read again first.
     Stale(JobId),
 }
 
 impl ConfirmationBudget {
-    /// Confirmations a second.
+    /// Returns the number of confirmation rounds per second.
     fn rounds_per_s(self) -> f64 {
-        (self.calls_per_s * CALLS_PART).max(MIN_CALLS_PER_S)
+        (self.calls_per_s * CALLS_FRACTION).max(MIN_CALLS_PER_S)
     }
 
-    /// How many reads may wait: as many as can be confirmed before they are overdue.
+    /// Returns how many reads may wait: as many as can be confirmed before they are overdue, but no fewer than
+    /// [`MIN_QUEUE_LIMIT`].
     fn queue_limit(self) -> usize {
-        let batches_per_s = self.calls_per_s * CALLS_PART * BATCHES_PER_ROUND as f64;
+        let batches_per_s = self.calls_per_s * CALLS_FRACTION * BATCHES_PER_ROUND as f64;
         let jobs = batches_per_s * self.max_conditions as f64 * REQUEST_TIMEOUT.as_secs();
         MIN_QUEUE_LIMIT.max(jobs as usize)
     }
 }
 
 impl ConfirmationQueue {
-    /// Has a read confirmed soon, with others.
+    /// Queues a read, to be confirmed soon together with others.
     pub fn push(
         &mut self,
         read: PendingRequest,
@@ -148,7 +152,7 @@
         Ok(())
     }
 
-    /// Whether batches are due. If so, the time of the next ones is set.
+    /// Returns whether a round of batches is due. If so, sets the earliest time of the next round.
     pub fn begin_round(&mut self, budget: ConfirmationBudget, now: Time) -> bool {
         let is_due = |since: Time| now >= self.next_round_at.max(since + COLLECTION_TIME);
         if !self.collecting_since.is_some_and(is_due) {
@@ -158,12 +162,12 @@
         true
     }
 
-    /// All batches of a round were taken: what is left is collected from now on.
+    /// Records that all batches of a round were taken. The collection of the reads that are left starts now.
     pub fn end_round(&mut self, now: Time) {
         self.collecting_since = (!self.reads.is_empty()).then_some(now);
     }
 
-    /// Takes what fits into a transaction, the longest waiting first.
+    /// Takes the reads that fit into one transaction from the queue, those that have waited longest first.
     pub fn next_batch(&mut self, jobs: &JobCache, max_conditions: usize, now: Time) -> NextBatch {
         let mut settled = Vec::new();
         let mut batch = ConfirmationBatch::default();
@@ -197,7 +201,8 @@
 }
 
 impl ConfirmationBatch {
-    /// A first read always has room: what is too large for one transaction is compared in several.
+    /// Returns whether a read's versions fit into the batch. The first read always fits: a set that is too large for
+    /// one transaction is compared in several.
     fn has_room(&self, versions: &BTreeMap<JobId, Version>, max_conditions: usize) -> bool {
         let is_new = |id: &&JobId| !self.versions.contains_key(*id);
         let added = versions.keys().filter(is_new).count();
@@ -209,7 +214,7 @@
         self.reads.push(read);
     }
 
-    /// The conditions of the next transaction.
+    /// Returns the conditions of the next transaction.
     pub fn next_conditions(&mut self, max_conditions: usize) -> Vec<Condition> {
         let left = self.versions.len() - self.compared;
         self.comparing = left.min(max_conditions);
@@ -220,12 +225,13 @@
             .collect()
     }
 
-    /// The reads of a batch that was not compared.
+    /// Returns the reads of a batch that was not compared.
     pub fn into_reads(self) -> Vec<PendingRequest> {
         self.reads
     }
 
-    /// A transaction was carried out in which the conditions of some keys failed.
+    /// Records that a transaction of the batch was carried out, and which keys' conditions failed in it. Returns the
+    /// progress of the batch.
     pub fn transaction_ended(mut self, failed_keys: &[String]) -> BatchProgress {
         self.compared += self.comparing;
         if failed_keys.is_empty() && self.compared < self.versions.len() {
@@ -246,8 +252,8 @@
 }
 
 impl FreshVersions {
-    /// What is known of a job by now. The cache may have learned more meanwhile; what is told is the newest that is
-    /// known.
+    /// Returns the state of a job. The cache may have received changes since the batch was taken; the result is the
+    /// newest state that is known.
     pub fn read(&self, id: &JobId, jobs: &JobCache) -> ReadResult {
         if jobs.is_final(id) {
             return ReadResult::Final;
--- a/crates/core/src/api/read_confirmation/tests.rs
+++ b/crates/core/src/api/read_confirmation/tests.rs
@@ -18,7 +18,7 @@
     PendingRequest::new(ReqId(n.into()), request, RequestOrigin::Direct, NOW.time)
 }
 
-/// A cache that holds unfinished jobs at version 5, each with its dependencies.
+/// Returns a cache that holds unfinished jobs at version 5, each with its dependencies.
 fn cache_of(jobs: &[(u32, &[u32])]) -> JobCache {
     let mut cache = JobCache::default();
     for (n, dependencies) in jobs {
@@ -45,7 +45,7 @@
     queue
 }
 
-/// The batch of one read, once its versions were compared.
+/// Returns the fresh versions of a batch of one read, after its versions were compared.
 fn confirmed(cache: &JobCache, n: u32, failed_keys: &[String]) -> FreshVersions {
     let next = queue_of(&[n]).next_batch(cache, 8, NOW.time);
     let mut batch = next.batch.expect("a batch");
@@ -63,14 +63,14 @@
     assert!(!queue.begin_round(BUDGET, NOW.time));
     assert!(queue.begin_round(BUDGET, collected));
     queue.end_round(collected);
-    // 30 rounds a second: the next one has to wait for longer than reads are collected.
+    // At 30 rounds per second the interval between rounds is longer than the collection time.
     let next_round = collected + Span::secs(1.0 / 30.0);
     assert!(!queue.begin_round(BUDGET, collected + COLLECTION_TIME));
     assert!(queue.begin_round(BUDGET, next_round));
 }
 
 #[test]
-fn a_batch_holds_what_fits_into_a_transaction_and_the_rest_waits() {
+fn a_batch_holds_the_reads_that_fit_into_a_transaction_and_the_rest_waits() {
     let cache = cache_of(&[(1, &[]), (2, &[3]), (3, &[])]);
     let mut queue = queue_of(&[1, 2]);
     let first = queue.next_batch(&cache, 2, NOW.time);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn overdue_reads_are_given_up() {
+fn overdue_reads_are_not_confirmed() {
     let late = NOW.time + REQUEST_TIMEOUT + Span(1);
     let next = queue_of(&[1]).next_batch(&cache_of(&[(1, &[])]), 8, late);
     assert!(next.batch.is_none());
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn what_the_cache_has_learned_since_counts() {
+fn a_read_reflects_later_changes_of_the_cache() {
     let mut cache = cache_of(&[(1, &[2]), (2, &[])]);
     let fresh = confirmed(&cache, 1, &[]);
     finish(&mut cache, 2, JobState::Cancelled);
