--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -258,7 +258,7 @@
     }
 
     /// This leader holds the gated key from now on, at a version.
-    pub fn gated_key_held(&mut self, version: Version) {
+    pub fn switch_to_gated_key(&mut self, version: Version) {
         self.version_gate = VersionGateStep::Idle;
         self.key = LeaderKey::Gated;
         self.key_version = version;
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -130,7 +130,7 @@
             return;
         };
         log::info!("version gate closed, jobs depend on others key={GATED_LEADER_KEY}");
-        leader.term.gated_key_held(version);
+        leader.term.switch_to_gated_key(version);
         let record = leader.term.record(&self.settings.node);
         self.job_cache.leader_key_moved(version, record);
     }
