--- a/crates/core/src/leadership/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -39,7 +39,7 @@
     MovingKey,
     /// That commit had no usable answer: it may have been carried out, or may yet be. It is sent again
     /// at this moment; of all tries one at most is carried out.
-    MovingKeyAgainAt(Time),
+    RetryKeyMoveAt(Time),
     /// It failed: perhaps since an earlier try was carried out, which the key shows.
     VerifyingKey,
     /// The commit that moves the machine types is open.
@@ -51,7 +51,7 @@
     pub fn is_key_changing(self) -> bool {
         matches!(
             self,
-            Self::MovingKey | Self::MovingKeyAgainAt(_) | Self::VerifyingKey
+            Self::MovingKey | Self::RetryKeyMoveAt(_) | Self::VerifyingKey
         )
     }
 
@@ -59,7 +59,7 @@
     pub fn may_advance(self, is_needed: bool, now: Time) -> bool {
         match self {
             Self::Idle => is_needed,
-            Self::MovingKeyAgainAt(at) => now >= at,
+            Self::RetryKeyMoveAt(at) => now >= at,
             Self::MovingKey | Self::VerifyingKey | Self::MovingCatalog => false,
         }
     }
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -85,7 +85,7 @@
             Some(VersionGateStep::MovingKey) => self.key_move_answered(answer, now),
             Some(VersionGateStep::VerifyingKey) => self.key_verified(answer, now),
             Some(VersionGateStep::MovingCatalog) => self.catalog_move_answered(answer),
-            Some(VersionGateStep::Idle | VersionGateStep::MovingKeyAgainAt(_)) | None => {}
+            Some(VersionGateStep::Idle | VersionGateStep::RetryKeyMoveAt(_)) | None => {}
         }
     }
 
@@ -104,7 +104,7 @@
 
     fn retry_key_move(&mut self, now: Now) {
         let at = now.time + KEY_MOVE_RETRY_INTERVAL;
-        self.set_version_gate(VersionGateStep::MovingKeyAgainAt(at));
+        self.set_version_gate(VersionGateStep::RetryKeyMoveAt(at));
     }
 
     /// The gated key as read after a commit that failed: if it is this leader's, an earlier try was carried out.
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -85,7 +85,7 @@
     assert!(gate(&node).is_some_and(VersionGateStep::is_key_changing));
     node.close_version_gate(NOW);
     assert!(
-        matches!(gate(&node), Some(VersionGateStep::MovingKeyAgainAt(_))),
+        matches!(gate(&node), Some(VersionGateStep::RetryKeyMoveAt(_))),
         "not at once"
     );
     let later = Now {
