--- a/crates/core/src/agents/peer_selection.rs
+++ b/crates/core/src/agents/peer_selection.rs
@@ -151,7 +151,7 @@
             })
             .map(|(name, peer)| {
                 let redirected = self.redirected.get(name).copied().unwrap_or(0);
-                let load = (peer.workers + redirected) * cluster.weight(name, peer.leads);
+                let load = (peer.agent_count + redirected) * cluster.weight(name, peer.leads);
                 (load, name)
             })
             .min()
@@ -167,9 +167,9 @@
         now: Time,
     ) -> bool {
         let usual_silence =
-            Span(PAUSES_OF_AGENT_SILENCE * report_interval.0 / u64::from(peer.workers.max(1)));
+            Span(PAUSES_OF_AGENT_SILENCE * report_interval.0 / u64::from(peer.agent_count.max(1)));
         let is_reached =
-            peer.workers > 0 && peer.agent_silence < MAX_AGENT_SILENCE.max(usual_silence);
+            peer.agent_count > 0 && peer.agent_silence < MAX_AGENT_SILENCE.max(usual_silence);
         is_reached || (self.redirected_at.get(name)).is_none_or(|at| now - *at > TRIAL_INTERVAL)
     }
 }
--- a/crates/core/src/agents/peer_selection/tests.rs
+++ b/crates/core/src/agents/peer_selection/tests.rs
@@ -8,8 +8,8 @@
 fn to_a_node_that_no_agent_reaches_one_is_sent_on_trial() {
     let mut balancer = AgentBalancer::default();
     let name = NodeName::from("n1");
-    let peer = |workers: u32, silence: u64| PeerStatus {
-        workers,
+    let peer = |agent_count: u32, silence: u64| PeerStatus {
+        agent_count,
         agent_silence: Span(silence),
         ..PeerStatus::default()
     };
--- a/crates/core/src/leadership/peers.rs
+++ b/crates/core/src/leadership/peers.rs
@@ -29,7 +29,7 @@
     /// The highest epoch that it knew.
     pub epoch: Epoch,
     /// Agents that report to it.
-    pub workers: u32,
+    pub agent_count: u32,
     /// Whether it hears the leader, so that it can forward status reports.
     pub forwards_reports: bool,
 }
@@ -119,7 +119,7 @@
         if let Some(peer) = self.by_name.get_mut(name) {
             peer.leads = heartbeat.leads;
             peer.epoch = heartbeat.epoch;
-            peer.workers = heartbeat.workers;
+            peer.agent_count = heartbeat.workers;
             peer.forwards_reports = heartbeat.forwards_reports;
         }
     }
