--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -2,44 +2,46 @@
 //!
 //! # The leader's lease and the fencing token
 //!
-//! The leader's key hangs on a lease of the store. The commit that sets the key bumps the epoch, which is the fencing
-//! token that agents see. A leader acts only while its lease is surely alive by its own clock, counted from the
+//! The leader's key is attached to a lease of the store. The commit that sets the key bumps the epoch, which is the
+//! fencing token that agents see. A leader acts only while its lease is surely alive by its own clock, counted from the
 //! *sending* of the renewal.
 //!
 //! # Lease votes, in an outage of the store
 //!
-//! In an outage nobody can renew, yet agents must not lose their leases. So a leader may go on answering them (but
-//! starts nothing) while a majority of the nodes, itself included, grants it fresh lease votes. By its vote a node says
-//! that the store does not answer it either, and that it knows of no higher epoch. A vote is good for
-//! [`LEASE_VOTE_TTL`], counted from the sending of the heartbeat that asked for it.
+//! In an outage no node can renew its lease, yet agents must not lose theirs. So a leader may continue to answer agents
+//! (but starts nothing) while a majority of the nodes, itself included, grants it fresh lease votes. With its vote a
+//! node states that the store does not answer it either, and that it knows of no higher epoch. A vote is valid for
+//! [`LEASE_VOTE_TTL`], counted from the sending of the heartbeat that requested it.
 //!
-//! - A node grants no vote before it has read the epoch since its own start, so what it voted in an earlier life still
-//!   binds it; nor before it has read the jobs, so that it knows every cancellation that it acknowledged.
-//! - It grants none while a campaign of its own is under way or has an unknown outcome: it may be leading itself.
-//! - It does not campaign until its last vote has run out.
+//! - A node grants no vote before it has read the epoch since its process started, so the votes that it granted before
+//!   a restart still bind it; nor before it has read the jobs, so that it knows every cancellation that it
+//!   acknowledged.
+//! - It grants none while a campaign of its own is in progress or has an unknown outcome: it may itself be leading.
+//! - It does not campaign until its last vote has expired.
 //!
-//! If the leader itself ends in an outage, nobody can be elected. Then any node may stand in for it: it answers agents
-//! by the same token, without commands, so that their leases go on. It needs the same votes, and nodes grant them only
-//! if they have not heard the leader for [`LEADER_SILENCE_TIMEOUT`]. A leader whose heartbeats are acknowledged by a
-//! majority all the time, with gaps shorter than that, knows that nobody stands in for it; otherwise it does not
-//! conclude from its own answers alone that an agent's lease has run out.
+//! If the process of the leader ends in an outage, no node can be elected. Then any node may stand in for the leader:
+//! it answers agents with the same token, without commands, so that their leases are renewed. It needs the same votes,
+//! and nodes grant them only if they have received no heartbeat of the leader for [`LEADER_SILENCE_TIMEOUT`]. A leader
+//! whose heartbeats are acknowledged by a majority all the time, with gaps shorter than that timeout, knows that no
+//! node stands in for it; otherwise it does not conclude from its own answers alone that an agent's lease has expired.
 //!
 //! # When older leaders are fenced
 //!
 //! A new leader knows that no older one answers agents any more once a majority has acknowledged its epoch and
 //! [`LEASE_VOTE_TTL`] has passed since: any two majorities share a node, and that node granted its last vote before it
-//! acknowledged. From that moment on older leaders are *fenced* ([`Term::update_old_leaders_fenced_at`]). It holds for
-//! votes that a node granted in an earlier life and has forgotten, too: it acknowledges in a later one. So a node that
-//! has just started need not wait before it campaigns, and after a crash of all nodes agents are answered again that
-//! much sooner.
+//! acknowledged. From that time on older leaders are *fenced* ([`Term::update_old_leaders_fenced_at`]). This also holds
+//! for votes that a node granted before a restart and has forgotten: it acknowledges after the restart. So a node that
+//! has just started need not wait before it campaigns, and after a crash of all nodes agents are answered again sooner
+//! by that wait.
 //!
 //! # Leaders of an older version
 //!
-//! A leader of a version that must not lead any more (see [`super::version_gate`]) is superseded before its lease runs
-//! out. Its key is taken off its lease and stays, so that no process of that version sees a vacancy; that alone makes
-//! all its writes fail. From then on leaders hold another key. A node that campaigns for that first ends the lease of
-//! the superseded leader, so whoever wins, the leases of all earlier leaders have ended before. By its own clock a
-//! superseded leader may go on for [`LEADER_LEASE_TTL`] after that; older leaders count as fenced later still.
+//! A leader of a version that must not lead any more (see [`super::version_gate`]) is superseded before its lease
+//! expires. Its key is detached from its lease and stays in the store, so that no process of that version finds the
+//! key absent; that alone makes all writes of the superseded leader fail. From then on leaders hold another key. A node
+//! that campaigns for that other key first ends the lease of the superseded leader, so whichever node wins, the leases
+//! of all earlier leaders have ended before. By its own clock a superseded leader may continue for
+//! [`LEADER_LEASE_TTL`] after that; older leaders count as fenced later still.
 //!
 //! [`Term::update_old_leaders_fenced_at`]: super::term::Term::update_old_leaders_fenced_at
 
@@ -64,49 +66,50 @@
 use rudderreel_wire::ids::{Epoch, LeaseId, NodeName};
 use store_reachability::{StoreReachability, STORE_SILENCE_TIMEOUT};
 
-/// How long a leader's lease lasts without a renewal.
+/// Time after which a leader's lease expires without a renewal.
 pub const LEADER_LEASE_TTL: Span = Span(3_000);
-/// How long a lease vote is good for.
+/// Time for which a lease vote is valid.
 pub const LEASE_VOTE_TTL: Span = Span(1_500);
-/// Nobody stands in for a leader that was heard within this time. A node that restarts may have forgotten when it heard
-/// the leader, but counts the store as unreachable only after as long, so it can't grant its vote sooner.
+/// Time without a heartbeat of the leader before which a node neither stands in for it nor votes for a stand-in. A node
+/// that restarts may have forgotten when it received the last heartbeat of the leader, but it counts the store as
+/// unreachable only after as long a time, so it can't grant its vote sooner.
 pub const LEADER_SILENCE_TIMEOUT: Span = STORE_SILENCE_TIMEOUT;
-/// A leader counts an acknowledgement for so long, from the sending of its heartbeat: less than
+/// Time for which a leader counts an acknowledgement, from the sending of the heartbeat: less than
 /// [`LEADER_SILENCE_TIMEOUT`].
 pub const ACKNOWLEDGEMENT_TTL: Span = Span(1_100);
-/// How often the lease is renewed.
+/// Interval between renewals of the leader's lease.
 const LEASE_RENEWAL_INTERVAL: Span = Span(750);
-/// A renewal that failed is repeated after so long.
+/// Delay before a renewal that failed is repeated.
 const LEASE_RENEWAL_RETRY_INTERVAL: Span = Span(250);
-/// How often a node that does not lead reads the leader's key.
+/// Interval at which a node that does not lead reads the leader's key.
 const LEADER_KEY_POLL_INTERVAL: Span = Span(1_000);
 
-/// This node's part in the election.
+/// The state of this node in the election.
 pub struct Election {
     node: NodeName,
     node_count: usize,
-    /// The node's place among the names of all, which spreads the campaigns a little.
+    /// Index of the node in the order of all nodes' names. It delays the campaigns of the nodes differently.
     rank: u64,
     store: StoreReachability,
-    /// The highest epoch known.
+    /// Highest epoch known.
     epoch: Epoch,
-    /// Since when it is known.
+    /// Time since when `epoch` is known.
     epoch_since: Time,
     /// Whether the epoch was read since this process started.
     epoch_read: bool,
-    /// Whether the jobs were read since this process started. Before that it may lack cancellations that it had
-    /// acknowledged in an earlier life.
+    /// Whether the jobs were read since this process started. Before that the node may lack cancellations that it
+    /// acknowledged before a restart.
     jobs_read: bool,
-    /// When a heartbeat of the leader last came.
+    /// Time at which the last heartbeat of the leader was received.
     leader_heard_at: Option<Time>,
-    /// Votes that the peers granted to this node.
+    /// Lease votes that the peers granted to this node.
     lease_votes: QuorumTracker,
-    /// This node does not campaign before the last vote that it granted has run out.
+    /// Time at which the last vote that this node granted expires. The node does not campaign before that.
     bound_by_vote_until: Time,
     campaign: Campaign,
-    /// No campaign before this moment.
+    /// Time before which this node does not campaign, because of a failed campaign or a leadership transfer.
     campaigns_paused_until: Time,
-    /// Since when nobody is known to hold the leader's key.
+    /// Time since when no leader is known to hold the leader's key; one that must not lead any more does not count.
     vacant_since: Option<Time>,
     next_supersede_at: Time,
     next_key_poll_at: Time,
@@ -114,7 +117,8 @@
 }
 
 impl Election {
-    /// `rank` spreads the campaigns of the nodes a little.
+    /// Returns the initial state of a node. `rank` is its index in the order of all nodes' names, which delays the
+    /// campaigns of the nodes differently.
     pub fn new(node: NodeName, node_count: usize, rank: u64) -> Self {
         Self {
             node,
@@ -137,27 +141,27 @@
         }
     }
 
-    /// The highest epoch known.
+    /// Returns the highest epoch known.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// How many nodes make a majority.
+    /// Returns how many nodes make a majority.
     pub fn majority(&self) -> usize {
         majority_of(self.node_count)
     }
 
-    /// Whether the store answers this node, as far as it knows.
+    /// Returns whether the store answers this node, as far as it knows.
     pub fn store_reachable(&self, now: Time) -> bool {
         self.store.is_reachable(now)
     }
 
-    /// Notes how any call to the store ended.
+    /// Records how a call to the store ended, whatever its purpose.
     pub fn observe_store_answer(&mut self, now: Time, answer: &StoreAnswer) {
         self.store.observe(now, answer);
     }
 
-    /// Notes an epoch that a peer or a leader's key named. Votes for an earlier epoch are none for a later one.
+    /// Records an epoch that a peer or a leader's key named. Votes for an earlier epoch do not count for a later one.
     pub fn observe_epoch(&mut self, epoch: Epoch, now: Time) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -166,28 +170,28 @@
         }
     }
 
-    /// Notes that a heartbeat of the leader came.
+    /// Records that a heartbeat of the leader was received.
     pub fn observe_leader(&mut self, now: Time) {
         self.leader_heard_at = Some(now);
     }
 
-    /// Notes that all jobs have been read since this process started.
+    /// Records that all jobs have been read since this process started.
     pub fn observe_jobs_read(&mut self) {
         self.jobs_read = true;
     }
 
-    /// Has this node not campaign before a moment.
+    /// Keeps this node from campaigning before a given time.
     pub fn pause_campaigns_until(&mut self, at: Time) {
         self.campaigns_paused_until = at;
     }
 
-    /// Before when this node does not campaign.
+    /// Returns the time before which this node does not campaign.
     #[cfg(test)]
     pub fn campaigns_paused_until(&self) -> Time {
         self.campaigns_paused_until
     }
 
-    /// Calls that are due. `held_lease` is the lease of this node's term, if it leads.
+    /// Returns the calls that are due. `held_lease` is the lease of this node's term, if it leads.
     pub fn tick(
         &mut self,
         now: Time,
@@ -221,7 +225,7 @@
         Some(ElectionRequest::new(call, ElectionCall::ReadLeaderKey(key)))
     }
 
-    /// Handles the answer to a call that was sent at a moment.
+    /// Handles the answer to a call that was sent at `sent`.
     pub fn answered(
         &mut self,
         now: Time,
@@ -233,7 +237,7 @@
             ElectionCall::ReadLeaderKey(key) => self.leader_key_was_read(now, key, answer),
             ElectionCall::EndSupersededLease => self.superseded_lease_ended(now, answer),
             ElectionCall::ReadEpoch => self.epoch_was_read(now, answer),
-            ElectionCall::TakeLease => self.lease_taken(now, sent, answer),
+            ElectionCall::AcquireLease => self.lease_acquired(now, sent, answer),
             ElectionCall::Claim(claim) => self.claim_answered(now, claim, answer),
             ElectionCall::VerifyClaim(claim) => self.claim_verified(now, claim, answer),
             ElectionCall::Renew(_) => self.renewal_answered(now, answer),
@@ -273,7 +277,7 @@
         };
         self.observe_epoch(record.epoch, now);
         self.epoch_read = true;
-        let request = self.is_left_behind(&record).then(|| {
+        let request = self.is_own_stale_record(&record).then(|| {
             ElectionRequest::new(StoreCall::EndLease(record.lease), ElectionCall::EndLease)
         });
         let leader = StoredLeader {
@@ -286,14 +290,15 @@
         }
     }
 
-    /// Whether a leader's record is what an earlier life of this process left behind: it names this node, and a lease
-    /// that is not held here. Nobody acts for it any more. Only a node that does not lead reads the leader's key.
-    fn is_left_behind(&self, record: &LeaderRecord) -> bool {
-        record.node == self.node && !record.superseded && !self.campaign.is_under_way()
+    /// Returns whether a leader's record was left by this node before a restart: it names this node, and a lease that
+    /// this process does not hold. No process acts by it any more. Only a node that does not lead reads the leader's
+    /// key.
+    fn is_own_stale_record(&self, record: &LeaderRecord) -> bool {
+        record.node == self.node && !record.superseded && !self.campaign.is_in_progress()
     }
 }
 
-/// The renewals of the lease that a node holds while it leads.
+/// Returns the periodic renewal of the lease that a node holds while it leads.
 fn lease_renewal() -> PeriodicCall {
     PeriodicCall::new(LEASE_RENEWAL_INTERVAL, LEASE_RENEWAL_RETRY_INTERVAL)
 }
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -1,8 +1,8 @@
-//! A campaign: the calls by which a node tries to win the election, one after the other.
+//! A campaign: the calls by which a node tries to win the election, made one after the other.
 //!
-//! End the lease of a superseded leader if there is one, read the epoch, take a lease, then set the leader's key and
-//! bump the epoch in one commit, the *claim*. A claim of unknown outcome is verified until it is known; until then the
-//! node grants no lease vote, for it may be leading.
+//! The node ends the lease of a superseded leader if there is one, reads the epoch, acquires a lease, then sets the
+//! leader's key and bumps the epoch in one commit, the *claim*. A claim of unknown outcome is verified until the
+//! outcome is known; until then the node grants no lease vote, because it may be leading.
 
 use super::commits::{epoch_change, supersede};
 use super::{
@@ -18,52 +18,53 @@
 use rudderreel_wire::ids::{Epoch, Version};
 use rudderreel_wire::state::Transaction;
 
-/// The pause after a campaign that failed.
+/// Pause after a campaign that failed, for the node of rank 0.
 const CAMPAIGN_RETRY_INTERVAL: Span = Span(300);
-/// How much longer it is for each rank.
+/// Time by which the pause after a failed campaign is longer for each rank.
 const CAMPAIGN_RETRY_MS_PER_RANK: u64 = 100;
-/// How much later than the node of the rank before it a node campaigns for a vacant key.
+/// Time by which a node campaigns for a vacant key later than the node of the preceding rank.
 const CAMPAIGN_DELAY_MS_PER_RANK: u64 = 60;
-/// An outdated leader's key is taken off its lease so often, until that is seen.
+/// Interval at which the commit that detaches an outdated leader's key from its lease is sent, until the change is
+/// seen.
 const SUPERSEDE_RETRY_INTERVAL: Span = Span(300);
-/// A lease that nothing renews has surely ended so long after it was taken, if the store works.
+/// Time after its acquisition at which a lease that nothing renews has surely ended, if the store works.
 const UNRENEWED_LEASE_TIMEOUT: Span = Span(2 * LEADER_LEASE_TTL.0);
 /// The version of a key that does not exist.
 const ABSENT: Version = Version(0);
 
-/// How far a campaign has come.
+/// The progress of a campaign.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum CampaignState {
-    /// None is under way.
+    /// No campaign is in progress.
     #[default]
     Idle,
-    /// A call of a campaign is open, and it has not won yet.
-    UnderWay,
-    /// The claim may have been carried out, or may yet be.
-    ClaimUnsure,
+    /// A call of a campaign is in flight, and the campaign has not won yet.
+    InProgress,
+    /// The outcome of the claim is unknown: it may have been carried out, or may yet be.
+    ClaimUnverified,
 }
 
-/// This node's campaign.
+/// The state of this node's campaign.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Campaign {
     state: CampaignState,
-    /// The leader's key that it is for.
+    /// The leader's key that the campaign is for.
     key: LeaderKey,
-    /// The version of the common key, if leaders hold the gated one.
+    /// The version of the common key, if leaders hold the gated key.
     superseded: Option<Version>,
     /// The version of the epoch's key.
     epoch_version: Version,
 }
 
 impl Campaign {
-    /// Whether this node may have won, or may yet win.
-    pub(super) fn is_under_way(&self) -> bool {
+    /// Returns whether this node may have won, or may yet win.
+    pub(super) fn is_in_progress(&self) -> bool {
         self.state != CampaignState::Idle
     }
 }
 
 impl Election {
-    /// Begins a campaign if nobody leads, or supersedes a leader that must not lead any more.
+    /// Begins a campaign if no node leads, or supersedes a leader that must not lead any more.
     pub(super) fn campaign_if_due(
         &mut self,
         now: Time,
@@ -86,15 +87,15 @@
         }
     }
 
-    /// A pause does not hold before the epoch was read: a node that has just started needs it to grant lease votes, and
-    /// only a campaign reads it while nobody leads.
+    /// Returns whether this node may campaign now. A pause has no effect before the epoch was read: a node that has
+    /// just started needs the epoch to grant lease votes, and only a campaign reads it while no node leads.
     fn may_campaign(&self, now: Time, vacant_since: Time) -> bool {
         let is_paused = now < self.campaigns_paused_until && self.epoch_read;
         now >= vacant_since + Span(CAMPAIGN_DELAY_MS_PER_RANK * self.rank)
             && now >= self.bound_by_vote_until
             && !is_paused
             && self.store_reachable(now)
-            && !self.campaign.is_under_way()
+            && !self.campaign.is_in_progress()
     }
 
     fn supersede_if_due(&mut self, now: Time, leader: &StoredLeader) -> Option<ElectionRequest> {
@@ -111,7 +112,7 @@
         key: LeaderKey,
         superseded: Option<&StoredLeader>,
     ) -> ElectionRequest {
-        self.campaign.state = CampaignState::UnderWay;
+        self.campaign.state = CampaignState::InProgress;
         self.campaign.key = key;
         self.campaign.superseded = superseded.map(|leader| leader.version);
         match superseded.and_then(|leader| leader.record.lease_to_end()) {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The answer to the end of a superseded leader's lease. The campaign goes on only once it has surely ended.
+    /// Handles the answer to ending a superseded leader's lease. The campaign continues only once the lease has surely
+    /// ended.
     pub(super) fn superseded_lease_ended(
         &mut self,
         now: Time,
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The answer to reading the epoch.
+    /// Handles the answer to reading the epoch.
     pub(super) fn epoch_was_read(&mut self, now: Time, answer: StoreAnswer) -> ElectionProgress {
         match answer {
             StoreAnswer::Found(item) => {
@@ -145,7 +147,7 @@
                 }
                 self.campaign.epoch_version = item.version;
             }
-            // Nobody has ever led, so nobody can hold a lease vote.
+            // No node has ever led, so no node can hold a lease vote.
             StoreAnswer::Missing => {
                 self.campaign.epoch_version = ABSENT;
                 self.campaigns_paused_until = now;
@@ -157,11 +159,11 @@
             return self.give_up(now);
         }
         let call = StoreCall::NewLease(LEADER_LEASE_TTL.0);
-        ElectionProgress::request(call, ElectionCall::TakeLease)
+        ElectionProgress::request(call, ElectionCall::AcquireLease)
     }
 
-    /// The answer to taking a lease, by a call that was sent at a moment.
-    pub(super) fn lease_taken(
+    /// Handles the answer to acquiring a lease by a call that was sent at `sent`.
+    pub(super) fn lease_acquired(
         &mut self,
         now: Time,
         sent: Time,
@@ -182,8 +184,8 @@
         ElectionProgress::request(call, ElectionCall::Claim(claim))
     }
 
-    /// The commit that sets the leader's key and bumps the epoch. If leaders hold the gated key, the common one must
-    /// still be as it was read.
+    /// Returns the commit that sets the leader's key and bumps the epoch. If leaders hold the gated key, the common key
+    /// must still be at the version at which it was read.
     fn claim_commit(&self, claim: &Claim) -> Transaction<Value> {
         let record = LeaderRecord::new(self.node.clone(), claim.epoch, claim.lease);
         let mut commit = epoch_change(
@@ -198,7 +200,7 @@
         commit
     }
 
-    /// The answer to the claim.
+    /// Handles the answer to the claim.
     pub(super) fn claim_answered(
         &mut self,
         now: Time,
@@ -208,20 +210,20 @@
         match answer {
             StoreAnswer::Committed(version) => self.win(now, claim, version),
             StoreAnswer::Unknown => {
-                self.campaign.state = CampaignState::ClaimUnsure;
+                self.campaign.state = CampaignState::ClaimUnverified;
                 self.verify(claim)
             }
             _ => self.drop_claim(now, claim),
         }
     }
 
-    /// Sees whether a claim was carried out.
+    /// Reads the leader's key to see whether a claim was carried out.
     fn verify(&self, claim: Claim) -> ElectionProgress {
         let call = StoreCall::Get(self.campaign.key.name().into());
         ElectionProgress::request(call, ElectionCall::VerifyClaim(claim))
     }
 
-    /// The leader's key as read after a claim of unknown outcome.
+    /// Handles the answer to reading the leader's key after a claim of unknown outcome.
     pub(super) fn claim_verified(
         &mut self,
         now: Time,
@@ -234,8 +236,8 @@
                 return self.win(now, claim, item.version);
             }
         }
-        // Nothing renews this lease, so a late claim fails once it has ended. In an outage a lease does not run out,
-        // so the answer must come from a store that works.
+        // Nothing renews this lease, so a late claim fails once the lease has ended. In an outage a lease does not
+        // expire, so the answer must come from a store that works.
         let is_answered = matches!(answer, StoreAnswer::Found(_) | StoreAnswer::Missing);
         if is_answered && now > claim.lease_sent + UNRENEWED_LEASE_TIMEOUT {
             return self.drop_claim(now, claim);
--- a/crates/core/src/leadership/election/commits.rs
+++ b/crates/core/src/leadership/election/commits.rs
@@ -1,4 +1,4 @@
-//! The commits that change who leads, or under which epoch.
+//! The commits that change the leader or its epoch.
 
 use crate::io::Value;
 use crate::store::records::{
@@ -8,8 +8,8 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Transaction;
 
-/// The commit that takes an outdated leader's key off its lease. Its version changes, so no write of that leader is
-/// carried out after it.
+/// Returns the commit that detaches an outdated leader's key from its lease. The version of the key changes, so no
+/// write of that leader is carried out after the commit.
 pub(super) fn supersede(leader: &StoredLeader) -> Transaction<Value> {
     let tombstone = leader.record.tombstone(Some(leader.record.lease));
     Transaction {
@@ -18,7 +18,8 @@
     }
 }
 
-/// The commit that sets the leader's key and the epoch, by which a node wins an election or a leader bumps its epoch.
+/// Returns the commit that sets the leader's key and the epoch, by which a node wins an election or a leader bumps its
+/// epoch.
 pub fn epoch_change(
     key: LeaderKey,
     record: &LeaderRecord,
--- a/crates/core/src/leadership/election/lease_votes.rs
+++ b/crates/core/src/leadership/election/lease_votes.rs
@@ -1,21 +1,21 @@
-//! Lease votes: how agents keep their leases in an outage of the store (the argument is in [`super`]).
+//! Lease votes, by which agents keep their leases in an outage of the store ([`super`] explains why this is safe).
 
 use super::{Election, LEADER_SILENCE_TIMEOUT, LEASE_VOTE_TTL};
 use crate::units::Time;
 use rudderreel_wire::ids::{Epoch, NodeName};
 
-/// Who asks for a lease vote.
+/// The role in which a node requests a lease vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteRequester {
-    /// The leader of an epoch, for itself.
+    /// The leader of an epoch, which requests the vote for itself.
     Leader,
-    /// A node that would stand in for a leader which ended in the outage.
+    /// A node that would stand in for a leader whose process ended in the outage.
     StandIn,
 }
 
 impl Election {
-    /// Decides on a lease vote for the leader of an epoch, or for a node that stands in for it. If it is granted, this
-    /// node does not campaign until the vote has run out.
+    /// Decides on a lease vote for the leader of an epoch, or for a node that stands in for it, and returns whether the
+    /// vote is granted. If it is, this node does not campaign until the vote has expired.
     pub fn grant_lease_vote(&mut self, now: Time, epoch: Epoch, requester: VoteRequester) -> bool {
         let is_granted = epoch >= self.epoch
             && self.can_grant_lease_vote(now)
@@ -26,13 +26,13 @@
         is_granted
     }
 
-    /// Whether this node would stand in for the leader, given the lease votes of a majority.
+    /// Returns whether this node would stand in for the leader, given the lease votes of a majority.
     pub fn could_stand_in(&self, now: Time) -> bool {
         self.can_grant_lease_vote(now) && self.is_leader_silent(now) && self.epoch > Epoch(0)
     }
 
-    /// Whether this node stands in for a leader that ended in an outage: it answers agents by the leader's token,
-    /// without commands. It binds itself as by a vote.
+    /// Returns whether this node stands in for a leader whose process ended in an outage: it answers agents with the
+    /// leader's token, without commands. If so, the node is bound as by a vote of its own.
     pub fn stands_in_for_leader(&mut self, now: Time) -> bool {
         let stands_in =
             self.could_stand_in(now) && self.lease_votes.is_reached(now, self.majority());
@@ -42,20 +42,21 @@
         stands_in
     }
 
-    /// A peer granted its lease vote, in answer to a heartbeat sent at a moment. A vote that was asked for under an
-    /// earlier epoch is none for this one.
+    /// Records that a peer granted its lease vote, in answer to a heartbeat sent at `sent`. A vote that was requested
+    /// under an earlier epoch does not count for this one.
     pub fn record_lease_vote(&mut self, from: NodeName, sent: Time) {
         if sent >= self.epoch_since {
             self.lease_votes.record(from, sent);
         }
     }
 
-    /// Not before the epoch and the jobs have been read in this life of the process, so that what it promised in an
-    /// earlier one still binds it; not while a campaign of its own may have succeeded; and only in an outage.
+    /// Returns whether the conditions for a lease vote on this node's side hold. It grants none before it has read the
+    /// epoch and the jobs since its process started, so that what it promised before a restart still binds it; none
+    /// while a campaign of its own may have succeeded; and only in an outage.
     fn can_grant_lease_vote(&self, now: Time) -> bool {
         self.epoch_read
             && self.jobs_read
-            && !self.campaign.is_under_way()
+            && !self.campaign.is_in_progress()
             && !self.store_reachable(now)
     }
 
--- a/crates/core/src/leadership/election/messages.rs
+++ b/crates/core/src/leadership/election/messages.rs
@@ -1,26 +1,26 @@
-//! What goes into the election and what comes out of it.
+//! The inputs and outputs of the election.
 
 use crate::io::StoreCall;
 use crate::store::records::{LeaderKey, StoredLeader};
 use crate::units::Time;
 use rudderreel_wire::ids::{Epoch, LeaseId, Version};
 
-/// The leader's key, as a node knows it.
+/// The state of the leader's key, as a node knows it.
 #[derive(Clone, Copy, Debug)]
 pub enum LeaderSlot<'a> {
-    /// Nobody holds the key that leaders hold.
+    /// No node holds the key that leaders hold.
     Vacant {
-        /// What the common key holds, if leaders hold the gated one by now.
+        /// The record in the common key, if leaders hold the gated key by now.
         superseded: Option<&'a StoredLeader>,
     },
-    /// Somebody leads, by this key.
+    /// A node leads and holds this key.
     Held(LeaderKey),
-    /// Somebody leads who must not lead any more, by the common key.
+    /// A node that must not lead any more leads and holds the common key.
     Outdated(&'a StoredLeader),
 }
 
 impl LeaderSlot<'_> {
-    /// The key that leaders hold.
+    /// Returns the key that leaders hold, be it vacant or not.
     pub(super) fn key(&self) -> LeaderKey {
         match self {
             Self::Vacant {
@@ -35,15 +35,15 @@
 /// The last step of a campaign: the commit that sets the leader's key and bumps the epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The lease that the key hangs on.
+    /// The lease that the key is attached to.
     pub lease: LeaseId,
-    /// When the call that took the lease was sent.
+    /// Time at which the call that acquired the lease was sent.
     pub lease_sent: Time,
     /// The epoch of the new term.
     pub epoch: Epoch,
 }
 
-/// What a call of the election is for.
+/// The purpose of a call of the election.
 #[derive(Clone, Debug)]
 pub enum ElectionCall {
     /// Read a leader's key.
@@ -52,26 +52,26 @@
     EndSupersededLease,
     /// Campaign: read the epoch.
     ReadEpoch,
-    /// Campaign: take a lease.
-    TakeLease,
+    /// Campaign: acquire a lease.
+    AcquireLease,
     /// Campaign: set the leader's key.
     Claim(Claim),
-    /// Campaign: see whether a claim of unknown outcome was carried out.
+    /// Campaign: read the leader's key to see whether a claim of unknown outcome was carried out.
     VerifyClaim(Claim),
     /// Renew the leader's lease.
     Renew(LeaseId),
     /// End a lease; nothing depends on the outcome.
     EndLease,
-    /// Take an outdated leader's key off its lease; what came of it is read from the key.
+    /// Detach an outdated leader's key from its lease; the outcome is read from the key.
     Supersede,
 }
 
-/// A call that the election wants made.
+/// A call that the node must make for the election.
 #[derive(Debug)]
 pub struct ElectionRequest {
     /// The call to the store.
     pub call: StoreCall,
-    /// What it is for; the answer is handed back with it.
+    /// The purpose of the call; the answer is passed to the election together with it.
     pub purpose: ElectionCall,
 }
 
@@ -81,39 +81,39 @@
     }
 }
 
-/// How a node came to lead.
+/// The result of a campaign that a node won.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ElectionWin {
-    /// The epoch of its term.
+    /// The epoch of the new term.
     pub epoch: Epoch,
-    /// The lease that the leader's key hangs on.
+    /// The lease that the leader's key is attached to.
     pub lease: LeaseId,
-    /// When the call that took the lease was sent.
+    /// Time at which the call that acquired the lease was sent.
     pub lease_sent: Time,
-    /// The leader's key.
+    /// The leader's key that the node holds.
     pub key: LeaderKey,
-    /// The version of that key, and of the epoch's key.
+    /// The version of the leader's key and of the epoch's key: one commit sets both.
     pub version: Version,
 }
 
-/// What the node must do after an answer.
+/// The action that the node must take after an answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum ElectionEvent {
-    /// Nothing.
+    /// No action.
     #[default]
     Nothing,
-    /// Note what a leader's key was read to hold.
+    /// Record the content of a leader's key that was read; none if it holds no leader's record.
     LeaderKeyRead(LeaderKey, Option<StoredLeader>),
-    /// Begin a term: this node leads from now on.
+    /// Begin a term: this node now leads.
     Won(ElectionWin),
     /// Step down: this node no longer leads.
     Lost,
 }
 
-/// What follows from the answer to a call of the election.
+/// The result of handling the answer to a call of the election.
 #[derive(Debug, Default)]
 pub struct ElectionProgress {
-    /// What the node must do.
+    /// The action that the node must take.
     pub event: ElectionEvent,
     /// The call to make next, if there is one.
     pub request: Option<ElectionRequest>,
--- a/crates/core/src/leadership/election/store_reachability.rs
+++ b/crates/core/src/leadership/election/store_reachability.rs
@@ -3,10 +3,10 @@
 use crate::io::StoreAnswer;
 use crate::units::{Span, Time};
 
-/// A node whose calls to the store have failed for so long counts it as unreachable.
+/// Time since the last answer of the store after which a node whose calls fail counts the store as unreachable.
 pub(super) const STORE_SILENCE_TIMEOUT: Span = Span(1_200);
 
-/// How this node's calls to the store have ended lately.
+/// The recent outcomes of this node's calls to the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoreReachability {
     last_answer_at: Option<Time>,
@@ -14,7 +14,7 @@
 }
 
 impl StoreReachability {
-    /// A call has ended.
+    /// Records how a call to the store ended.
     pub(super) fn observe(&mut self, now: Time, answer: &StoreAnswer) {
         match answer {
             StoreAnswer::Refused | StoreAnswer::Unknown => {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether the store answers this node, as far as it knows: not before the first answer since this process
-    /// started, nor once calls have failed for a while.
+    /// Returns whether the store answers this node, as far as it knows: not before the first answer since this process
+    /// started, nor while calls fail and the last answer is at least [`STORE_SILENCE_TIMEOUT`] old.
     pub(super) fn is_reachable(&self, now: Time) -> bool {
         match (self.last_answer_at, self.failing_since) {
             (None, _) => false,
--- a/crates/core/src/leadership/election/store_reachability/tests.rs
+++ b/crates/core/src/leadership/election/store_reachability/tests.rs
@@ -21,7 +21,7 @@
     assert!(store.is_reachable(NOW + Span(5_000)));
 }
 
-/// Without a call that failed, silence means only that nothing was asked.
+/// If no call has failed, the absence of answers only means that the node made no calls.
 #[test]
 fn the_store_stays_reachable_while_no_call_fails() {
     let mut store = StoreReachability::default();
--- a/crates/core/src/leadership/election/tests.rs
+++ b/crates/core/src/leadership/election/tests.rs
@@ -19,7 +19,7 @@
     })
 }
 
-/// A node that has read the leader's epoch and then lost the store.
+/// Returns a node that has read the leader's epoch and then lost contact with the store, and a time in the outage.
 fn in_an_outage(epoch: u64) -> (Election, Time) {
     let mut node = node();
     node.observe_jobs_read();
@@ -43,7 +43,7 @@
     node.observe_epoch(Epoch(5), now);
     assert!(
         !node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader),
-        "a higher epoch was acknowledged"
+        "the node has acknowledged a higher epoch"
     );
 }
 
@@ -60,8 +60,8 @@
     assert!(!node.grant_lease_vote(NOW, Epoch(4), VoteRequester::Leader));
 }
 
-/// A node may have acknowledged a higher epoch in an earlier life, so it grants no lease vote
-/// before it has read the epoch in this one.
+/// A node may have acknowledged a higher epoch before a restart, so it grants no lease vote before it has read the
+/// epoch since then.
 #[test]
 fn no_lease_vote_before_the_epoch_was_read() {
     let mut node = node();
@@ -71,7 +71,7 @@
     assert!(!node.grant_lease_vote(NOW, Epoch(4), VoteRequester::Leader));
 }
 
-/// It may have acknowledged a cancellation in an earlier life, and forgotten it.
+/// A node may have acknowledged a cancellation before a restart, and forgotten it.
 #[test]
 fn no_lease_vote_before_the_jobs_were_read() {
     let (mut node, now) = in_an_outage(4);
@@ -81,7 +81,7 @@
     );
 }
 
-/// A claim of unknown outcome may yet be carried out.
+/// A claim of unknown outcome may yet be carried out, and make this node the leader.
 #[test]
 fn no_lease_vote_while_a_claim_has_an_unknown_outcome() {
     let (mut node, now) = in_an_outage(4);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn no_campaign_before_the_last_lease_vote_has_run_out() {
+fn no_campaign_before_the_last_lease_vote_has_expired() {
     let (mut node, now) = in_an_outage(4);
     assert!(node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader));
     node.observe_store_answer(now, &StoreAnswer::Missing);
@@ -111,9 +111,9 @@
     assert!(campaigns(&mut node, now + Span(1_600)));
 }
 
-/// Otherwise a node could keep an agent's lease alive that the leader believes to have run out.
+/// Otherwise a node could keep an agent's lease alive that the leader believes to have expired.
 #[test]
-fn nobody_stands_in_while_the_leader_is_heard() {
+fn no_node_stands_in_while_heartbeats_of_the_leader_arrive() {
     let (mut node, now) = in_an_outage(4);
     node.observe_leader(now);
     node.record_lease_vote("n2".into(), now);
@@ -123,7 +123,7 @@
     assert!(node.stands_in_for_leader(now + Span(1_200)));
     assert!(
         !node.stands_in_for_leader(now + Span(1_600)),
-        "the lease vote has run out"
+        "the lease vote has expired"
     );
 }
 
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_claim_that_was_carried_out_after_all_is_seen() {
+fn a_claim_of_unknown_outcome_that_was_carried_out_wins() {
     let mut node = node();
     let call = ElectionCall::VerifyClaim(Claim {
         lease: LeaseId(1),
@@ -160,7 +160,7 @@
     assert_eq!(progress.event, ElectionEvent::Won(win));
 }
 
-fn outdated() -> StoredLeader {
+fn outdated_leader() -> StoredLeader {
     let record = LeaderRecord {
         format: 0,
         ..LeaderRecord::new("n0".into(), Epoch(4), LeaseId(1))
@@ -171,7 +171,7 @@
     }
 }
 
-/// What the calls of a campaign are for.
+/// Returns the purposes of a campaign's calls. Reads of the leader's key are left out.
 fn purposes<'a>(requests: impl IntoIterator<Item = &'a ElectionRequest>) -> Vec<String> {
     let campaign = (requests.into_iter())
         .filter(|request| !matches!(request.purpose, ElectionCall::ReadLeaderKey(_)));
@@ -180,13 +180,13 @@
         .collect()
 }
 
-/// A leader that must not lead any more loses its key, without a vacancy that another such process would
-/// fill.
+/// A leader that must not lead any more loses its key, but the key stays in the store: if it were absent, another
+/// process of such a version would campaign for it.
 #[test]
-fn an_outdated_leader_is_superseded_and_not_just_ended() {
+fn an_outdated_leader_is_superseded_and_its_key_stays() {
     let mut node = node();
     node.observe_store_answer(NOW, &StoreAnswer::Missing);
-    let leader = outdated();
+    let leader = outdated_leader();
     let requests = node.tick(NOW, LeaderSlot::Outdated(&leader), None);
     assert_eq!(purposes(&requests), ["Supersede"]);
     let Some(StoreCall::Commit(transaction)) = requests.last().map(|request| &request.call) else {
@@ -194,23 +194,23 @@
     };
     assert_eq!(transaction.conditions[0].version, leader.version);
     let Change::Put { key, lease, value } = &transaction.changes[0] else {
-        panic!("the key stays");
+        panic!("expected a change that keeps the key");
     };
     assert_eq!((key.as_str(), *lease), (LEADER_KEY, None));
     let tombstone: LeaderRecord = serde_json::from_value(value.clone()).expect("a record");
     assert!(tombstone.superseded);
     assert_eq!(tombstone.lease_to_end(), Some(LeaseId(1)));
-    // It is not sent on every tick.
+    // The commit is not sent on every tick.
     let requests = node.tick(NOW + Span(100), LeaderSlot::Outdated(&leader), None);
     assert_eq!(purposes(&requests), Vec::<String>::new());
 }
 
-/// Its lease is alive, so it goes on answering agents. Nobody is elected before the lease has ended.
+/// While the lease of a superseded leader is alive, that leader continues to answer agents.
 #[test]
-fn nobody_is_elected_before_the_lease_of_a_superseded_leader_has_ended() {
+fn no_node_is_elected_before_the_lease_of_a_superseded_leader_has_ended() {
     let mut node = node();
     node.observe_store_answer(NOW, &StoreAnswer::Missing);
-    let StoredLeader { version, record } = outdated();
+    let StoredLeader { version, record } = outdated_leader();
     let common = StoredLeader {
         version,
         record: record.tombstone(Some(record.lease)),
@@ -224,7 +224,7 @@
     );
     let end = ElectionCall::EndSupersededLease;
     let progress = node.answered(NOW, NOW, end.clone(), StoreAnswer::Unknown);
-    assert!(progress.request.is_none(), "it may not have ended");
+    assert!(progress.request.is_none(), "the lease may not have ended");
     let later = NOW + Span(2_000);
     assert_eq!(
         purposes(&node.tick(later, leader_slot, None)),
@@ -232,8 +232,8 @@
     );
     let progress = node.answered(later, later, end, StoreAnswer::Done);
     assert_eq!(purposes(&progress.request), ["ReadEpoch"]);
-    let taken = StoreAnswer::Lease(LeaseId(9));
-    let progress = node.answered(later, later, ElectionCall::TakeLease, taken);
+    let acquired = StoreAnswer::Lease(LeaseId(9));
+    let progress = node.answered(later, later, ElectionCall::AcquireLease, acquired);
     let Some(StoreCall::Commit(claim)) = progress.request.map(|request| request.call) else {
         panic!("a claim is expected");
     };
--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -1,15 +1,15 @@
-//! Who leads, and what a leader may do in its term.
+//! Leader election, and what a leader may do during its term.
 //!
-//! - [`election`]: campaigns for the leader's key, which hangs on a lease of the store; lease votes, by which a
-//!   leader, or a node in its place, goes on answering agents in an outage of the store.
+//! - [`election`]: campaigns for the leader's key, which is attached to a lease of the store; lease votes, which let a
+//!   leader, or a node that stands in for it, keep answering agents in an outage of the store.
 //! - [`term`]: what a leader holds for its term: lease, epoch (the fencing token), lease votes, acknowledgements.
-//! - [`quorum`]: counting the answers of a majority, each of which is good for a limited time.
+//! - [`quorum`]: counts the answers of a majority, each of which is valid for a limited time.
 //! - [`version_gate`]: keeps older versions from leading once jobs depend on others.
-//! - [`peers`]: what the other nodes say of themselves in their heartbeats.
+//! - [`peers`]: what the other nodes report about themselves in their heartbeats.
 //! - [`step_down_reason`]: why a term ends.
 //!
-//! These parts make no calls and hold no jobs or machines: they return the calls to make and say what follows from
-//! the answers.
+//! These modules make no calls and hold no jobs or machines: they return the calls to make, and what follows from
+//! their answers.
 
 pub mod election;
 pub mod peers;
--- a/crates/core/src/leadership/peers.rs
+++ b/crates/core/src/leadership/peers.rs
@@ -1,8 +1,9 @@
-//! What a node knows of its peers, the other nodes of the deployment, by their heartbeats and the answers to its own.
+//! What a node knows about its peers, the other nodes of the deployment, from their heartbeats and the answers to its
+//! own.
 //!
-//! Who the peers are is fixed by the settings file: a heartbeat from anybody else changes nothing here. All of it is
-//! only as fresh as the last heartbeat, so what depends on a peer asks first whether it [is
-//! reachable](PeerStatus::is_reachable).
+//! The settings file fixes the set of peers: a heartbeat from any other node changes nothing here. The status of a peer
+//! is only as fresh as its last heartbeat, so code that depends on a peer first checks whether it
+//! [is reachable](PeerStatus::is_reachable).
 
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Epoch, NodeName};
@@ -10,96 +11,97 @@
 use std::collections::btree_map::{Iter, Keys};
 use std::collections::BTreeMap;
 
-/// A peer that was not heard for so long counts as unreachable: three intervals of the heartbeats.
+/// Time without a heartbeat after which a peer counts as unreachable: three heartbeat intervals.
 const PEER_HEARTBEAT_TIMEOUT: Span = Span(1_500);
-/// Agents reach a peer if one of them did so within this time.
+/// Agents count as reaching a peer if at least one of them did so within this time.
 const AGENT_CONTACT_TIMEOUT: Span = Span(2_000);
 
-/// What is known of a peer.
+/// The last known status of a peer.
 #[derive(Clone, Debug, Default)]
 pub struct PeerStatus {
-    /// When a heartbeat of it, or an answer to one, last came.
+    /// Time at which the last heartbeat from the peer, or answer to a heartbeat, was received.
     pub last_heartbeat_at: Time,
-    /// Whether the store answers it, as it said.
+    /// Whether the store answers the peer, as it reported.
     pub store_reachable: bool,
-    /// How long no agent had reached it, as it said.
+    /// Time since an agent last reached the peer, as it reported.
     pub agent_silence: Span,
-    /// Whether it leads, as it said last.
+    /// Whether the peer leads, as it last reported.
     pub leads: bool,
-    /// The highest epoch that it knew.
+    /// Highest epoch known to the peer.
     pub epoch: Epoch,
-    /// Agents that report to it.
+    /// Number of agents that report to the peer.
     pub agent_count: u32,
-    /// Whether it hears the leader, so that it can forward status reports.
+    /// Whether the peer receives heartbeats of the leader, or leads itself, so that it can forward status reports.
     pub forwards_reports: bool,
 }
 
 impl PeerStatus {
-    /// Whether it was heard lately.
+    /// Returns whether a heartbeat or answer was received from the peer within the heartbeat timeout.
     pub fn is_reachable(&self, now: Time) -> bool {
         now < self.last_heartbeat_at + PEER_HEARTBEAT_TIMEOUT
     }
 
-    /// Whether it was heard lately, and the store answers it.
+    /// Returns whether the peer is reachable and the store answers it.
     pub fn is_served_by_store(&self, now: Time) -> bool {
         self.is_reachable(now) && self.store_reachable
     }
 
-    /// Whether agents reach it.
+    /// Returns whether an agent has reached the peer recently.
     fn is_reached_by_agents(&self) -> bool {
         self.agent_silence < AGENT_CONTACT_TIMEOUT
     }
 }
 
-/// The peers by name.
+/// The status of each peer, by name.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     by_name: BTreeMap<NodeName, PeerStatus>,
 }
 
 impl PeerTable {
-    /// Peers of these names, none of which has been heard.
+    /// Returns a table of the peers with these names, none of which has sent a heartbeat yet.
     pub fn new(names: impl IntoIterator<Item = NodeName>) -> Self {
-        let unheard = |name| (name, PeerStatus::default());
+        let without_heartbeat = |name| (name, PeerStatus::default());
         Self {
-            by_name: names.into_iter().map(unheard).collect(),
+            by_name: names.into_iter().map(without_heartbeat).collect(),
         }
     }
 
-    /// The names, in their order.
+    /// Returns the names of the peers, in ascending order.
     pub fn names(&self) -> Keys<'_, NodeName, PeerStatus> {
         self.by_name.keys()
     }
 
-    /// Whether a node is a peer.
+    /// Returns whether a node is a peer.
     pub fn contains(&self, name: &NodeName) -> bool {
         self.by_name.contains_key(name)
     }
 
-    /// What is known of a peer.
+    /// Returns the status of a node, if it is a peer.
     pub fn get(&self, name: &NodeName) -> Option<&PeerStatus> {
         self.by_name.get(name)
     }
 
-    /// All peers, in the order of their names.
+    /// Returns all peers, in the order of their names.
     pub fn iter(&self) -> Iter<'_, NodeName, PeerStatus> {
         self.by_name.iter()
     }
 
-    /// The first peer by name that was heard lately and that the store answers.
+    /// Returns the first peer by name that is reachable and that the store answers.
     pub fn first_served_by_store(&self, now: Time) -> Option<&NodeName> {
         (self.by_name.iter())
             .find(|(_, peer)| peer.is_served_by_store(now))
             .map(|(name, _)| name)
     }
 
-    /// Whether agents reach some peer that could lead, since the store answers it.
+    /// Returns whether agents reach at least one peer that could lead: it is reachable and the store answers it.
     pub fn is_any_reached_by_agents(&self, now: Time) -> bool {
         (self.by_name.values())
             .any(|peer| peer.is_served_by_store(now) && peer.is_reached_by_agents())
     }
 
-    /// A heartbeat of a node came, or an answer to one; what it said of the store and of agents.
+    /// Records that a heartbeat of a node, or an answer to one, was received, and what it reports about the store and
+    /// agents.
     pub fn record_contact(
         &mut self,
         name: &NodeName,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// What a node's heartbeat says of leadership and of its load.
+    /// Records what a node's heartbeat reports about leadership and load.
     pub fn record_heartbeat(&mut self, name: &NodeName, heartbeat: &Heartbeat) {
         if let Some(peer) = self.by_name.get_mut(name) {
             peer.leads = heartbeat.leads;
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Sets what is known of a peer.
+    /// Sets the status of a peer.
     #[cfg(test)]
     pub fn insert(&mut self, name: NodeName, status: PeerStatus) {
         self.by_name.insert(name, status);
--- a/crates/core/src/leadership/peers/tests.rs
+++ b/crates/core/src/leadership/peers/tests.rs
@@ -40,9 +40,9 @@
     assert!(peers.is_any_reached_by_agents(NOW));
 }
 
-/// Who the peers are is fixed by the settings.
+/// The settings file fixes the set of peers.
 #[test]
-fn a_heartbeat_of_a_node_that_is_no_peer_adds_none() {
+fn a_heartbeat_of_a_node_that_is_no_peer_adds_no_peer() {
     let mut peers = table();
     peers.record_contact(&"n9".into(), true, Span(0), NOW);
     assert!(!peers.contains(&"n9".into()));
--- a/crates/core/src/leadership/quorum.rs
+++ b/crates/core/src/leadership/quorum.rs
@@ -1,16 +1,16 @@
-//! Counting answers of a majority of the nodes, each of which is good for a limited time.
+//! Counting the answers of a majority of the nodes, each of which is valid for a limited time.
 
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::NodeName;
 use std::collections::BTreeMap;
 
-/// How many of some nodes make a majority. Any two majorities share a node.
+/// Returns how many of `nodes` nodes make a majority. Any two majorities share a node.
 pub fn majority_of(nodes: usize) -> usize {
     nodes / 2 + 1
 }
 
-/// When each of the other nodes last agreed to something. Each agreement counts for a limited time from the *sending*
-/// of the heartbeat that it answers, so the node that agreed has not counted it for longer.
+/// The latest agreement of each other node. An agreement counts for a limited time from the *sending* of the heartbeat
+/// that it answers, so the node that agreed has never counted it for longer than this node.
 #[derive(Clone, Debug)]
 pub struct QuorumTracker {
     ttl: Span,
@@ -18,7 +18,7 @@
 }
 
 impl QuorumTracker {
-    /// Nobody has agreed yet; agreements count for so long.
+    /// Returns a tracker without agreements; each counts for `ttl`.
     pub fn new(ttl: Span) -> Self {
         Self {
             ttl,
@@ -26,20 +26,20 @@
         }
     }
 
-    /// A node agreed, in answer to a heartbeat sent at a moment.
+    /// Records that a node agreed, in answer to a heartbeat sent at `sent`.
     pub fn record(&mut self, node: NodeName, sent: Time) {
         let at = self.agreed_at.entry(node).or_insert(sent);
         *at = (*at).max(sent);
     }
 
-    /// Whether so many nodes agree now, this one included, which always does.
+    /// Returns whether at least `majority` nodes agree now. This node is included and always agrees.
     pub fn is_reached(&self, now: Time, majority: usize) -> bool {
         let is_fresh = |sent: &&Time| now < **sent + self.ttl;
         let others = self.agreed_at.values().filter(is_fresh).count();
         others + 1 >= majority
     }
 
-    /// Forgets all agreements.
+    /// Removes all agreements.
     pub fn clear(&mut self) {
         self.agreed_at.clear();
     }
--- a/crates/core/src/leadership/quorum/tests.rs
+++ b/crates/core/src/leadership/quorum/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_agreement_counts_until_its_time_has_passed_since_the_sending() {
+fn an_agreement_counts_until_its_ttl_has_passed_since_the_sending() {
     let mut quorum = QuorumTracker::new(TTL);
     assert!(!quorum.is_reached(NOW, 2));
     quorum.record("n1".into(), NOW);
@@ -19,7 +19,7 @@
     assert!(!quorum.is_reached(NOW + TTL, 2));
 }
 
-/// Answers may overtake one another.
+/// Answers may arrive out of order.
 #[test]
 fn an_older_answer_does_not_shorten_a_newer_one() {
     let mut quorum = QuorumTracker::new(TTL);
--- a/crates/core/src/leadership/term/tests.rs
+++ b/crates/core/src/leadership/term/tests.rs
@@ -17,7 +17,7 @@
     term
 }
 
-/// The node's cache is confirmed by a call that was sent at a moment.
+/// Confirms the node's cache by a call that was sent at `sent_at`.
 fn confirm_cache(term: &mut Term, sent_at: Time) {
     let mut cache = term.cache;
     cache.confirm(Version(7), sent_at);
@@ -28,21 +28,21 @@
 fn a_lease_counts_from_the_sending_and_ends_before_the_store_ends_it() {
     let mut term = term();
     confirm_cache(&mut term, NOW + Span(1_000));
-    let drift = LEADER_LEASE_TTL.0.div_ceil(DRIFT_PARTS);
+    let drift = LEADER_LEASE_TTL.0.div_ceil(CLOCK_DRIFT_DIVISOR);
     assert!(term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - drift - 1)));
     assert!(!term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - drift)));
     term.lease_renewed(NOW + Span(1_000));
     assert!(term.may_act(NOW + Span(LEADER_LEASE_TTL.0)));
 }
 
-/// A process that stood still renews its lease before it has read what was committed meanwhile.
+/// A process that was paused may renew its lease before it has read what was committed during the pause.
 #[test]
 fn a_renewed_lease_counts_only_with_a_cache_that_is_as_fresh() {
     let mut term = term();
     let later = NOW + Span(56_000);
     term.lease_renewed(later);
     assert!(!term.may_act(later) && !term.may_answer_agents(later, true, MAJORITY));
-    // What the watch answered before the pause, or was asked then, confirms nothing of the time since.
+    // An answer of the watch that came before the pause, or to a call sent before it, confirms nothing since then.
     confirm_cache(&mut term, NOW + Span(100));
     assert!(!term.may_act(later));
     confirm_cache(&mut term, later);
@@ -63,9 +63,9 @@
     assert!(!term.may_answer_agents(later + LEASE_VOTE_TTL, false, MAJORITY));
 }
 
-/// Otherwise a node could have stood in for this leader meanwhile.
+/// Without acknowledgements of a majority another node could have stood in for this leader.
 #[test]
-fn old_leaders_count_as_fenced_only_while_a_majority_goes_on_acknowledging() {
+fn old_leaders_count_as_fenced_only_while_a_majority_keeps_acknowledging() {
     let mut term = term();
     term.update_old_leaders_fenced_at(NOW, MAJORITY, false);
     assert_eq!(term.old_leaders_fenced_at(), None);
@@ -78,12 +78,12 @@
 }
 
 #[test]
-fn an_epoch_bump_changes_what_every_write_depends_on() {
+fn an_epoch_bump_changes_the_condition_of_every_write() {
     let mut term = term();
     let epoch = term.begin_epoch_bump(NOW);
     assert_eq!(epoch, Epoch(5));
     assert!(term.is_bumping_epoch() && term.is_key_changing());
-    assert_eq!(term.epoch(), Epoch(4), "not before it is committed");
+    assert_eq!(term.epoch(), Epoch(4), "the bump is not committed yet");
     term.epoch_bumped(epoch, Version(9), NOW);
     assert_eq!(term.epoch(), Epoch(5));
     assert_eq!(term.key_condition().version, Version(9));
@@ -101,13 +101,13 @@
     assert_eq!(
         term.last_epoch_bump_at(),
         later,
-        "it is not tried again at once"
+        "the bump is not retried at once"
     );
 }
 
-/// Numbers of a later epoch are higher than all of an earlier one.
+/// The numbers of a later epoch are higher than all numbers of an earlier one.
 #[test]
-fn attempts_and_segments_are_never_given_out_twice() {
+fn attempts_and_segments_are_never_assigned_twice() {
     let mut term = term();
     let (attempt, segment) = (term.next_attempt(), term.next_segment());
     assert!(term.next_attempt() > attempt && term.next_segment() > segment);
--- a/crates/core/src/leadership/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -1,20 +1,20 @@
-//! The version gate keeps processes of versions that know no dependencies away from jobs that have some.
+//! The version gate keeps processes of versions without support for dependencies away from jobs that have dependencies.
 //!
-//! After a rolling upgrade a process may come back with the version before. It would start dependents too early, call
-//! them queued after they are cancelled, and admit submissions without their dependencies. That nobody starts it is not
-//! relied on. Its code can't be changed, so the gate is made of what it reads:
+//! After a rolling upgrade a process may restart with the previous version. It would start dependents too early, report
+//! them as queued after they are cancelled, and admit submissions without their dependencies. The gate does not rely on
+//! such a process never being started. Its code can't be changed, so the gate works through what that code reads:
 //!
 //! - It can't read the record of an unfinished job that has dependencies (see [`crate::store::records`]), so it neither
-//!   starts such a job nor answers its user anything but 503.
-//! - It campaigns only when the common leader's key is gone. Once a job depends on another, the leader moves to the
-//!   gated key, which such a version does not read, and leaves the common one behind for good. If a process of such a
-//!   version leads at that moment, any other node supersedes it (see [`super::election`]).
-//! - It admits no submission before it has read the machine types, which only a leader asks the cloud for. The leader
-//!   moves them to a key that such a version does not read, too.
-//! - A submission that it forwards to a newer node, since the store refuses it, has lost its dependencies. Newer nodes
-//!   name them even if there are none, and refuse one that does not.
+//!   starts such a job nor answers the job's user with anything but 503.
+//! - It campaigns only when the common leader's key does not exist. Once a job depends on another, the leader moves to
+//!   the gated key, which such a version does not read, and leaves the common key in the store permanently. If a
+//!   process of such a version leads at that time, any other node supersedes it (see [`super::election`]).
+//! - It admits no submission before it has read the machine types, which only a leader requests from the cloud. The
+//!   leader moves them to a key that such a version does not read, too.
+//! - A submission that it forwards to a newer node, because the store refuses its calls, has lost its dependencies.
+//!   Newer nodes name the dependencies even if there are none, and refuse a submission that does not name them.
 //!
-//! While nothing depends on anything all versions serve and lead together.
+//! While no job depends on another, all versions may serve requests and lead in the same cluster.
 
 use super::term::Term;
 use crate::io::Value;
@@ -26,28 +26,29 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Transaction;
 
-/// A commit that moves the leader's key and had no usable answer is sent again after so long.
+/// Delay before a commit that moves the leader's key and had no usable answer is sent again.
 pub const KEY_MOVE_RETRY_INTERVAL: Span = Span(200);
 
-/// What a leader is doing to close the gate.
+/// The step that a leader has reached in closing the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionGateStep {
-    /// Nothing.
+    /// No step is in progress.
     Idle,
-    /// The commit that moves the leader's key is open. Until its outcome is known nothing else is
-    /// committed: whatever depends on the key may fail.
+    /// The commit that moves the leader's key is in flight. Until its outcome is known nothing else is committed: any
+    /// commit that depends on the key may fail.
     MovingKey,
-    /// That commit had no usable answer: it may have been carried out, or may yet be. It is sent again
-    /// at this moment; of all tries one at most is carried out.
+    /// The commit that moves the leader's key had no usable answer: it may have been carried out, or may yet be. It is
+    /// sent again at this time; at most one of all attempts is carried out.
     RetryKeyMoveAt(Time),
-    /// It failed: perhaps since an earlier try was carried out, which the key shows.
+    /// The commit that moves the leader's key failed, possibly because an earlier attempt was carried out. The gated
+    /// key is read to find out.
     VerifyingKey,
-    /// The commit that moves the machine types is open.
+    /// The commit that moves the machine types is in flight.
     MovingCatalog,
 }
 
 impl VersionGateStep {
-    /// Whether the key that every write depends on may be changing.
+    /// Returns whether the key that every write depends on may be changing.
     pub fn is_key_changing(self) -> bool {
         matches!(
             self,
@@ -55,7 +56,7 @@
         )
     }
 
-    /// Whether the next step of closing the gate may begin. `is_needed` says whether jobs depend on others.
+    /// Returns whether the next step of closing the gate may begin. `is_needed` tells whether jobs depend on others.
     pub fn may_advance(self, is_needed: bool, now: Time) -> bool {
         match self {
             Self::Idle => is_needed,
@@ -66,13 +67,13 @@
 }
 
 impl Term {
-    /// Whether this leader still holds the key that versions without dependencies read.
+    /// Returns whether this leader still holds the key that versions without support for dependencies read.
     pub fn holds_common_key(&self) -> bool {
         self.key() == LeaderKey::Common
     }
 
-    /// The commit that moves the leader's key. Late writes that depend on the common one fail from then
-    /// on, and are sent again by the other.
+    /// Returns the commit that moves the leader's key. Once it is carried out, late writes that depend on the common
+    /// key fail, and are sent again with a condition on the gated key.
     pub fn key_move_commit(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
             conditions: vec![
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The commit that moves the machine types; null is stored if they are too large.
+    /// Returns the commit that moves the machine types; null is stored if they are too large.
     pub fn catalog_move_commit(&self, machine_types: &Option<Value>) -> Transaction<Value> {
         Transaction {
             conditions: vec![self.key_condition()],
