--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,8 +1,8 @@
-//! Everything that a node holds while it leads, composed of the parts that own it.
+//! The state of a node while it leads, composed of the parts that own it.
 //!
-//! A [`Leader`] lives for one term: it is made when the node wins an election, recovers the state that earlier leaders
-//! left in the store ([`recovery_progress`], `recovery`), and is dropped when the node steps down. Nothing of it is
-//! kept for a later term.
+//! A [`Leader`] lives for one term: it is created when the node wins an election, recovers the state that earlier
+//! leaders left in the store ([`recovery_progress`], `recovery`), and is dropped when the node steps down. None of its
+//! state is kept for a later term.
 
 pub mod policy;
 mod recovery;
@@ -26,55 +26,56 @@
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeSet;
 
-/// The least time between two cycles when there is something to do.
+/// Least delay of a requested scheduling cycle, and so the least time between two cycles.
 const CYCLE_DEBOUNCE: Span = Span(60);
-/// A cycle over a larger fleet takes longer, so it waits for one more millisecond for so many machines.
+/// Number of machines that add one millisecond to the delay of a requested cycle: a cycle over a larger fleet takes
+/// longer.
 const MACHINES_PER_DEBOUNCE_MS: u64 = 10;
-/// Replicas are not moved to empty machines before a leader has led for so long.
-const FIRST_CONSOLIDATION_AFTER: Span = Span(20_000);
+/// Time after its election before which a leader does not consolidate, that is, move replicas so that machines empty.
+const FIRST_CONSOLIDATION_DELAY: Span = Span(20_000);
 
-/// When scheduling cycles are due, and what they keep from one to the next.
+/// The times at which scheduling cycles are due, and the state that one cycle keeps for the next.
 pub struct CycleSchedule {
-    /// When the next cycle is due.
+    /// Time at which the next cycle is due.
     pub next_cycle: Time,
-    /// When replicas may be moved next to empty a machine.
+    /// Earliest time at which replicas may next be moved to empty a machine.
     pub next_consolidation: Time,
-    /// Gangs that capacity is reserved for.
+    /// Gangs for which capacity is reserved.
     pub gang_reservations: BTreeSet<JobId>,
 }
 
-/// What a node holds while it leads.
+/// The state of a node while it leads.
 pub struct Leader {
-    /// Lease, epoch, lease votes and acknowledgements.
+    /// The leader's term: lease, epoch, lease votes and acknowledgements.
     pub term: Term,
-    /// How far the recovery of the state has come.
+    /// Progress of the recovery of the state from the store.
     pub recovery: RecoveryProgress,
-    /// Machines, and what is known of reaching them.
+    /// Machines, and what is known about reaching their agents.
     pub fleet: Fleet,
-    /// Jobs that are not done, or of which something may still be on a machine.
+    /// Jobs that are not done, or of which a task may still be on a machine.
     pub jobs: JobTable,
-    /// What the settings say about scheduling.
+    /// Settings of the platform and the operators for scheduling.
     pub policy: SchedulingPolicy,
-    /// The deadlines that agents keep.
+    /// Times that the agents keep to: lease, report interval, cancellation deadline.
     pub agent_timings: AgentTimings,
-    /// Limits of the store that every writer keeps to.
+    /// Limits of the store, which every write must respect.
     pub store_limits: StoreLimits,
     /// The write-ahead log of placements.
     pub placement_log: PlacementLog,
     /// Scale-out requests to the cloud.
     pub scale_out: ScaleOutRequests,
-    /// Calls a second that the cloud takes.
+    /// Rate limit of the cloud, in calls per second.
     pub cloud_calls_per_s: f64,
-    /// When cycles are due.
+    /// Times of the scheduling cycles, and the state kept between them.
     pub schedule: CycleSchedule,
-    /// Counters and histograms.
+    /// Counters and histograms of the leader's work.
     pub metrics: LeaderMetrics,
-    /// How often costly things are done.
+    /// How much less often this node does costly work because of its small share of a processor.
     pub processor_share: ProcessorShare,
 }
 
 impl Leader {
-    /// A leader that has just won an election.
+    /// Returns the state of a leader that has just won an election.
     pub fn new(settings: &Settings, teams: TeamTree, win: ElectionWin, now: Time) -> Self {
         let workers = &settings.params.workers;
         Self {
@@ -94,7 +95,7 @@
             cloud_calls_per_s: settings.params.cloud.rps,
             schedule: CycleSchedule {
                 next_cycle: now,
-                next_consolidation: now + FIRST_CONSOLIDATION_AFTER,
+                next_consolidation: now + FIRST_CONSOLIDATION_DELAY,
                 gang_reservations: BTreeSet::new(),
             },
             metrics: LeaderMetrics::default(),
@@ -102,8 +103,8 @@
         }
     }
 
-    /// How many machines there are, for the other nodes: as long as that is not recovered, as if there were
-    /// many, so that not all agents come here at once.
+    /// Returns the number of machines that is reported to the other nodes. Until the state has been recovered it is
+    /// `u32::MAX`, as in a large fleet, so that not all agents report to this node at once.
     pub fn fleet_size(&self) -> u32 {
         if self.recovery.is_complete() {
             self.fleet.machines.len() as u32
@@ -112,14 +113,15 @@
         }
     }
 
-    /// Asks for a cycle soon. A cycle over a large fleet takes longer, so more is collected for it.
+    /// Requests a cycle after a short delay. A cycle over a large fleet takes longer, so the delay is longer and more
+    /// changes are collected for one cycle.
     pub fn request_cycle(&mut self, now: Time) {
         let debounce_ms =
             CYCLE_DEBOUNCE.0 + self.fleet.machines.len() as u64 / MACHINES_PER_DEBOUNCE_MS;
         self.schedule.next_cycle = self.schedule.next_cycle.min(now + Span(debounce_ms));
     }
 
-    /// Takes the machine types that the cloud offers, also for machines that were seen before them.
+    /// Sets the machine types that the cloud offers, and updates the capacity of all machines known so far.
     pub fn set_catalog(&mut self, catalog: Catalog) {
         self.policy.catalog = catalog;
         for machine in self.fleet.machines.values_mut() {
--- a/crates/core/src/leader/policy.rs
+++ b/crates/core/src/leader/policy.rs
@@ -1,7 +1,7 @@
-//! What the platform's settings and the operators' settings say about scheduling.
+//! The scheduling policy, taken from the platform's settings and the operators' settings.
 //!
-//! The platform's settings come from the settings file and hold for the life of the process; operators' settings are
-//! laid over them and may change at any time ([`SchedulingPolicy::apply`]).
+//! The platform's settings come from the settings file and are fixed for the life of the process; operators' settings
+//! override them and may change at any time ([`SchedulingPolicy::apply`]).
 
 use crate::teams::team_tree::TeamTree;
 use crate::units::{Resources, Span};
@@ -12,49 +12,52 @@
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeMap;
 
-/// The design's period of the scheduling cycle.
+/// Default period of the scheduling cycle.
 const CYCLE_PERIOD: Span = Span(2_000);
-/// Younger work is not reclaimed, unless operators say otherwise.
+/// Default run time below which work is not reclaimed; operators may change it.
 const RECLAIM_MIN_RUNTIME: Span = Span(30_000);
-/// How long an idle machine is kept, unless operators say otherwise.
+/// Default time for which an idle machine is kept; operators may change it.
 const IDLE_RETENTION: Span = Span(20_000);
-/// Service-level objectives in the settings file on how soon tasks start.
-const START_OBJECTIVE: &str = "wait";
-/// Service-level objectives in the settings file on how soon jobs are done.
-const COMPLETION_OBJECTIVE: &str = "finished";
+/// Kind of the service-level objectives in the settings file for the time until tasks start.
+const START_OBJECTIVE_KIND: &str = "wait";
+/// Kind of the service-level objectives in the settings file for the time until jobs are done.
+const COMPLETION_OBJECTIVE_KIND: &str = "finished";
 
-/// What the settings say about scheduling.
+/// The settings that scheduling depends on.
 pub struct SchedulingPolicy {
-    /// The teams: quotas, limits, weights and priorities.
+    /// The teams with their quotas, limits, weights and priorities.
     pub teams: TeamTree,
     /// Machine types that the cloud offers.
     pub catalog: Catalog,
-    /// How soon tasks of a class should start, where users say so.
+    /// Time within which tasks of a class should start, for classes with such an objective; the shortest if there are
+    /// several.
     pub start_objectives: BTreeMap<Class, Span>,
-    /// The shortest time in which users want jobs of a class done.
+    /// Time within which jobs of a class should be done, for classes with such an objective; the shortest if there are
+    /// several.
     pub completion_objectives: BTreeMap<Class, Span>,
-    /// Damps reclaim: at least 1.
+    /// Factor on a team's usage when reclaim compares it with the team's share: at least 1. A larger factor makes
+    /// reclaim rarer.
     pub reclaim_multiplier: f64,
-    /// Younger work is not reclaimed across teams.
+    /// Run time below which work is not reclaimed across teams.
     pub reclaim_min_runtime: Span,
-    /// Younger work is not preempted within its team.
+    /// Run time below which work is not preempted within its team.
     pub preempt_min_runtime: Span,
-    /// Time between cycles when nothing calls for one sooner.
+    /// Time between scheduling cycles when none is requested sooner.
     pub cycle_period: Span,
-    /// How long an idle machine is kept.
+    /// Time for which an idle machine is kept; machines of cheap types are kept longer.
     pub idle_retention: Span,
-    /// How much capacity is kept for urgent arrivals: 1 for the usual, 0 for none.
+    /// Factor on the capacity that is kept free for urgent arrivals: 1 for the usual amount, 0 for none.
     pub reserve_factor: f64,
 }
 
 impl SchedulingPolicy {
-    /// By the platform's settings, with defaults for what operators may set.
+    /// Returns the policy of the platform's settings, with defaults for the operators' settings.
     pub fn new(settings: &Settings, teams: TeamTree) -> Self {
         Self {
             teams,
             catalog: Catalog::default(),
-            start_objectives: objectives(settings, START_OBJECTIVE),
-            completion_objectives: objectives(settings, COMPLETION_OBJECTIVE),
+            start_objectives: objectives(settings, START_OBJECTIVE_KIND),
+            completion_objectives: objectives(settings, COMPLETION_OBJECTIVE_KIND),
             reclaim_multiplier: 1.0,
             reclaim_min_runtime: RECLAIM_MIN_RUNTIME,
             preempt_min_runtime: Span(0),
@@ -64,7 +67,7 @@
         }
     }
 
-    /// Applies the operators' settings.
+    /// Applies the operators' settings; `teams` is the team tree that follows from them.
     pub fn apply(&mut self, teams: TeamTree, settings: &AdminSettings) {
         self.teams = teams;
         self.cycle_period = Span::secs(settings.period_s);
@@ -75,19 +78,19 @@
         self.reserve_factor = settings.reserve_factor;
     }
 
-    /// A machine type.
+    /// Returns the machine type with this name, if the cloud offers it.
     pub fn machine_type(&self, name: &TypeName) -> Option<&MachineType> {
         self.catalog.types.iter().find(|t| t.name == *name)
     }
 
-    /// What a machine of a type offers; nothing if the type is not known.
+    /// Returns the capacity of a machine of a type; zero if the type is not known.
     pub fn capacity_of(&self, name: &TypeName) -> Resources {
         self.machine_type(name)
             .map(Resources::of_machine)
             .unwrap_or_default()
     }
 
-    /// Whether some type without GPUs could run a job's tasks.
+    /// Returns whether a machine type without GPUs that the job allows could run the job's tasks.
     pub fn fits_without_gpus(&self, spec: &JobSpec, need: &Resources) -> bool {
         self.catalog.types.iter().any(|t| {
             t.gpus <= 0.0
@@ -97,7 +100,7 @@
     }
 }
 
-/// By class, the shortest time that users state in objectives of a kind.
+/// Returns the shortest time stated by the objectives of a kind, by class.
 fn objectives(settings: &Settings, kind: &str) -> BTreeMap<Class, Span> {
     let mut found = BTreeMap::new();
     for objective in settings.params.objectives.iter().filter(|o| o.kind == kind) {
--- a/crates/core/src/leader/recovery.rs
+++ b/crates/core/src/leader/recovery.rs
@@ -1,8 +1,8 @@
-//! Rebuilding the leader's view of machines and tasks from the segments of the placement log.
+//! Recovery of the machines and their tasks from the segments of the placement log.
 //!
-//! What the log names may be on a machine or may not be: the leader before this one wrote it down first and sent the
-//! start afterwards. So each task counts as sent, and takes capacity, until a status report that acknowledges this
-//! leader's epoch shows what became of it.
+//! A task that the log names may or may not be on its machine: the previous leader recorded the placement first and
+//! sent the start afterwards. So each task counts as sent, and takes capacity, until a status report that acknowledges
+//! this leader's epoch shows what became of it.
 
 use super::Leader;
 use crate::fleet::{Machine, MachineDescription, Phase, PlacedTask, StartSent};
@@ -10,7 +10,7 @@
 use crate::units::Now;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, MachineId, TaskId};
 
-/// The incarnation of an agent that is not known: no status report is of this one.
+/// Stands for an agent's incarnation that is not known. No status report has this incarnation.
 const UNKNOWN_INCARNATION: Incarnation = Incarnation(u64::MAX);
 
 impl Leader {
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Notes which tasks are done and which jobs are suspected. Segments may be read in any order: only the newest
-    /// that names a job says whether it is suspected.
+    /// Records which tasks are done and which jobs are suspected. Segments may be read in any order: only the newest
+    /// segment that names a job determines whether the job is suspected.
     fn recover_job_progress(&mut self, segment: SegmentId, record: &SegmentRecord) {
         for (id, ranges) in &record.done {
             let Some(job) = self.jobs.get_mut(id) else {
@@ -58,8 +58,8 @@
         machine.segment = machine.segment.max(segment);
     }
 
-    /// Accounts for a task that may be on a machine. Its job may not be known, since it is done or its record can't be
-    /// read; the task may be there all the same, and is stopped as soon as a status report names it.
+    /// Accounts for a task that may be on a machine. Its job may be unknown, because the job is done or its record
+    /// can't be read; the task may be on the machine all the same, and is stopped as soon as a status report names it.
     fn recover_task(
         &mut self,
         segment: SegmentId,
@@ -83,8 +83,8 @@
         let mut placed = PlacedTask::planned(task, attempt, spec, now.time);
         placed.segment = segment;
         placed.phase = Phase::Sent;
-        // The agent's incarnation at that time is not known: only a status report that acknowledges this epoch shows
-        // that the task is gone.
+        // The incarnation of the agent to which the start was sent is not known: only a status report that acknowledges
+        // this epoch shows that the task is gone.
         placed.start_sent = StartSent {
             epoch: earlier_epoch,
             incarnation: UNKNOWN_INCARNATION,
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -8,8 +8,8 @@
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::worker::Command;
 
-/// A new leader tried every task of a broken array again; now the log names it. A later segment
-/// that does not name the job as suspected clears it.
+/// Without the suspicion in the placement log a new leader would try every task of a broken array again. A later
+/// segment that does not name the job as suspected clears the suspicion.
 #[test]
 fn a_new_leader_knows_suspected_jobs() {
     let mut leader = leader();
@@ -28,13 +28,13 @@
     leader.recover_segment(SegmentId(1), segment(&[4]), NOW);
     assert!(
         !leader.jobs[&id].is_suspected(),
-        "an older segment says nothing"
+        "an older segment does not change the suspicion"
     );
 }
 
-/// A new leader reads that a task may be on a machine whose job it does not have among those that go on:
-/// it is done, or its record can't be read. The task was passed over, so until the machine reported
-/// nobody accounted for it: the machine counted as empty, and the segment that named it was deleted.
+/// Guards against skipping a recovered task whose job is not among the unfinished ones, because the job is done or its
+/// record can't be read. Until the machine reported, the task was not accounted for: the machine counted as empty, and
+/// the segment that named the task was deleted.
 #[test]
 fn a_task_of_a_job_that_is_not_known_is_accounted_for_until_it_is_surely_gone() {
     let mut leader = leader();
@@ -61,7 +61,7 @@
     assert_eq!(
         found.free(),
         Resources::default(),
-        "what they take is not known"
+        "the resources that the tasks take are not known"
     );
     assert!(
         leader
@@ -70,7 +70,7 @@
             .is_empty()
             && !leader.placement_log.is_dead(SegmentId(1))
     );
-    // One of them is there, and is stopped; the other is not, and surely gone.
+    // One of the tasks is on the machine and is stopped; the other is not, and is surely gone.
     let report = running(&machine, Epoch(5), Seq(1), &unknown.task(1), Attempt(3));
     leader.reconcile_report(&report, NOW);
     let stop = Command::Stop {
@@ -85,10 +85,11 @@
     assert_eq!(left, [1]);
 }
 
-/// Of a gang whose first task has said that it is done others may still hold room. The leader that got
-/// the report counted them for their team's limit; one that was elected later did not know whose they were.
+/// A gang is done when the first of its tasks is done, but other tasks of it may still take capacity. The leader that
+/// received the report counted them towards their team's limit; a leader that was elected later did not know to which
+/// team they belong.
 #[test]
-fn what_is_left_of_a_job_that_is_done_counts_after_a_failover() {
+fn remaining_tasks_of_a_job_that_is_done_count_after_a_failover() {
     let mut before = leader();
     let machine = crate::testing::up(&mut before, "vm-1", "a");
     let gang = job(1, "gang", "red", "normal");
@@ -120,7 +121,7 @@
         TeamUsage::default().by_team_node(&after)[team],
         gang.need.times(2)
     );
-    // Nothing of it is started again, and it is forgotten once its tasks are gone.
+    // No task of the gang is started again, and the gang is forgotten once its tasks are gone.
     assert_eq!(after.waiting_jobs(NOW).len(), 0);
     after.clear_machine(&machine, NOW);
     after.stop_ended_jobs(NOW);
--- a/crates/core/src/leader/recovery_progress.rs
+++ b/crates/core/src/leader/recovery_progress.rs
@@ -1,7 +1,7 @@
-//! How far a new leader has come in reading its predecessors' state from the store.
+//! The progress of a new leader in reading the state of its predecessors from the store.
 //!
 //! Jobs are read before the segments of the placement log, which refer to them. Until both have been read nothing is
-//! decided; status reports that come before are held, the newest of each machine.
+//! decided; of the status reports that arrive before that, the newest of each machine is held.
 
 use crate::fleet::MessageOrder;
 use crate::store::records::{JOB_PREFIX, SEGMENT_PREFIX};
@@ -10,10 +10,10 @@
 use rudderreel_wire::worker::StatusReport;
 use std::collections::BTreeMap;
 
-/// A page that could not be read is asked for again after so long.
+/// Delay before a page that could not be read is requested again.
 const PAGE_RETRY_INTERVAL: Span = Span(150);
 
-/// What is read page by page to recover the state.
+/// A kind of record that is read page by page to recover the state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoverySource {
     /// The jobs' records.
@@ -23,7 +23,7 @@
 }
 
 impl RecoverySource {
-    /// The prefix of its keys in the store.
+    /// Returns the prefix of the keys in the store that hold the records.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::Jobs => JOB_PREFIX,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// What is read after it.
+    /// Returns the source to read after this one.
     fn next(self) -> Option<Self> {
         match self {
             Self::Jobs => Some(Self::Segments),
@@ -40,17 +40,17 @@
     }
 }
 
-/// A page of the recovery.
+/// A page to read in the recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryPage {
-    /// What is being read.
+    /// The records that the page lists.
     pub source: RecoverySource,
-    /// The key that the page begins after; none for the first.
+    /// The key after which the page begins; none for the first page of the source.
     pub after: Option<String>,
 }
 
 impl RecoveryPage {
-    /// The first page of the recovery.
+    /// Returns the first page of the recovery.
     pub fn first() -> Self {
         Self::first_of(RecoverySource::Jobs)
     }
@@ -62,7 +62,8 @@
         }
     }
 
-    /// The page after this one, whose last key is known if there are more of the same source; none if all is read.
+    /// Returns the page after this one; none if all state has been read. `last_key_if_more` is the last key of this
+    /// page if the source has further pages.
     pub fn following(&self, last_key_if_more: Option<String>) -> Option<Self> {
         if last_key_if_more.is_some() {
             return Some(Self {
@@ -74,23 +75,23 @@
     }
 }
 
-/// What a new leader has read so far.
+/// The progress of the recovery, and the status reports held until it is complete.
 #[derive(Default)]
 pub struct RecoveryProgress {
     is_complete: bool,
-    /// A page that has to be asked for again, and when.
+    /// A page that must be requested again, and the time at which to do so.
     retry: Option<(Time, RecoveryPage)>,
-    /// The newest status report of each machine that came so far.
+    /// The newest status report received so far from each machine.
     held_reports: BTreeMap<MachineId, StatusReport>,
 }
 
 impl RecoveryProgress {
-    /// Whether all state has been read. Before that nothing is decided.
+    /// Returns whether all state has been read. Before that nothing is decided.
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Holds a status report until all state has been read, unless a newer one of its machine is held.
+    /// Holds a status report until all state has been read, unless one of its machine that is as new or newer is held.
     pub fn hold_report(&mut self, report: &StatusReport) {
         let is_newer = (self.held_reports.get(&report.machine))
             .is_none_or(|held| MessageOrder::of(held) < MessageOrder::of(report));
@@ -100,18 +101,19 @@
         }
     }
 
-    /// A page could not be read. It is asked for again, but not at once, or an outage would be filled with such calls.
+    /// Records that a page could not be read. It is requested again after a delay, so that an outage is not filled with
+    /// such calls.
     pub fn retry_later(&mut self, page: RecoveryPage, now: Time) {
         self.retry = Some((now + PAGE_RETRY_INTERVAL, page));
     }
 
-    /// The page to ask for again now, if there is one.
+    /// Returns the page to request again now, if there is one.
     pub fn take_due_retry(&mut self, now: Time) -> Option<RecoveryPage> {
         let (_, page) = self.retry.take_if(|(at, _)| now >= *at)?;
         Some(page)
     }
 
-    /// All state has been read; returns the status reports that were held.
+    /// Records that all state has been read, and returns the status reports that were held.
     pub fn complete(&mut self) -> Vec<StatusReport> {
         self.is_complete = true;
         std::mem::take(&mut self.held_reports)
--- a/crates/core/src/leader/recovery_progress/tests.rs
+++ b/crates/core/src/leader/recovery_progress/tests.rs
@@ -21,9 +21,9 @@
     assert_eq!(third.following(None), None);
 }
 
-/// In an outage each retry is a call that would keep others waiting.
+/// In an outage each retry is a call that delays other calls.
 #[test]
-fn a_page_that_was_not_read_is_asked_for_once_after_the_retry_interval() {
+fn a_page_that_was_not_read_is_requested_once_after_the_retry_interval() {
     let mut progress = RecoveryProgress::default();
     progress.retry_later(RecoveryPage::first(), NOW);
     let due = NOW + PAGE_RETRY_INTERVAL;
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_newest_report_of_a_machine_is_held_until_all_is_read() {
+fn the_newest_report_of_a_machine_is_held_until_all_state_is_read() {
     let job: JobId = "wk-1".parse().expect("an id");
     let report = |seq: u64| {
         let machine = MachineId::from("vm-1");
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -88,7 +88,8 @@
 pub struct Election {
     node: NodeName,
     node_count: usize,
-    /// Index of the node in the order of all nodes' names. It delays the campaigns of the nodes differently.
+    /// Index of the node in the order of all nodes' names. Campaigns are delayed a little in proportion to it, so that
+    /// the nodes do not all campaign at once.
     rank: u64,
     store: StoreReachability,
     /// Highest epoch known.
@@ -117,8 +118,8 @@
 }
 
 impl Election {
-    /// Returns the initial state of a node. `rank` is its index in the order of all nodes' names, which delays the
-    /// campaigns of the nodes differently.
+    /// Returns the initial state of a node. `rank` is its index in the order of all nodes' names, in proportion to which
+    /// its campaigns are delayed a little.
     pub fn new(node: NodeName, node_count: usize, rank: u64) -> Self {
         Self {
             node,
--- a/crates/core/src/leadership/election/tests.rs
+++ b/crates/core/src/leadership/election/tests.rs
@@ -111,7 +111,7 @@
     assert!(campaigns(&mut node, now + Span(1_600)));
 }
 
-/// Otherwise a node could keep an agent's lease alive that the leader believes to have expired.
+/// A node that stood in then could keep an agent's lease alive that the leader believes to have expired.
 #[test]
 fn no_node_stands_in_while_heartbeats_of_the_leader_arrive() {
     let (mut node, now) = in_an_outage(4);
