--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -118,8 +118,8 @@
 }
 
 impl Election {
-    /// Returns the initial state of a node. `rank` is its index in the order of all nodes' names, in proportion to which
-    /// its campaigns are delayed a little.
+    /// Returns the initial state of a node. `rank` is its index in the order of all nodes' names; its campaigns are
+    /// delayed a little in proportion to it.
     pub fn new(node: NodeName, node_count: usize, rank: u64) -> Self {
         Self {
             node,
--- a/crates/core/src/leadership/peers.rs
+++ b/crates/core/src/leadership/peers.rs
@@ -23,7 +23,7 @@
     pub last_heartbeat_at: Time,
     /// Whether the store answers the peer, as it reported.
     pub store_reachable: bool,
-    /// Time since an agent last reached the peer, as it reported.
+    /// Time since any agent last reached the peer, as it reported.
     pub agent_silence: Span,
     /// Whether the peer leads, as it last reported.
     pub leads: bool,
--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -287,7 +287,7 @@
     }
 }
 
-/// Returns the time until which a lease is surely alive whose last renewal was sent at `sent`.
+/// Returns the time until which a lease is surely alive that was acquired or last renewed by a call sent at `sent`.
 fn lease_alive_until(sent: Time) -> Time {
     sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(CLOCK_DRIFT_DIVISOR))
 }
