--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -85,7 +85,7 @@
             Some(VersionGateStep::MovingKey) => self.key_move_answered(answer, now),
             Some(VersionGateStep::VerifyingKey) => self.key_verified(answer, now),
             Some(VersionGateStep::MovingCatalog) => self.catalog_move_answered(answer),
-            Some(VersionGateStep::Idle | VersionGateStep::MovingKeyAgainAt(_)) | None => {}
+            Some(VersionGateStep::Idle | VersionGateStep::RetryKeyMoveAt(_)) | None => {}
         }
     }
 
@@ -104,7 +104,7 @@
 
     fn retry_key_move(&mut self, now: Now) {
         let at = now.time + KEY_MOVE_RETRY_INTERVAL;
-        self.set_version_gate(VersionGateStep::MovingKeyAgainAt(at));
+        self.set_version_gate(VersionGateStep::RetryKeyMoveAt(at));
     }
 
     /// Handles the gated key as read after a commit that failed: if the key is this leader's, an earlier try was
@@ -131,7 +131,7 @@
             return;
         };
         log::info!("version gate closed, jobs depend on others key={GATED_LEADER_KEY}");
-        leader.term.gated_key_held(version);
+        leader.term.switch_to_gated_key(version);
         let record = leader.term.record(&self.settings.node);
         self.job_cache.leader_key_moved(version, record);
     }
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -87,7 +87,7 @@
     assert!(gate(&node).is_some_and(VersionGateStep::is_key_changing));
     node.close_version_gate(NOW);
     assert!(
-        matches!(gate(&node), Some(VersionGateStep::MovingKeyAgainAt(_))),
+        matches!(gate(&node), Some(VersionGateStep::RetryKeyMoveAt(_))),
         "not at once"
     );
     let later = Now {
