--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -192,7 +192,7 @@
     }
 
     /// This node has moved the machine types there.
-    pub fn catalog_moved(&mut self) {
+    pub fn record_catalog_move(&mut self) {
         self.catalog_in_gated_key = true;
         self.catalog_in_common_key = false;
     }
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -138,7 +138,7 @@
     /// What was not carried out, or may not have been, is tried again.
     fn catalog_move_answered(&mut self, answer: StoreAnswer) {
         if let StoreAnswer::Committed(_) = answer {
-            self.job_cache.catalog_moved();
+            self.job_cache.record_catalog_move();
         }
         self.set_version_gate(VersionGateStep::Idle);
         self.step_down_if_superseded(&answer);
