--- a/crates/core/src/cache/leader_keys.rs
+++ b/crates/core/src/cache/leader_keys.rs
@@ -117,7 +117,7 @@
     }
 
     /// This node has moved its leader's key to the gated one, by a commit at a version.
-    pub fn leader_key_moved(&mut self, version: Version, record: LeaderRecord) {
+    pub fn record_leader_key_move(&mut self, version: Version, record: LeaderRecord) {
         let superseded = StoredLeader {
             version,
             record: record.tombstone(None),
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -132,7 +132,7 @@
         log::info!("version gate closed, jobs depend on others key={GATED_LEADER_KEY}");
         leader.term.gated_key_held(version);
         let record = leader.term.record(&self.settings.node);
-        self.job_cache.leader_key_moved(version, record);
+        self.job_cache.record_leader_key_move(version, record);
     }
 
     /// What was not carried out, or may not have been, is tried again.
