--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -105,7 +105,7 @@
     pub fn set_complete(&mut self, is_complete: bool) {
         self.is_complete = is_complete;
         if !is_complete {
-            self.confirmation.lose();
+            self.confirmation.invalidate();
         }
     }
 
--- a/crates/core/src/leadership/term/tests.rs
+++ b/crates/core/src/leadership/term/tests.rs
@@ -48,7 +48,7 @@
     confirm_cache(&mut term, later);
     assert!(term.may_act(later) && term.may_answer_agents(later, true, MAJORITY));
     let mut missed_changes = term.cache;
-    missed_changes.lose();
+    missed_changes.invalidate();
     term.cache_confirmed(missed_changes);
     assert!(!term.may_act(later));
 }
--- a/crates/core/src/store/confirmation.rs
+++ b/crates/core/src/store/confirmation.rs
@@ -43,7 +43,7 @@
     }
 
     /// Changes may have been missed.
-    pub fn lose(&mut self) {
+    pub fn invalidate(&mut self) {
         self.confirmed_at = None;
     }
 }
--- a/crates/core/src/store/confirmation/tests.rs
+++ b/crates/core/src/store/confirmation/tests.rs
@@ -16,6 +16,6 @@
 fn nothing_is_confirmed_once_changes_may_have_been_missed() {
     let mut cache = CacheConfirmation::default();
     cache.confirm(Version(7), Time(1_000));
-    cache.lose();
+    cache.invalidate();
     assert_eq!(cache.age(Time(5_000)), None);
 }
