--- a/crates/core/src/node/placement_log.rs
+++ b/crates/core/src/node/placement_log.rs
@@ -10,7 +10,7 @@
 impl Node {
     /// Sends the commits of the placement log that are due.
     pub(crate) fn flush_placement_log(&mut self, now: Now) {
-        let writes_per_s = self.limits.placement_writes();
+        let writes_per_s = self.limits.placement_writes_per_s();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
--- a/crates/core/src/store/limits.rs
+++ b/crates/core/src/store/limits.rs
@@ -47,7 +47,7 @@
     }
 
     /// Puts and deletes per second that the leader may make for placements; the rest is for users.
-    pub fn placement_writes(&self) -> f64 {
+    pub fn placement_writes_per_s(&self) -> f64 {
         self.writes_per_s * PLACEMENT_WRITES_PART
     }
 
