--- a/crates/core/src/cache/cache_sync.rs
+++ b/crates/core/src/cache/cache_sync.rs
@@ -70,7 +70,7 @@
 
 impl Listing {
     /// A listing that begins with a page, the call for which was sent at a moment.
-    pub fn beginning_with(page: &Page<Value>, sent_at: Time) -> Self {
+    pub fn from_first_page(page: &Page<Value>, sent_at: Time) -> Self {
         Self {
             revision: page.revision,
             sent_at,
--- a/crates/core/src/cache/cache_sync/tests.rs
+++ b/crates/core/src/cache/cache_sync/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn the_revision_of_a_listing_is_that_of_its_first_page() {
     let first = page(7, Vec::new(), true);
-    let mut listing = Listing::beginning_with(&first, NOW);
+    let mut listing = Listing::from_first_page(&first, NOW);
     let mut cache = JobCache::default();
     listing.apply(&first, &mut cache);
     listing.apply(&page(9, Vec::new(), false), &mut cache);
@@ -48,7 +48,7 @@
 #[test]
 fn a_leader_key_on_an_earlier_page_is_kept_when_the_listing_ends() {
     let first = page(7, vec![leader_item()], true);
-    let mut listing = Listing::beginning_with(&first, NOW);
+    let mut listing = Listing::from_first_page(&first, NOW);
     let mut cache = JobCache::default();
     listing.apply(&first, &mut cache);
     listing.apply(&page(7, Vec::new(), false), &mut cache);
@@ -68,6 +68,6 @@
         }),
     );
     let only = page(7, Vec::new(), false);
-    Listing::beginning_with(&only, NOW).apply(&only, &mut cache);
+    Listing::from_first_page(&only, NOW).apply(&only, &mut cache);
     assert!(cache.leader().is_none());
 }
--- a/crates/core/src/node/cache_sync.rs
+++ b/crates/core/src/node/cache_sync.rs
@@ -60,7 +60,7 @@
         let StoreAnswer::Page(page) = answer else {
             return self.cache_sync.retry_later(now.time);
         };
-        let mut listing = listing.unwrap_or_else(|| Listing::beginning_with(&page, sent));
+        let mut listing = listing.unwrap_or_else(|| Listing::from_first_page(&page, sent));
         listing.apply(&page, &mut self.job_cache);
         self.apply_cached_settings(now);
         match page.items.last() {
