--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -246,7 +246,7 @@
     fn win(&mut self, now: Time, claim: Claim, version: Version) -> ElectionProgress {
         self.campaign.state = CampaignState::Idle;
         self.vacant_since = None;
-        self.renewal = lease_renewal().begun_at(now);
+        self.renewal = lease_renewal().answered_at(now);
         self.observe_epoch(claim.epoch, now);
         ElectionProgress::event(ElectionEvent::Won(ElectionWin {
             epoch: claim.epoch,
--- a/crates/core/src/store/periodic_call.rs
+++ b/crates/core/src/store/periodic_call.rs
@@ -23,7 +23,7 @@
     }
 
     /// The same, of which one was just answered.
-    pub fn begun_at(self, now: Time) -> Self {
+    pub fn answered_at(self, now: Time) -> Self {
         Self {
             next_at: now + self.interval,
             is_open: false,
--- a/crates/core/src/store/periodic_call/tests.rs
+++ b/crates/core/src/store/periodic_call/tests.rs
@@ -5,7 +5,7 @@
 const RETRY_INTERVAL: Span = Span(250);
 
 fn call() -> PeriodicCall {
-    PeriodicCall::new(INTERVAL, RETRY_INTERVAL).begun_at(NOW)
+    PeriodicCall::new(INTERVAL, RETRY_INTERVAL).answered_at(NOW)
 }
 
 #[test]
