--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -148,7 +148,7 @@
 
     /// A record can't be read: perhaps a later version wrote it. What it says is not known here, and a task or a
     /// cancellation may depend on it.
-    pub fn record_unreadable(&mut self, key: &str, reason: &dyn std::fmt::Display) {
+    pub fn count_unreadable_record(&mut self, key: &str, reason: &dyn std::fmt::Display) {
         self.unreadable_records += 1;
         log::error!("unreadable record key={key} reason={reason}");
     }
--- a/crates/core/src/cache/watched_keys.rs
+++ b/crates/core/src/cache/watched_keys.rs
@@ -43,13 +43,13 @@
                 let leader = StoredLeader { version, record };
                 self.update_leader(key, version, Some(leader));
             }
-            None => self.record_unreadable(key.name(), &"no leader's record"),
+            None => self.count_unreadable_record(key.name(), &"no leader's record"),
         }
     }
 
     fn read<T: DeserializeOwned>(&mut self, key: &str, value: &Value) -> Option<T> {
         serde_json::from_value(value.clone())
-            .inspect_err(|error| self.record_unreadable(key, error))
+            .inspect_err(|error| self.count_unreadable_record(key, error))
             .ok()
     }
 
--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -65,7 +65,7 @@
         };
         if recovered.is_none() {
             self.job_cache
-                .record_unreadable(&item.key, &"read for the recovery");
+                .count_unreadable_record(&item.key, &"read for the recovery");
         }
     }
 
