--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -339,7 +339,8 @@
         for (node, record) in records {
             (self.knowledge).advance_published_watermark(node, record.cancellation_watermark);
             if *node != self.node {
-                self.watermark_publication.requested_by_peer(record.asks);
+                self.watermark_publication
+                    .requested_by_peer(record.requested_watermark);
             }
         }
     }
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -103,7 +103,7 @@
     });
     let record = WatermarkRecord {
         cancellation_watermark: CANCELLED_AT,
-        asks: Version(0),
+        requested_watermark: Version(0),
     };
     replicator.watermark_records_read(&BTreeMap::from([("n0".into(), record)]));
     let decided =
@@ -170,7 +170,10 @@
     let refusal = Refusal::CancellationNotReplicated;
     assert!(matches!(&decided[..], [Acknowledgement::Refuse(_, why)] if *why == refusal));
     let record = replicator.watermark_record_due(late.now.time);
-    assert_eq!(record.map(|record| record.asks), Some(CANCELLED_AT));
+    assert_eq!(
+        record.map(|record| record.requested_watermark),
+        Some(CANCELLED_AT)
+    );
     // It is written once, unless the write fails.
     let later = late.now.time + Span(2_000);
     replicator.watermark_record_written(WriteOutcome::Committed);
@@ -182,14 +185,14 @@
     let mut replicator = replicator();
     let asked = |asks| WatermarkRecord {
         cancellation_watermark: Version(0),
-        asks: Version(asks),
+        requested_watermark: Version(asks),
     };
     replicator.watermark_records_read(&BTreeMap::from([("n1".into(), asked(30))]));
     assert_eq!(replicator.watermark_record_due(NOW.time), None);
     replicator.advance_watermark(Version(31));
     let published = WatermarkRecord {
         cancellation_watermark: Version(31),
-        asks: Version(0),
+        requested_watermark: Version(0),
     };
     assert_eq!(replicator.watermark_record_due(NOW.time), Some(published));
     assert_eq!(replicator.watermark_record_due(NOW.time), None);
--- a/crates/core/src/api/cancellation_replication/watermark_publication.rs
+++ b/crates/core/src/api/cancellation_replication/watermark_publication.rs
@@ -56,14 +56,14 @@
     pub(super) fn write_due(&mut self, watermark: Version, now: Time) -> Option<WatermarkRecord> {
         let has_answer = self.requested_by_peers > self.published.cancellation_watermark
             && watermark >= self.requested_by_peers;
-        let has_request = self.requested_from_peers > self.published.asks;
+        let has_request = self.requested_from_peers > self.published.requested_watermark;
         let may_write = self.write == WriteState::Idle && now >= self.next_write_at;
         if !may_write || !(has_answer || has_request) {
             return None;
         }
         self.published = WatermarkRecord {
             cancellation_watermark: watermark,
-            asks: self.requested_from_peers,
+            requested_watermark: self.requested_from_peers,
         };
         self.write = WriteState::InProgress;
         self.next_write_at = now + WRITE_INTERVAL;
--- a/crates/core/src/store/records/watermarks.rs
+++ b/crates/core/src/store/records/watermarks.rs
@@ -10,6 +10,6 @@
     #[serde(rename = "known_to")]
     pub cancellation_watermark: Version,
     /// The node asks the others to write their watermarks once they know everything up to here.
-    #[serde(default)]
-    pub asks: Version,
+    #[serde(rename = "asks", default)]
+    pub requested_watermark: Version,
 }
