--- a/crates/core/src/placement_log/commit.rs
+++ b/crates/core/src/placement_log/commit.rs
@@ -1,4 +1,5 @@
-//! The commit of a segment: its transaction, and what the store's answer means for what it names.
+//! The commit of a segment: its transaction, and the effect of the store's answer on the tasks, machines and jobs that
+//! the segment names.
 
 use super::segment::{JobProgress, PendingSegment};
 use super::PlacementLog;
@@ -12,26 +13,28 @@
 use rudderreel_wire::ids::{MachineId, TaskId, Version};
 use rudderreel_wire::state::{Change, Transaction};
 
-/// A commit that the store refused is retried after this long.
+/// Delay before a commit is retried that was not carried out, or not known to be.
 const SEGMENT_RETRY_INTERVAL: Span = Span(200);
 
-/// A transaction of the log, and the segment that identifies its answer.
+/// A transaction of the log, identified by its segment.
 pub(crate) struct SegmentCommit {
-    /// The segment that the transaction writes, or whose id was used up for deletes alone.
+    /// The segment that the transaction writes. If the transaction only deletes segments, this id is used for no
+    /// segment.
     pub(crate) segment: SegmentId,
-    /// What to commit.
+    /// The transaction to commit.
     pub(crate) transaction: Transaction<Value>,
 }
 
-/// What the answer to a segment's commit means.
+/// Result of the answer to a segment's commit.
 pub(crate) enum CommitResult {
-    /// The segment is committed: the machines have tasks that may be started from now on.
+    /// The segment is committed. The machines listed have tasks that it records for the first time, so that these may
+    /// be started from now on.
     Committed(Vec<MachineId>),
-    /// The store will never take it. What it names is recorded again on smaller segments.
+    /// The store will never accept the segment. What it names is recorded again on smaller segments.
     Rejected,
-    /// Not carried out, or not known to be: it is retried.
+    /// The commit was not carried out, or is not known to have been: it is retried.
     WillRetry,
-    /// No commit of this segment is open.
+    /// The segment has no open commit.
     NotOpen,
 }
 
@@ -41,16 +44,17 @@
     progress: Vec<JobProgress>,
     /// Segments that the same transaction deletes.
     deletes: Vec<SegmentId>,
-    /// When it must be sent again; none while an answer is awaited.
+    /// When the commit has to be sent again; `None` while its answer is awaited.
     pub(super) retry_at: Option<Time>,
 }
 
 impl UncommittedSegment {
-    /// Whether the commit deletes segments without writing one.
+    /// Returns whether the commit deletes segments without writing one.
     fn is_deletion_only(&self) -> bool {
         self.record == SegmentRecord::default()
     }
 
+    /// Builds the transaction. It is conditional on the leader key, and on the segment's key not existing yet.
     pub(super) fn transaction(&self, segment: SegmentId, term: &Term) -> Transaction<Value> {
         let mut conditions = vec![term.key_condition()];
         let mut changes: Vec<Change<Value>> = (self.deletes.iter())
@@ -68,7 +72,7 @@
 }
 
 impl PlacementLog {
-    /// Opens the commit of a segment, which is kept until it is answered.
+    /// Opens the commit of a segment. The segment is kept until the commit is answered.
     pub(super) fn open_commit(
         &mut self,
         pending: PendingSegment,
@@ -118,7 +122,8 @@
         }
     }
 
-    /// A segment was not written and never will be: what it names waits to be recorded again.
+    /// Handles the rejection of a segment, which was not written and never will be: what it names is marked as
+    /// unrecorded again.
     fn segment_rejected(&mut self, segment: SegmentId, fleet: &mut Fleet, jobs: &mut JobTable) {
         let Some(rejected) = self.uncommitted.remove(&segment) else {
             return;
@@ -136,7 +141,7 @@
         self.dead.retain(|dead| segments.contains(dead));
     }
 
-    /// Returns the machines with tasks that were recorded for the first time.
+    /// Handles the commit of a segment. Returns the machines with tasks that it records for the first time.
     fn segment_committed(
         &mut self,
         segment: SegmentId,
@@ -169,7 +174,7 @@
     }
 }
 
-/// Whether an answer shows that a segment's commit was carried out, now or by an earlier try.
+/// Returns whether an answer shows that a segment's commit was carried out, by this try or an earlier one.
 pub(crate) fn is_carried_out(segment: SegmentId, answer: &StoreAnswer) -> bool {
     match answer {
         StoreAnswer::Committed(_) => true,
--- a/crates/core/src/placement_log/compaction.rs
+++ b/crates/core/src/placement_log/compaction.rs
@@ -1,4 +1,5 @@
-//! Compaction: segments that nothing refers to are deleted, and those that little refers to are merged.
+//! Compaction: segments without references are deleted, and those with the fewest live bytes are merged. The live
+//! bytes of a segment are the size of the entries that still refer to it.
 
 use super::segment::{machine_bytes, max_entry_bytes, progress_bytes, task_bytes, PendingSegment};
 use super::{LogContext, PlacementLog, SegmentCommit};
@@ -9,15 +10,16 @@
 use crate::units::Time;
 use std::collections::BTreeMap;
 
-/// So many segments are left alone, however little refers to them.
+/// Number of live segments up to which none are merged, however few live bytes they have.
 const MIN_SEGMENTS_TO_COMPACT: usize = 12;
-/// Fewer are not merged: it would cost nearly as many writes as it saves.
+/// Minimum number of segments to merge: merging fewer costs nearly as many writes as it saves.
 const MIN_SEGMENTS_TO_MERGE: usize = 4;
-/// Changes of a transaction that are left for the merged segment and one more.
+/// Changes of a transaction that are reserved for the merged segment and one more.
 const RESERVED_OPERATIONS: usize = 2;
 
 impl PlacementLog {
-    /// Opens the commit that merges segments or deletes many dead ones, if either is worth while.
+    /// Opens a commit that merges segments, or one that only deletes dead segments, if either is worthwhile and the
+    /// budget has the writes for it.
     pub(super) fn compact(
         &mut self,
         context: &mut LogContext<'_>,
@@ -36,17 +38,18 @@
         self.delete_dead_segments(context, now)
     }
 
-    /// Opens a commit that only deletes dead segments, once there are many.
+    /// Opens a commit that only deletes dead segments, if they would fill at least half a transaction and no other
+    /// commit is open.
     fn delete_dead_segments(
         &mut self,
         context: &mut LogContext<'_>,
         now: Time,
     ) -> Option<SegmentCommit> {
-        let most = context.limits.operations;
-        if self.dead.len() < most / 2 || !self.uncommitted.is_empty() {
+        let max_deletes = context.limits.operations;
+        if self.dead.len() < max_deletes / 2 || !self.uncommitted.is_empty() {
             return None;
         }
-        let deletes = self.take_affordable_dead(most, context.writes_per_s, now);
+        let deletes = self.take_affordable_dead(max_deletes, context.writes_per_s, now);
         if deletes.is_empty() {
             return None;
         }
@@ -54,8 +57,8 @@
         Some(self.open_commit(pending, deletes, context.term))
     }
 
-    /// Lists the segments that nothing refers to any more as dead, and selects those to merge: the ones that the
-    /// least refers to, as many as fit into one segment and one transaction.
+    /// Adds the segments that nothing refers to any more to the list of dead ones, and selects those to merge: the ones
+    /// with the fewest live bytes, as many as fit into one segment and one transaction.
     pub(crate) fn select_for_compaction(
         &mut self,
         fleet: &Fleet,
@@ -95,7 +98,8 @@
         selected
     }
 
-    /// How many bytes what still refers to each segment would take, if nothing else were in the segment.
+    /// Returns the live bytes of each segment: the size that the entries which still refer to it would have in a
+    /// segment with nothing else.
     fn live_bytes(&self, fleet: &Fleet, jobs: &JobTable) -> BTreeMap<SegmentId, usize> {
         let mut live: BTreeMap<SegmentId, usize> =
             self.segments.iter().map(|segment| (*segment, 0)).collect();
@@ -119,7 +123,7 @@
     }
 }
 
-/// The segments with a line of a machine: each that names one of its tasks has one.
+/// Returns the segments that have a line of a machine: each segment that names one of its tasks has one.
 fn segments_naming(machine: &Machine) -> Vec<SegmentId> {
     let tasks = machine.tasks.iter().filter(|t| t.occupies_capacity());
     let mut segments: Vec<SegmentId> = (tasks.map(|task| task.segment))
@@ -131,7 +135,7 @@
 }
 
 impl PendingSegment {
-    /// Adds all that refers to some segments, whether it fits or not: they are deleted with the same commit.
+    /// Adds everything that refers to some segments, even if it does not fit: the same commit deletes these segments.
     pub(super) fn collect_referring_to(
         &mut self,
         segments: &[SegmentId],
--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -1,26 +1,27 @@
 //! The leader's write-ahead log of placements: which tasks may be on which machine, and which tasks are done.
 //!
-//! **What it owns.** The ids of the segments that exist in the store, the segments whose commits have not been
-//! answered yet, the segments that nothing refers to any more, and the budget of the store's writes.
-//! The placements themselves belong to the fleet, the progress to the job table: both name the segment that
-//! records them, which is how the log finds out what it has still to record and what a segment is still good for.
+//! **State.** The log owns the ids of the segments that exist in the store, the segments whose commits have not been
+//! answered yet, the segments that nothing refers to any more (dead segments), and the budget of writes to the store.
+//! The placements themselves belong to the fleet and the progress of jobs to the job table. Both hold the id of the
+//! segment that records them; from these ids the log derives what it has yet to record and what refers to a segment.
 //!
-//! **Segments.** The store's rate limit counts changes, whatever their size, so all that was decided at one time
-//! goes on one new segment, for all machines and jobs together. A segment is written once and never changed. It
-//! is deleted when nothing refers to it any more; segments that little refers to are merged into a new one, in
-//! the same transaction that deletes them. What is recorded is the union of all segments: one that names a task
-//! which has long gone does no harm, since a later leader finds out that the task is gone.
+//! **Segments.** The store's rate limit counts changes, whatever their size. So everything that was decided at one
+//! time is written to one new segment, for all machines and jobs together. A segment is written once and never
+//! changed. It is deleted when nothing refers to it any more. Segments with few references are merged into a new one
+//! by the same transaction that deletes them. The recorded state is the union of all segments. A segment that names a
+//! task which is long gone does no harm, since a later leader finds out that the task is gone.
 //!
 //! **Invariants.**
 //! - A start is sent only for a task whose segment is committed (`PlacedTask::is_recorded`).
-//! - A commit of unknown outcome is retried with the same segment and the same contents. Its key must not exist
-//!   yet, so it is carried out at most once; a conflict on that key alone shows that an earlier try was.
+//! - A commit of unknown outcome is retried with the same segment and the same contents. It requires that the segment's
+//!   key does not exist yet, so it is carried out at most once; a conflict on that key alone shows that an earlier try
+//!   was carried out.
 //! - A segment that the store rejects as too large is never sent again: what it names is recorded again on
 //!   smaller ones.
 //! - A segment is deleted only by a commit after which everything that it still records is recorded elsewhere.
 //!
-//! **In and out.** [`PlacementLog::due_commits`] decides what to commit now, [`PlacementLog::commit_answered`]
-//! what an answer means. The log calls nobody: the node sends the transactions and hands the answers back.
+//! **Interface.** [`PlacementLog::due_commits`] returns the commits to send now, [`PlacementLog::commit_answered`]
+//! applies an answer. The log makes no calls: the node sends the transactions and passes the answers to the log.
 
 mod commit;
 mod compaction;
@@ -40,39 +41,39 @@
 use crate::units::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the progress of jobs is recorded, and segments are compacted.
+/// Interval at which the progress of jobs is recorded and segments are compacted.
 const COMPACTION_INTERVAL: Span = Span(1_000);
-/// Commits of segments that may be open at once.
+/// Maximum number of commits of segments that are open at once.
 const MAX_OPEN_COMMITS: usize = 3;
-/// Dead segments that are deleted along with a new segment.
+/// Maximum number of dead segments that are deleted by the commit of a new segment.
 const MAX_DELETES_WITH_SEGMENT: usize = 4;
 
 /// The placement log of a leader.
 pub struct PlacementLog {
-    /// Whether some placement may wait to be recorded, so that the fleet is searched only then.
+    /// Whether a placement or a machine may be unrecorded. The fleet is searched only if so.
     may_have_unrecorded: bool,
     /// Segments that exist in the store.
     segments: BTreeSet<SegmentId>,
     /// Segments whose commits have not been answered yet.
     uncommitted: BTreeMap<SegmentId, UncommittedSegment>,
-    /// Segments that nothing refers to any more. One that an open commit deletes may be found again; to delete it
-    /// twice does no harm.
+    /// Segments that nothing refers to any more. A segment that an open commit deletes may be listed again; deleting
+    /// it twice does no harm.
     dead: Vec<SegmentId>,
     next_compaction_at: Time,
     write_budget: WriteBudget,
 }
 
-/// The parts of a leader that the log records, and that its commits depend on.
+/// The parts of a leader that the log records or that its commits depend on.
 pub(crate) struct LogContext<'a> {
-    /// Numbers new segments; each commit is conditional on its leader key.
+    /// Assigns the ids of new segments. Each commit is conditional on the version of the term's leader key.
     pub(crate) term: &'a mut Term,
-    /// The placements.
+    /// Machines and the tasks placed on them.
     pub(crate) fleet: &'a mut Fleet,
-    /// The progress of jobs.
+    /// Jobs and their progress.
     pub(crate) jobs: &'a mut JobTable,
-    /// The sizes of values and transactions.
+    /// Limits on the sizes of values and transactions.
     pub(crate) limits: &'a StoreLimits,
-    /// Puts and deletes a second that the log and the cascade cancellations may make together.
+    /// Puts and deletes per second that the log and the cascade cancellations may make together.
     pub(crate) writes_per_s: f64,
 }
 
@@ -90,28 +91,29 @@
 }
 
 impl PlacementLog {
-    /// Registers a segment that a new leader has read back.
+    /// Registers a segment that a new leader has read from the store.
     pub fn register_segment(&mut self, segment: SegmentId) {
         self.segments.insert(segment);
     }
 
-    /// Notes that a placement or a machine was added that no segment names yet.
+    /// Records that a placement or a machine was added that no segment names yet.
     pub fn mark_unrecorded(&mut self) {
         self.may_have_unrecorded = true;
     }
 
-    /// How many segments exist.
+    /// Returns the number of segments in the store.
     pub fn len(&self) -> usize {
         self.segments.len()
     }
 
-    /// Whether nothing refers to a segment any more.
+    /// Returns whether a segment is listed as dead: nothing refers to it any more.
     #[cfg(test)]
     pub fn is_dead(&self, segment: SegmentId) -> bool {
         self.dead.contains(&segment)
     }
 
-    /// Takes writes for records of cascade cancellations from the budget that both share; returns how many.
+    /// Takes at most `wanted` writes for the records of cascade cancellations from the budget that they share with
+    /// segments. Returns the number taken.
     pub(crate) fn take_cancellation_writes(
         &mut self,
         wanted: usize,
@@ -123,7 +125,7 @@
             .take_for_cancellations(wanted, segments_in_flight, writes_per_s, now)
     }
 
-    /// The commits that are due: retries first, then a compaction, then what is not recorded yet.
+    /// Returns the commits that are due: retries first, then a compaction, then those of unrecorded changes.
     pub(crate) fn due_commits(
         &mut self,
         mut context: LogContext<'_>,
@@ -163,8 +165,8 @@
         commits
     }
 
-    /// Opens the commit of a new segment with what is not recorded yet, for a write that was taken from the
-    /// budget already. If there is nothing to record the write goes back.
+    /// Opens the commit of a new segment with the unrecorded changes. The caller has already taken its write from the
+    /// budget; if there is nothing to record, the write is given back.
     fn record_changes(
         &mut self,
         context: &mut LogContext<'_>,
@@ -182,19 +184,21 @@
             self.write_budget.give_back(1);
             return None;
         }
-        let most = (context.limits.operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
-        let deletes = self.take_affordable_dead(most, context.writes_per_s, now);
+        let max_deletes =
+            (context.limits.operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
+        let deletes = self.take_affordable_dead(max_deletes, context.writes_per_s, now);
         Some(self.open_commit(pending, deletes, context.term))
     }
 
-    /// Takes dead segments off the list to delete them, if the budget has the writes for that.
+    /// Removes at most `max_deletes` segments from the list of dead ones, for the caller to delete, and takes their
+    /// writes from the budget. Returns none if the budget does not grant the writes for all of them.
     fn take_affordable_dead(
         &mut self,
-        most: usize,
+        max_deletes: usize,
         writes_per_s: f64,
         now: Time,
     ) -> Vec<SegmentId> {
-        let count = self.dead.len().min(most);
+        let count = self.dead.len().min(max_deletes);
         if !(self.write_budget).take_for_segments(count, writes_per_s, now) {
             return Vec::new();
         }
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -1,7 +1,7 @@
-//! A segment that is being put together, within what a value of the store may hold.
+//! Construction of a segment within the size limit of a value in the store.
 //!
-//! Sizes are estimated as the segment's JSON will have them: encoding it after each entry would cost by the
-//! square of its length. The estimates are upper bounds, which the tests compare with the encoded size.
+//! The size of the segment's JSON is estimated, since encoding it after each added entry would take quadratic time.
+//! The estimates are upper bounds; the tests compare them with the encoded size.
 
 use crate::fleet::{Fleet, Machine, PlacedTask};
 use crate::jobs::job::Job;
@@ -11,38 +11,38 @@
 use crate::task_set::TaskSet;
 use rudderreel_wire::ids::{JobId, TaskId};
 
-/// A segment is filled up to this part of what a value may hold, since its size is estimated.
+/// Fraction of the size limit of a value up to which a segment is filled, since its size is estimated.
 const FILL_FACTOR: f64 = 0.9;
-/// A transaction holds 64 KiB; a segment leaves room for the rest of it.
+/// Maximum size of a segment. A transaction holds 64 KiB; the segment leaves room for the rest of it.
 const MAX_SEGMENT_BYTES: usize = 40_000;
 /// Bytes of an empty segment.
 const EMPTY_SEGMENT_BYTES: usize = 24;
-/// Bytes of a machine without its names, with the punctuation around them.
+/// Bytes of a machine's line without its tasks and without its names, but with the punctuation around the names.
 const MACHINE_BYTES: usize = 62;
-/// Bytes of the tasks of one attempt without the job's id: attempts have up to 14 digits for more than a million
-/// epochs.
+/// Bytes of an attempt's entry without the job's id and the task indexes. Attempt numbers have up to 14 digits for
+/// more than a million epochs.
 const ATTEMPT_BYTES: usize = 24;
-/// Bytes of each task of an attempt: up to 6 digits.
+/// Bytes of each task index of an attempt: up to 6 digits and a comma.
 const TASK_INDEX_BYTES: usize = 7;
-/// Bytes of a job's progress without its id.
+/// Bytes of a job's progress without the job's id and the ranges of done tasks.
 const JOB_PROGRESS_BYTES: usize = 24;
 /// Bytes of each range of done tasks.
 const RANGE_BYTES: usize = 16;
 
-/// The tasks of a job that a segment records as done.
+/// Tasks of a job that a segment records as done.
 pub(super) struct JobProgress {
     pub(super) job: JobId,
     pub(super) done: TaskSet,
 }
 
 impl JobProgress {
-    /// Whether a task is among those recorded as done.
+    /// Returns whether a task is among those recorded as done.
     pub(super) fn includes(&self, task: &TaskId) -> bool {
         self.job == task.job && self.done.contains(task.index)
     }
 }
 
-/// A segment that is being put together.
+/// A segment under construction, whose commit has not been opened yet.
 pub(super) struct PendingSegment {
     id: SegmentId,
     record: SegmentRecord,
@@ -52,18 +52,18 @@
     max_bytes: usize,
 }
 
-/// How many bytes a segment may be filled with.
+/// Returns the number of bytes up to which a segment is filled.
 fn max_segment_bytes(limits: &StoreLimits) -> usize {
     ((limits.value_bytes as f64 * FILL_FACTOR) as usize).min(MAX_SEGMENT_BYTES)
 }
 
-/// How many bytes of entries a segment may be filled with.
+/// Returns the number of bytes that the entries of a segment may take together.
 pub(super) fn max_entry_bytes(limits: &StoreLimits) -> usize {
     max_segment_bytes(limits).saturating_sub(EMPTY_SEGMENT_BYTES)
 }
 
 impl PendingSegment {
-    /// An empty segment.
+    /// Creates an empty segment.
     pub(super) fn new(id: SegmentId, limits: &StoreLimits) -> Self {
         Self {
             id,
@@ -74,43 +74,44 @@
         }
     }
 
-    /// The id that the segment will have.
+    /// Returns the id that the segment will have.
     pub(super) fn id(&self) -> SegmentId {
         self.id
     }
 
-    /// Whether nothing is recorded in it.
+    /// Returns whether the segment records nothing.
     pub(super) fn is_empty(&self) -> bool {
         self.record.machines.is_empty() && self.record.done.is_empty()
     }
 
-    /// The record to write, and the progress that it contains.
+    /// Returns the record to write, and the progress that it contains.
     pub(super) fn into_contents(self) -> (SegmentRecord, Vec<JobProgress>) {
         (self.record, self.progress)
     }
 
-    /// Adds all machines and placements that are not recorded yet, as far as they fit; non-preemptible work first.
+    /// Adds the unrecorded machines and placements, as far as they fit; non-preemptible tasks first.
     pub(super) fn collect_placements(&mut self, fleet: &mut Fleet) {
         for machine in fleet.machines.values_mut() {
             self.collect_tasks(machine, true);
-            self.mark_if_named(machine);
+            self.mark_if_last_line(machine);
         }
         for machine in fleet.machines.values_mut() {
             self.collect_tasks(machine, false);
             if !machine.is_named_in_log() && self.has_room_for_machine(machine) {
                 self.machine_line(machine);
             }
-            self.mark_if_named(machine);
+            self.mark_if_last_line(machine);
         }
     }
 
-    fn mark_if_named(&self, machine: &mut Machine) {
-        if self.ends_with(machine) {
+    /// Marks a machine as named by this segment if the segment's last line is that of the machine.
+    fn mark_if_last_line(&self, machine: &mut Machine) {
+        if self.last_line_is_of(machine) {
             machine.pending_segment = self.id;
         }
     }
 
-    /// Adds the tasks of a machine that wait to be recorded, as far as they fit.
+    /// Adds the unrecorded tasks of a machine, either the non-preemptible or the preemptible ones, as far as they fit.
     fn collect_tasks(&mut self, machine: &mut Machine, non_preemptible: bool) {
         for position in 0..machine.tasks.len() {
             let task = &machine.tasks[position];
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Adds the progress of jobs that is not recorded yet, as far as it fits.
+    /// Adds the unrecorded progress of jobs, as far as it fits.
     pub(super) fn collect_progress(&mut self, jobs: &mut JobTable) {
         for job in (jobs.values_mut()).filter(|job| job.has_unrecorded_progress) {
             if !job.is_active() || job.is_complete() {
@@ -136,11 +137,11 @@
         }
     }
 
-    /// Adds what has been done of a job since its progress was last recorded; returns whether it fitted.
+    /// Adds the progress of a job, with the tasks that were done since it was last recorded. Returns whether it fitted.
     ///
-    /// Of a job with a great many tasks some may have to wait for a later segment; until then agents go on
-    /// reporting them as exited. If the limits have been lowered, what is recorded already may take more than a
-    /// segment holds; then it stays where it is.
+    /// If a job has very many tasks, some may have to wait for a later segment; until then agents keep reporting them
+    /// as exited. If the limits have been lowered, the progress that is already recorded may take more than a segment
+    /// holds; then it stays in the segment that records it.
     fn add_new_progress(&mut self, job: &mut Job) -> bool {
         let id_bytes = job.spec.id.as_str().len();
         let bytes_left =
@@ -155,7 +156,7 @@
         true
     }
 
-    /// Adds the recorded progress of a job, whether it fits or not.
+    /// Adds the recorded progress of a job, even if it does not fit.
     pub(super) fn add_progress(&mut self, job: &Job) {
         let id = &job.spec.id;
         self.estimated_bytes += progress_bytes(job);
@@ -171,7 +172,7 @@
         });
     }
 
-    /// Adds a task on a machine, whether it fits or not.
+    /// Adds a task on a machine, even if it does not fit.
     pub(super) fn add_task(&mut self, machine: &Machine, placed: &PlacedTask) {
         let (job, index) = (&placed.task.job, placed.task.index);
         let tasks = &mut self.machine_line(machine).tasks;
@@ -187,9 +188,9 @@
         self.estimated_bytes += TASK_INDEX_BYTES;
     }
 
-    /// The line of a machine, which is added unless it is the last one.
+    /// Returns the line of a machine. Adds one unless the segment's last line is that of the machine.
     pub(super) fn machine_line(&mut self, machine: &Machine) -> &mut SegmentMachine {
-        if !self.ends_with(machine) {
+        if !self.last_line_is_of(machine) {
             self.estimated_bytes += machine_bytes(machine);
             self.record.machines.push(SegmentMachine {
                 id: machine.id.clone(),
@@ -204,20 +205,21 @@
         &mut self.record.machines[last]
     }
 
-    /// Whether the last line is that of a machine.
-    fn ends_with(&self, machine: &Machine) -> bool {
+    /// Returns whether the segment's last line is that of a machine.
+    fn last_line_is_of(&self, machine: &Machine) -> bool {
         (self.record.machines.last()).is_some_and(|line| line.id == machine.id)
     }
 
-    /// Whether a machine without tasks fits. Something always fits into an empty segment: if the store rejects it,
-    /// that shows that the limits are lower than was known.
+    /// Returns whether a machine without tasks fits. The first entry of an empty segment always fits: if the store
+    /// rejects it, that shows that the limits are lower than was known.
     fn has_room_for_machine(&self, machine: &Machine) -> bool {
         self.is_empty() || self.estimated_bytes + machine_bytes(machine) <= self.max_bytes
     }
 
-    /// Whether a task fits, with its machine's line if that has to be added.
+    /// Returns whether a task fits, with its machine's line if that has to be added. The first entry of an empty
+    /// segment always fits.
     fn has_room_for_task(&self, machine: &Machine, task: &PlacedTask) -> bool {
-        let line_bytes = if self.ends_with(machine) {
+        let line_bytes = if self.last_line_is_of(machine) {
             0
         } else {
             machine_bytes(machine)
@@ -226,19 +228,19 @@
     }
 }
 
-/// Bytes of a task that shares nothing with others but its machine's line.
+/// Returns the bytes of a task that shares nothing with other tasks except its machine's line.
 pub(super) fn task_bytes(placed: &PlacedTask) -> usize {
     ATTEMPT_BYTES + placed.task.job.as_str().len() + TASK_INDEX_BYTES
 }
 
-/// Bytes of the recorded progress of a job.
+/// Returns the bytes of the recorded progress of a job.
 pub(super) fn progress_bytes(job: &Job) -> usize {
     let mentions = if job.is_suspected() { 2 } else { 1 };
     mentions * (JOB_PROGRESS_BYTES + job.spec.id.as_str().len())
         + RANGE_BYTES * job.recorded_done.ranges().count()
 }
 
-/// Bytes of a machine's line without its tasks.
+/// Returns the bytes of a machine's line without its tasks.
 pub(super) fn machine_bytes(machine: &Machine) -> usize {
     let names = [
         machine.id.as_str(),
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use rudderreel_wire::ids::{Attempt, MachineId, Version};
 
-/// A leader whose machines have entries of many jobs that wait to be recorded.
+/// Returns a leader whose machines have unrecorded tasks of many jobs.
 fn leader_with_work(machines: u32, jobs: u32, tasks: u32) -> Leader {
     let mut leader = leader();
     let ids: Vec<MachineId> = (0..machines)
@@ -34,7 +34,7 @@
     serde_json::to_vec(record).expect("JSON").len()
 }
 
-/// Puts all that is not recorded yet on a new segment, as far as it fits.
+/// Collects the unrecorded changes in a new segment, as far as they fit.
 fn collect(leader: &mut Leader) -> PendingSegment {
     let mut pending = PendingSegment::new(leader.term.next_segment(), &leader.store_limits);
     pending.collect_placements(&mut leader.fleet);
@@ -42,14 +42,14 @@
     pending
 }
 
-/// Opens the commit of a segment.
+/// Opens the commit of a segment and returns its id.
 fn open(leader: &mut Leader, pending: PendingSegment, deletes: Vec<SegmentId>) -> SegmentId {
     (leader.placement_log)
         .open_commit(pending, deletes, &leader.term)
         .segment
 }
 
-/// Answers the commit of a segment.
+/// Applies an answer to the commit of a segment.
 fn answer(leader: &mut Leader, segment: SegmentId, answer: &StoreAnswer) -> CommitResult {
     leader.placement_log.commit_answered(
         segment,
@@ -66,7 +66,7 @@
     assert!(matches!(result, CommitResult::Committed(_)));
 }
 
-/// Records everything; returns how many segments that took.
+/// Commits segments until everything is recorded, and checks the size of each. Returns their number.
 fn record_all(leader: &mut Leader) -> usize {
     let mut segments = 0;
     loop {
@@ -86,7 +86,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is to be recorded, every segment keeps to the limit, and everything is recorded.
+    /// Every segment keeps to the size limit, and all placements are recorded, for any number of machines and jobs.
     #[test]
     fn every_segment_fits_into_a_value(
         machines in 1u32..30, jobs in 1u32..20, tasks in 1u32..60, kib in 1usize..5, done in 0u32..60,
@@ -94,7 +94,7 @@
         let mut leader = leader_with_work(machines, jobs, tasks);
         leader.store_limits.value_bytes = kib * 1024;
         for job in leader.jobs.values_mut() {
-            // Every other task: as many ranges as there can be.
+            // Every other task is done, which gives the largest possible number of ranges.
             (0..done.min(tasks)).step_by(2).for_each(|index| job.finish(index));
             job.has_unrecorded_progress = true;
         }
@@ -104,7 +104,7 @@
     }
 }
 
-/// A segment that is rejected as too large goes on smaller ones, and is never sent again.
+/// A segment that is rejected as too large is never sent again: its contents are recorded on smaller ones.
 #[test]
 fn a_rejected_segment_is_recorded_again_on_smaller_ones() {
     let mut leader = leader_with_work(10, 5, 40);
@@ -118,8 +118,8 @@
     assert!(record_all(&mut leader) >= 3);
 }
 
-/// Progress that was recorded in a large segment, before the limits were lowered, stays there, and is
-/// not written again in a form that no segment can hold.
+/// Progress that was recorded in a large segment before the limits were lowered stays there, and is not written again
+/// while no segment can hold it.
 #[test]
 fn progress_too_large_for_a_segment_stays_where_it_is() {
     let mut leader = leader_with_work(1, 1, 400);
@@ -137,22 +137,22 @@
         job.has_unrecorded_progress = true;
     }
     assert_eq!(record_all(&mut leader), 0);
-    // As soon as it is small enough, it is recorded again.
+    // Progress that has become small enough is recorded again.
     for job in leader.jobs.values_mut() {
         (0..390).for_each(|index| job.finish(index));
     }
     assert_eq!(record_all(&mut leader), 1);
 }
 
-/// Segments are merged into one that fits, also if every task that they name is on another machine: each
-/// machine's line was not counted, so the segment was rejected, and the limits were halved for nothing.
+/// Segments are merged into one that fits, also if every task that they name is on another machine. Guards against
+/// leaving the machines' lines out of the size: the segment was rejected, and the limits were halved without need.
 #[test]
 fn merged_segments_fit_into_one() {
     let mut leader = leader_with_work(120, 120, 1);
     leader.store_limits.value_bytes = 4_096;
     leader.store_limits.operations = 20;
     record_all(&mut leader);
-    // A task is left here and there, each on a segment that does not have its machine's line.
+    // The remaining tasks are spread over segments that do not have the line of the task's machine.
     let old: Vec<SegmentId> = (0..20).map(|_| leader.term.next_segment()).collect();
     for (n, machine) in leader.fleet.machines.values_mut().enumerate() {
         for entry in &mut machine.tasks {
--- a/crates/core/src/placement_log/write_budget.rs
+++ b/crates/core/src/placement_log/write_budget.rs
@@ -1,21 +1,21 @@
-//! The budget of the store's writes that segments and cascade cancellations share.
+//! The budget of writes to the store that segments and cascade cancellations share.
 //!
-//! A token bucket: the leader's part of the store's write rate fills it, up to one second's worth. When both
-//! writers wait they take turns, since whichever always went first could keep the other waiting for ever.
+//! It is a token bucket that is refilled at the leader's share of the store's write rate and holds at most one second's
+//! worth. When both writers wait they take turns, since a writer that always went first could starve the other.
 
 use crate::units::Time;
 
-/// Tokens for puts and deletes, and whose turn it is to take some.
+/// A token bucket for puts and deletes, and the writer whose turn it is.
 #[derive(Default)]
 pub(super) struct WriteBudget {
     tokens: f64,
     refilled_at: Time,
     next_writer: Writer,
-    /// Whether records of cascade cancellations wait for their turn.
+    /// Whether records of cascade cancellations wait to be written.
     cancellations_waiting: bool,
 }
 
-/// Who may make the next write when both wait.
+/// A user of the budget. When both wait, the one whose turn it is may take the next writes.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Writer {
     #[default]
@@ -24,7 +24,8 @@
 }
 
 impl WriteBudget {
-    /// Takes writes for segments, all or none; returns whether there were enough and it was their turn.
+    /// Takes writes for segments, all or none. Returns whether there were enough and it was the turn of segments, or
+    /// no cancellations waited.
     pub(super) fn take_for_segments(
         &mut self,
         writes: usize,
@@ -34,7 +35,7 @@
         self.refill(writes_per_s, now);
         let writes = writes as f64;
         let others_turn = self.cancellations_waiting && self.next_writer == Writer::Cancellations;
-        // A transaction of more than a second's worth waits for a full bucket, and is owed for afterwards.
+        // A transaction of more than a second's worth waits for a full bucket and leaves a negative balance.
         let taken = !others_turn && self.tokens >= writes.min(writes_per_s);
         if taken {
             self.tokens -= writes;
@@ -43,9 +44,9 @@
         taken
     }
 
-    /// Takes writes for records of cascade cancellations, as many as there are; returns how many. They wait for no
-    /// more than one, or segments would take it each time. Without an open commit of a segment it is their turn in
-    /// any case.
+    /// Takes writes for records of cascade cancellations, at most `wanted` and as many as there are. Returns the
+    /// number taken. They never wait for more than one write to be available, or segments would take it each time.
+    /// Without an open commit of a segment it is their turn in any case.
     pub(super) fn take_for_cancellations(
         &mut self,
         wanted: usize,
@@ -66,7 +67,7 @@
         taken
     }
 
-    /// Gives back writes that were taken and not needed.
+    /// Returns writes to the budget that were taken and not needed.
     pub(super) fn give_back(&mut self, writes: usize) {
         self.tokens += writes as f64;
     }
--- a/crates/core/src/placement_log/write_budget/tests.rs
+++ b/crates/core/src/placement_log/write_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Segments took every write as soon as there was one, and the records of cascade cancellations, several in a
-/// transaction, never got theirs together.
+/// Guards against starvation of cascade cancellations: their records are written several to a transaction, and never
+/// got enough writes for one because segments took each write as soon as there was one.
 #[test]
 fn segments_and_cancellations_share_the_writes_when_both_wait() {
     let writes_per_s = 12.6;
