--- a/crates/core/src/dispatch/commands.rs
+++ b/crates/core/src/dispatch/commands.rs
@@ -1,4 +1,4 @@
-//! The commands for a machine: stops, starts, and what its agent may forget.
+//! The commands for a machine: which tasks its agent has to stop, may start and may forget.
 
 use super::team_usage::TeamUsage;
 use crate::fleet::{Machine, Phase, PlacedTask, StartSent};
@@ -7,28 +7,29 @@
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::worker::Command;
 
-/// A task that is to be stopped and is missing for so long may have a start of unknown outcome under way.
+/// A task that is to be stopped and that reports have omitted for longer than this may have a start of unknown outcome
+/// in flight.
 const MISSING_START_TIMEOUT: Span = Span(3_000);
-/// The least time between two bumps of the epoch.
+/// Minimum time between two bumps of the epoch.
 const MIN_EPOCH_BUMP_INTERVAL: Span = Span(5_000);
 
-/// How commands reach an agent.
+/// The way in which commands reach an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
-    /// In the answer to its report: they arrive before its next report, or never.
+    /// In the answer to its status report: they arrive before its next report, or never.
     ReportAnswer,
-    /// By a direct call, which may be late.
+    /// By a direct call, which may arrive late.
     DirectCall,
 }
 
 impl Leader {
-    /// The commands that go out in the answer to a machine's report.
+    /// Returns the commands to send in the answer to a machine's status report.
     pub fn answer_commands(&mut self, id: &MachineId, now: Time) -> Vec<Command> {
         self.take_commands(id, &TeamUsage::default(), Delivery::ReportAnswer, now)
     }
 
-    /// The commands that go out by a direct call. `usage`: shared by several machines between which nothing else
-    /// happens.
+    /// Returns the commands to send by a direct call. Calls to several machines may share `usage` if nothing else
+    /// happens between them.
     pub(crate) fn direct_commands(
         &mut self,
         id: &MachineId,
@@ -38,7 +39,7 @@
         self.take_commands(id, usage, Delivery::DirectCall, now)
     }
 
-    /// The commands for a machine, stops first; notes the starts among them as sent.
+    /// Returns the commands for a machine, stops first, and marks the starts among them as sent.
     fn take_commands(
         &mut self,
         id: &MachineId,
@@ -61,20 +62,20 @@
         commands
     }
 
-    /// Names each start and stop with what it was allowed on.
+    /// Logs each start and stop with the fields of the leader's right to act that it was sent under.
     fn log_commands(&self, id: &MachineId, commands: &[Command], delivery: Delivery, now: Time) {
         if commands.is_empty() || !log::log_enabled!(log::Level::Debug) {
             return;
         }
-        let right = format!("{} delivery={delivery:?}", self.term.log_fields(now));
+        let term_fields = format!("{} delivery={delivery:?}", self.term.log_fields(now));
         for command in commands {
             match command {
                 Command::Start { task, attempt } => log::debug!(
-                    "start sent job={} task={task} attempt={attempt} machine={id} {right}",
+                    "start sent job={} task={task} attempt={attempt} machine={id} {term_fields}",
                     task.job
                 ),
                 Command::Stop { task, attempt, .. } => log::debug!(
-                    "stop sent job={} task={task} attempt={attempt} machine={id} {right}",
+                    "stop sent job={} task={task} attempt={attempt} machine={id} {term_fields}",
                     task.job
                 ),
                 Command::Forget { .. } => {}
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Returns the command that a placed task needs now, if it needs one and the command may be sent.
     fn command_for(
         &self,
         machine: &Machine,
@@ -107,8 +109,8 @@
         may_start.then_some(Command::Start { task, attempt })
     }
 
-    /// Whether a start of a task has to be sent, or repeated because no report shows the task. By direct calls it is
-    /// sent once an epoch: if that start is lost the answer to the next report repeats it.
+    /// Returns whether a start of a task has to be sent, or repeated because no report shows the task. A direct call
+    /// sends it only once in an epoch: if that start is lost, the answer to the next report repeats it.
     fn awaits_start(&self, placed: &PlacedTask, delivery: Delivery) -> bool {
         match placed.phase {
             Phase::Planned => true,
@@ -119,6 +121,7 @@
         }
     }
 
+    /// Records on the placed tasks which starts are being sent, under which epoch and to which incarnation.
     fn mark_starts_sent(&mut self, id: &MachineId, commands: &[Command], delivery: Delivery) {
         let epoch = self.term.epoch();
         let Some(machine) = self.fleet.machines.get_mut(id) else {
@@ -140,14 +143,15 @@
         }
     }
 
-    /// Whether a start of unknown outcome stands in the way, and only a new epoch rules out that it still arrives.
+    /// Returns whether a start of unknown outcome keeps a task from being forgotten or stopped. Only a new epoch rules
+    /// out that such a start still arrives.
     pub fn needs_epoch_bump(&self, now: Time) -> bool {
         let is_stuck = |placed: &PlacedTask| {
-            let can_not_be_forgotten =
+            let cannot_be_forgotten =
                 placed.has_exited() && placed.outcome_recorded && placed.start_may_arrive_late;
-            let can_not_be_stopped = placed.stop.is_some()
+            let cannot_be_stopped = placed.stop.is_some()
                 && (placed.missing_since).is_some_and(|since| now > since + MISSING_START_TIMEOUT);
-            can_not_be_forgotten || can_not_be_stopped
+            cannot_be_forgotten || cannot_be_stopped
         };
         now > self.term.last_epoch_bump_at() + MIN_EPOCH_BUMP_INTERVAL
             && (self.fleet.machines.values()).any(|machine| {
--- a/crates/core/src/dispatch/direct_calls.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -1,7 +1,7 @@
 //! Direct calls to agents: commands that can't wait for the next report, and probes without commands.
 //!
-//! Each machine has at most one call open. While a call with a start is open, or has ended without an answer, the
-//! start may still be carried out: the placed task keeps that (`open_direct_starts`, `start_may_arrive_late`).
+//! Each machine has at most one call open. While a call with a start is open, or if it has ended without an answer, the
+//! start may still be carried out: the placed task records that (`open_direct_starts`, `start_may_arrive_late`).
 
 use super::team_usage::TeamUsage;
 use crate::fleet::{DirectCallBudget, Machine, Phase};
@@ -11,32 +11,33 @@
 use rudderreel_wire::ids::{Epoch, MachineId};
 use rudderreel_wire::worker::{Command, DirectCommands};
 
-/// The least time between two direct calls to a machine.
+/// Minimum time between two direct calls to a machine.
 const MIN_CALL_INTERVAL: Span = Span(200);
-/// A call that the node could not make is tried again after so long.
+/// Delay before a call is retried that the node could not make.
 const NOT_CALLED_RETRY_INTERVAL: Span = Span(300);
 
-/// A call to an agent.
+/// A direct call to an agent.
 pub(crate) struct DirectCall {
     pub(crate) machine: MachineId,
     pub(crate) addr: String,
     pub(crate) body: DirectCommands,
-    /// Until when it may be sent, if there is a bound.
+    /// The latest moment at which the call may be sent, if there is a bound.
     pub(crate) send_until: Option<Time>,
 }
 
-/// Whether a direct call was possibly carried out.
+/// Whether the outcome of a direct call is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallEnd {
-    /// Answered, or surely not made.
+    /// The call was answered, or was surely not made.
     Known,
-    /// It may have been carried out, or may yet be.
+    /// The call may have been carried out, or may yet be.
     Unknown,
 }
 
 impl Leader {
-    /// Calls with the commands that wait for some machines, non-preemptible starts first. `only_non_preemptible`:
-    /// the rest is sent when the machines report, which is soon.
+    /// Opens calls with the commands that wait for some machines, non-preemptible starts first. With
+    /// `only_non_preemptible` only machines that await such a start are called; the other commands are sent in the
+    /// answers to the machines' next reports, which are due soon.
     pub(crate) fn direct_calls(
         &mut self,
         machines: &[MachineId],
@@ -51,14 +52,14 @@
                 Some(_) | None => {}
             }
         }
-        // Sending a start places nothing and frees nothing.
+        // Sending a start places no task and removes none, so all calls may share the sums.
         let usage = TeamUsage::default();
         (urgent.into_iter().chain(others))
             .filter_map(|id| self.direct_call(id, &usage, now))
             .collect()
     }
 
-    /// A call with the commands that wait for a machine, if it may be made now.
+    /// Opens a call with the commands that wait for a machine, if there are any and the call may be made now.
     fn direct_call(&mut self, id: &MachineId, usage: &TeamUsage, now: Time) -> Option<DirectCall> {
         let machine = self.fleet.machines.get(id)?;
         let addr = machine.addr.clone()?;
@@ -71,7 +72,8 @@
         }
         self.fleet.direct_calls.take_call();
         let epoch = self.term.epoch();
-        // A start is checked now, and may wait in the process: the right that it was checked by must not lapse meanwhile.
+        // A start is checked now and may wait in this process before it is sent. The right to act under which it was
+        // checked must not lapse meanwhile.
         let send_until = has_start(&commands).then(|| self.term.may_act_until());
         let machine = self.fleet.machines.get_mut(id)?;
         machine.next_direct_call_at = now + MIN_CALL_INTERVAL;
@@ -79,7 +81,8 @@
         Some(DirectCall { send_until, ..call })
     }
 
-    /// A probe: a call without commands, which asks an agent for a report.
+    /// Opens a probe, which is a call without commands that asks an agent for a status report. Returns none if a call
+    /// to the machine is open.
     pub(crate) fn probe(&mut self, id: &MachineId) -> Option<DirectCall> {
         let machine = self.fleet.machines.get_mut(id)?;
         if machine.direct_call_open {
@@ -89,14 +92,14 @@
         Some(open_call(machine, addr, self.term.epoch(), Vec::new()))
     }
 
-    /// Whether the budget allows another direct call now. A node with little processor time makes fewer.
+    /// Returns whether the budget allows another direct call now. A node with little processor time makes fewer calls.
     fn may_call_directly(&mut self, now: Time) -> bool {
         let calls_per_s = DirectCallBudget::calls_per_s(self.fleet.machines.len());
         let calls_per_s = self.processor_share.slowed(calls_per_s);
         self.fleet.direct_calls.has_call(calls_per_s, now)
     }
 
-    /// Whether commands are waiting that a direct call would speed up.
+    /// Returns whether a machine may be called now and has commands waiting that a direct call would deliver sooner.
     pub fn needs_direct_call(&self, machine: &Machine, now: Time) -> bool {
         let may_be_called = !machine.direct_call_open
             && machine.next_direct_call_at <= now
@@ -132,7 +135,7 @@
             }
             DirectOutcome::Rejected(Some(report)) => self.direct_call_answered(&report, now),
             DirectOutcome::NotCalled => {
-                // Too many calls wait already: it is tried again, but not at once.
+                // Too many calls wait already: the call is retried, but not at once.
                 if let Some(machine) = self.fleet.machines.get_mut(id) {
                     machine.next_direct_call_at = now.time + NOT_CALLED_RETRY_INTERVAL;
                 }
@@ -143,6 +146,7 @@
         }
     }
 
+    /// Closes the open call to a machine. If its outcome is unknown, the starts in it may still arrive.
     fn close_call(&mut self, id: &MachineId, commands: &[Command], end: CallEnd) {
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
@@ -160,6 +164,7 @@
     }
 }
 
+/// Marks a machine as having an open call, and builds the call.
 fn open_call(
     machine: &mut Machine,
     addr: String,
--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -1,7 +1,7 @@
-//! The single place where a start is decided.
+//! The check of every start. Each is decided here, at the moment of sending, and nowhere else.
 //!
-//! Whatever planned a task, and however long ago: at the moment of sending, every rule is checked against everything
-//! that may exist, planned starts included.
+//! Every rule is checked against everything that may exist, planned starts included, whatever planned the task and
+//! however long ago.
 
 use super::team_usage::TeamUsage;
 use crate::fleet::{Machine, PlacedTask};
@@ -12,17 +12,19 @@
 use crate::units::Time;
 use rudderreel_wire::ids::Zone;
 
-/// With so many machines at most, debug builds compare sums with the slow plain way.
-const MAX_MACHINES_FOR_PLAIN_SUM: usize = 300;
-/// What rounding may add to the sum of a team's amounts.
+/// Maximum number of machines with which debug builds compare the sums of team usage with those over all machines.
+const MAX_MACHINES_FOR_USAGE_CHECK: usize = 300;
+/// Amount by which rounding may raise the sum of a team's usage.
 const LIMIT_TOLERANCE: f64 = 1e-9;
 
-/// Why a task must not be started now.
+/// The reason why a task must not be started now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum StartRefusal {
     #[error("its job is not known")]
     UnknownJob,
-    #[error("this node has not recovered the state, its lease is over, or its cache is not fresh")]
+    #[error(
+        "this node has not recovered the state, its lease has expired, or its cache is not fresh"
+    )]
     NotLeading,
     #[error("its job is done or cancelled")]
     JobNotActive,
@@ -32,26 +34,26 @@
     AlreadyDone,
     #[error("it may be on another machine or in another attempt")]
     MayBeElsewhere,
-    #[error("its placement is not recorded")]
+    #[error("its placement is not recorded in a committed segment")]
     NotRecorded,
     #[error("it is being stopped")]
     Stopping,
-    #[error("the machine is not reconciled, or was not heard for a lease")]
+    #[error("the machine is not reconciled, or no report was received from it within a lease")]
     MachineNotReconciled,
     #[error("the machine is being returned")]
     MachineReturned,
     #[error("its job excludes the machine's type, zone or kind")]
     MachineExcluded,
-    #[error("the machine has no room")]
+    #[error("the machine does not have the capacity for its tasks")]
     NoRoom,
-    #[error("its job's rules on zones")]
+    #[error("its job's zone rules are violated")]
     ZoneRules,
-    #[error("its team's limit")]
+    #[error("its team's limit is exceeded")]
     TeamLimit,
 }
 
 impl Leader {
-    /// Whether a task that is placed on a machine may be started there now.
+    /// Returns whether a task that is placed on a machine may be started there now. Logs the reason if not.
     pub(super) fn may_start(
         &self,
         machine: &Machine,
@@ -72,7 +74,7 @@
         false
     }
 
-    /// Checks every rule for a start.
+    /// Checks every rule for a start, and returns the first that does not hold as the refusal.
     pub(crate) fn check_start(
         &self,
         machine: &Machine,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Whether everything of a job that may exist keeps to its zones, planned starts included.
+    /// Returns whether all tasks of a job that may exist, planned starts included, keep to the job's zone rules.
     fn keeps_zone_rules(&self, job: &Job) -> bool {
         let spec = &job.spec;
         if !spec.spread && !spec.one_zone {
@@ -139,7 +141,8 @@
         keeps_cap && !(spec.one_zone && tasks_by_zone.len() > 1)
     }
 
-    /// Whether everything of a team that may exist keeps to its limit, planned starts included.
+    /// Returns whether all tasks that may exist, planned starts included, keep to the limits of the job's team and of
+    /// the nodes above it.
     fn keeps_team_limits(&self, job: &Job, usage: &TeamUsage) -> bool {
         let teams = &self.policy.teams;
         let Some(leaf) = teams.find(&job.spec.team) else {
@@ -151,9 +154,9 @@
                 return true;
             }
             let used = usage.by_team_node(self)[node];
-            // The plain way takes too long for tests of a whole fleet.
+            // Summing over all machines takes too long for tests of a whole fleet.
             debug_assert!(
-                self.fleet.machines.len() > MAX_MACHINES_FOR_PLAIN_SUM
+                self.fleet.machines.len() > MAX_MACHINES_FOR_USAGE_CHECK
                     || used == self.usage_on_machines(node)
             );
             let used = amounts(&used);
--- a/crates/core/src/dispatch/start_check/tests.rs
+++ b/crates/core/src/dispatch/start_check/tests.rs
@@ -7,7 +7,7 @@
 use rudderreel_wire::ids::{Attempt, Epoch, MachineId};
 use std::sync::Arc;
 
-/// A leader with a recorded placement of a job's first task, which no start was sent for.
+/// Returns a leader with a recorded placement of a job's first task for which no start was sent, and its machine.
 fn leader_with_placement() -> (Leader, MachineId) {
     let mut leader = leader();
     let id = up(&mut leader, "vm-1", "a");
@@ -104,7 +104,7 @@
     assert_eq!(result, Err(StartRefusal::NotLeading));
 }
 
-/// What may exist of the team counts, with the task itself.
+/// All tasks of the team that may exist count, including the task itself.
 #[test]
 fn a_task_beyond_the_limit_of_its_team_is_refused() {
     let (mut leader, id) = leader_with_placement();
@@ -115,7 +115,7 @@
     assert_eq!(check(&leader, &id), Err(StartRefusal::TeamLimit));
 }
 
-/// A job of one zone whose tasks stand in two is not started further.
+/// No further task of a one-zone job is started once its tasks are placed in two zones.
 #[test]
 fn a_task_against_the_zone_rules_of_its_job_is_refused() {
     let (mut leader, id) = leader_with_placement();
--- a/crates/core/src/dispatch/team_usage.rs
+++ b/crates/core/src/dispatch/team_usage.rs
@@ -1,20 +1,21 @@
-//! What teams use, added up once for many starts.
+//! Resources in use by teams, summed once for the limit checks of many starts.
 
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::Resources;
 use std::cell::OnceCell;
 
-/// What teams use, added up when it is first asked for. It holds as long as no task is placed and none is gone:
-/// then the limits of many starts are checked against one sum, and the cost of a start does not grow with the
-/// number of jobs.
+/// Resources in use by each team, summed on first access. The sums are valid only as long as no task is placed and none
+/// is removed. While they are, the limits of many starts are checked against the same sums, so the cost of a start does
+/// not grow with the number of jobs.
 #[derive(Default)]
 pub(crate) struct TeamUsage {
     by_team_node: OnceCell<Vec<Resources>>,
 }
 
 impl TeamUsage {
-    /// By node of the team tree: everything of it and of those below it that may exist.
+    /// Returns the resources in use by each node of the team tree and the nodes below it. Everything that may exist
+    /// counts.
     pub(crate) fn by_team_node(&self, leader: &Leader) -> &[Resources] {
         self.by_team_node.get_or_init(|| {
             let teams = &leader.policy.teams;
@@ -32,7 +33,8 @@
 }
 
 impl Leader {
-    /// The same for one node of the tree, looked up on every machine: the slow plain way, which tests compare with.
+    /// Returns the resources in use by one node of the team tree, summed over the tasks on all machines. This is
+    /// slow; the sums of [`TeamUsage`] are compared with it.
     pub(super) fn usage_on_machines(&self, node: usize) -> Resources {
         let mut sum = Resources::default();
         for task in (self.fleet.machines.values()).flat_map(|machine| &machine.tasks) {
@@ -44,6 +46,7 @@
         sum
     }
 
+    /// Returns whether a job's team is a node of the team tree or below it.
     fn is_below(&self, job: &Job, node: usize) -> bool {
         (self.policy.teams.find(&job.spec.team))
             .is_some_and(|leaf| self.policy.teams.chain(leaf).any(|above| above == node))
