--- a/crates/core/src/cache/cache_sync.rs
+++ b/crates/core/src/cache/cache_sync.rs
@@ -1,8 +1,8 @@
 //! Filling the cache: all watched keys are listed page by page, then a watch reports every change since.
 //!
-//! The watch begins at the revision of the first page. What changes while the later pages are read is seen by the
-//! watch, too, and a record that is applied twice does no harm, since the cache goes by versions. Until a listing
-//! has ended the cache may lack changes, so a listing that fails is repeated until one succeeds.
+//! The watch begins at the revision of the first page, so it also reports what changes while the later pages are
+//! read. A record that is applied twice does no harm, since the cache compares versions. Until a listing has ended
+//! the cache may lack changes, so a listing that fails is repeated until one succeeds.
 
 use super::job_cache::JobCache;
 use crate::io::Value;
@@ -11,15 +11,15 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Page;
 
-/// A listing that failed is begun again after so long.
+/// Delay before a listing that failed is begun again.
 const LISTING_RETRY_INTERVAL: Span = Span(250);
 
-/// Whether a listing is under way, and when the next may begin.
+/// Whether a listing is in progress, and when the next may begin.
 #[derive(Clone, Copy, Debug)]
 pub enum CacheSync {
-    /// No listing is under way. One may begin from this moment on.
+    /// No listing is in progress.
     Idle {
-        /// The moment.
+        /// The earliest moment at which a listing may begin.
         next_at: Time,
     },
     /// Pages are being read.
@@ -33,22 +33,22 @@
 }
 
 impl CacheSync {
-    /// Whether a listing may begin now.
+    /// Returns whether a listing may begin now.
     pub fn may_begin(&self, now: Time) -> bool {
         matches!(self, Self::Idle { next_at } if now >= *next_at)
     }
 
-    /// A listing has begun.
+    /// Records that a listing has begun.
     pub fn begin(&mut self) {
         *self = Self::Listing;
     }
 
-    /// A listing has ended. The next follows only if the watch is lost.
+    /// Records that a listing has ended. The next begins only if the watch is lost.
     pub fn complete(&mut self) {
         *self = Self::default();
     }
 
-    /// A page could not be read.
+    /// Records that a page could not be read: a listing may begin again after the retry interval.
     pub fn retry_later(&mut self, now: Time) {
         *self = Self::Idle {
             next_at: now + LISTING_RETRY_INTERVAL,
@@ -56,20 +56,20 @@
     }
 }
 
-/// The listing of all watched keys, from one page to the next. It travels with the call for the next page: when the
-/// watch is lost in the middle of a listing, a second one begins beside it.
+/// The state of a listing of all watched keys between two pages. It is passed along with the call for the next page,
+/// since several listings may be in progress: when the watch is lost during a listing, a second one begins beside it.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// The revision of the first page, which the watch begins at.
+    /// The revision of the first page, at which the watch begins.
     revision: Version,
     /// When the call for the first page was sent.
     sent_at: Time,
-    /// Leaders' keys that were found.
+    /// Leader keys that the pages held so far.
     leader_keys: Vec<LeaderKey>,
 }
 
 impl Listing {
-    /// A listing that begins with a page, the call for which was sent at a moment.
+    /// Begins a listing with its first page, the call for which was sent at `sent_at`.
     pub fn from_first_page(page: &Page<Value>, sent_at: Time) -> Self {
         Self {
             revision: page.revision,
@@ -78,17 +78,17 @@
         }
     }
 
-    /// The revision that the watch begins at.
+    /// Returns the revision at which the watch begins.
     pub fn revision(&self) -> Version {
         self.revision
     }
 
-    /// When the call for the first page was sent: what was committed before is in the listing.
+    /// Returns when the call for the first page was sent. Everything that was committed before is in the listing.
     pub fn sent_at(&self) -> Time {
         self.sent_at
     }
 
-    /// Applies a page to the cache. A leader's key that no page held does not exist.
+    /// Applies a page to the cache. A leader key that no page held does not exist; the last page removes it.
     pub fn apply(&mut self, page: &Page<Value>, cache: &mut JobCache) {
         for item in &page.items {
             self.leader_keys.extend(LeaderKey::of_name(&item.key));
--- a/crates/core/src/cache/cache_sync/tests.rs
+++ b/crates/core/src/cache/cache_sync/tests.rs
@@ -34,7 +34,7 @@
     assert!(sync.may_begin(NOW + LISTING_RETRY_INTERVAL));
 }
 
-/// The watch begins where the first page was read: a change between two pages would be missed otherwise.
+/// The watch begins at the revision of the first page: a change between two pages would be missed otherwise.
 #[test]
 fn the_revision_of_a_listing_is_that_of_its_first_page() {
     let first = page(7, Vec::new(), true);
--- a/crates/core/src/cache/cancellations.rs
+++ b/crates/core/src/cache/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancelled jobs, as nodes make them known to one another and as agents have to stop them.
+//! Cancelled jobs: their replication between nodes, and the stop commands for their tasks.
 
 use super::job_cache::JobCache;
 use crate::store::records::JobRecord;
@@ -9,7 +9,7 @@
 use rudderreel_wire::worker::{Command, StatusReport, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Cancelled jobs by the revisions that cancelled them. One transaction may cancel several.
+/// Cancelled jobs by the revision of their cancellation. One transaction may cancel several.
 #[derive(Debug, Default)]
 pub(super) struct CancellationIndex {
     by_version: BTreeMap<Version, BTreeSet<JobId>>,
@@ -21,21 +21,21 @@
     }
 }
 
-/// Cancellations after some revision.
+/// Cancellations after a revision, possibly not all of them.
 #[derive(Default)]
 pub struct LaterCancellations {
-    /// The jobs, by revision.
+    /// The cancelled jobs, in the order of their revisions.
     pub jobs: Vec<CancelledJob>,
-    /// The last revision that is included, if there are later ones.
+    /// The last revision that is included, if there are cancellations at later ones.
     pub cut_after: Option<Version>,
 }
 
 impl JobCache {
-    /// Takes over a cancellation that another node knows of. It comes without the submission.
+    /// Updates a job with a cancellation that another node reports. Such a report comes without the submission.
     pub fn update_cancelled(&mut self, cancelled: &CancelledJob) {
         let Ok(id) = cancelled.job.parse::<JobId>() else {
             return log::warn!(
-                "a peer names a cancelled job by an impossible id job={:.40}",
+                "invalid job id in a cancellation from a peer job={:.40}",
                 cancelled.job
             );
         };
@@ -52,8 +52,9 @@
         self.update_job(id, cancelled.version, record);
     }
 
-    /// Cancellations after a revision, about so many. Those of one revision are never parted: the node that gets them
-    /// counts everything up to a revision as known.
+    /// Returns cancellations after a revision, at most `most` of them unless the first revision alone has more. Those
+    /// of one revision are never split, since the node that receives them counts everything up to a revision as
+    /// known.
     pub fn cancelled_after(&self, after: Version, most: usize) -> LaterCancellations {
         let mut later = LaterCancellations::default();
         let mut last_included = after;
@@ -70,7 +71,7 @@
         later
     }
 
-    /// A cancellation, as it is made known to other nodes.
+    /// Returns a job's cancellation in the form in which it is sent to other nodes.
     pub fn cancellation(&self, id: &JobId, version: Version) -> Option<CancelledJob> {
         let record = &self.job(id)?.record;
         Some(CancelledJob {
@@ -82,9 +83,10 @@
         })
     }
 
-    /// Stop commands for what a status report lists of cancelled jobs. They hold whoever gives them, since a job that is
-    /// cancelled remains so: a node that answers agents in an outage, or that has not recovered the state, gives no
-    /// other commands, and would keep those tasks alive for too long.
+    /// Returns stop commands for the tasks of cancelled jobs that a status report lists and that have not exited. Any
+    /// node may give them, since a cancelled job remains cancelled. A node that answers agents in an outage, or that
+    /// has not recovered the state, gives no other commands; without these it would keep such tasks alive for too
+    /// long.
     pub fn stops_for_cancelled_tasks(&self, report: &StatusReport) -> Vec<Command> {
         let is_to_stop = |status: &&TaskStatus| {
             status.state != TaskState::Exited && self.is_cancelled(&status.task.job)
--- a/crates/core/src/cache/cancellations/tests.rs
+++ b/crates/core/src/cache/cancellations/tests.rs
@@ -1,7 +1,6 @@
 use super::*;
 use rudderreel_wire::job::JobSpec;
 
-/// A submission.
 fn spec(n: u32) -> JobSpec {
     let job = crate::testing::job(n, "sweep", "red", "normal");
     (*job.spec).clone()
@@ -18,8 +17,8 @@
     record
 }
 
-/// Jobs that one transaction cancels have one version. All of them are sent to a node that lacks them: it got the last
-/// one only, and counted everything up to the revision as known.
+/// Jobs that one transaction cancels have the same version, and all of them are sent to a node that lacks them. Guards
+/// against sending only the last one to a node which then counts everything up to the revision as known.
 #[test]
 fn all_cancellations_of_one_revision_are_included() {
     let mut cache = JobCache::default();
@@ -33,7 +32,7 @@
     assert_eq!(later.cut_after, None);
 }
 
-/// What does not fit into one message is cut between revisions, never inside one: the node that gets
+/// Cancellations that do not fit into one message are cut between revisions, never inside one: the node that receives
 /// them counts everything up to a revision as known.
 #[test]
 fn cancellations_are_cut_between_revisions() {
@@ -45,7 +44,7 @@
     assert_eq!((later.jobs.len(), later.cut_after), (2, Some(Version(11))));
     let rest = cache.cancelled_after(Version(11), 4);
     assert_eq!((rest.jobs.len(), rest.cut_after), (4, None));
-    // One revision is never split, however many it has.
+    // The cancellations of one revision are never split, however many there are.
     let later = cache.cancelled_after(Version(0), 1);
     assert_eq!((later.jobs.len(), later.cut_after), (2, Some(Version(11))));
 }
--- a/crates/core/src/cache/dependencies.rs
+++ b/crates/core/src/cache/dependencies.rs
@@ -1,10 +1,10 @@
-//! Dependencies between jobs, as this node's cache of jobs knows them.
+//! Dependencies between jobs, as this node's cache knows them.
 //!
-//! Done and cancelled are final and exclude one another. So a job whose dependency is cancelled can never become ready:
-//! it is cancelled from the moment of that one commit on, at whatever depth, and needs no transaction of its own for
-//! that. Writing its record (the cascade) only makes this visible: the leader does so for all, and a node that is asked
-//! about such a job before it answers. A cache that is out of date knows less of what is done or cancelled, and only
-//! waits.
+//! Done and cancelled are final states and exclude one another. So a job whose dependency is cancelled can never become
+//! ready: it is cancelled from the moment of that one commit on, at whatever depth, and needs no transaction of its own
+//! for that. Writing its own record (the cascade) only makes this visible. The leader does so for all such jobs, and a
+//! node that is asked about one does so before it answers. A cache that is out of date knows of fewer done or cancelled
+//! jobs, and only waits longer.
 
 use super::job_cache::{JobCache, KnownJob};
 use crate::units::Wall;
@@ -12,45 +12,46 @@
 use rudderreel_wire::job::JobState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which unfinished jobs need which others.
+/// Dependencies of unfinished jobs on others.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
-    /// By dependency: the unfinished jobs that name it.
+    /// The unfinished jobs that name a dependency, by dependency.
     dependents: BTreeMap<JobId, BTreeSet<JobId>>,
-    /// Unfinished jobs that name a cancelled one. The cascade has yet to write their own records.
+    /// Unfinished jobs that name a cancelled one. The cascade has yet to write their records.
     awaiting_cascade: BTreeSet<JobId>,
 }
 
-/// What is known of everything that a job needs, directly or through others.
+/// State of everything that a job needs, directly or through others, as far as it is known.
 #[derive(Debug, Default, PartialEq)]
 pub struct Ancestry {
-    /// A cancelled job among them: then the job is cancelled, too, and the rest was not searched.
+    /// A cancelled job among those needed, if there is one. Then the job is cancelled, too, and the rest was not
+    /// searched.
     pub cancelled: Option<JobId>,
-    /// Those that are not known to be done, with their versions; 0 for one that is not known.
+    /// Jobs that are needed and not known to be done, with their versions; version 0 for a job that is not known.
     pub unfinished: BTreeMap<JobId, Version>,
 }
 
-/// Which direct dependencies of a job are not done, and since when the others all are.
+/// The direct dependencies of a job that are not done, and the time since which all others are.
 #[derive(Debug, Default, PartialEq)]
 pub struct Readiness {
-    /// Dependencies that are not done.
+    /// Dependencies that are not known to be done.
     pub unmet: BTreeSet<JobId>,
-    /// When the last one that is done was completed, if that is recorded.
+    /// Completion time of the dependency that was completed last, if that is recorded.
     pub last_done: Option<Wall>,
 }
 
 impl DependencyGraph {
-    /// Unfinished jobs that name one as their dependency.
+    /// Returns the unfinished jobs that name a job as their dependency.
     pub fn dependents_of(&self, id: &JobId) -> impl Iterator<Item = &JobId> {
         self.dependents.get(id).into_iter().flatten()
     }
 
-    /// Unfinished jobs that name a cancelled one.
+    /// Returns the unfinished jobs that name a cancelled one.
     pub fn awaiting_cascade(&self) -> impl Iterator<Item = &JobId> {
         self.awaiting_cascade.iter()
     }
 
-    /// An unfinished job names some dependencies, of which some may be cancelled.
+    /// Adds an unfinished job with its dependencies, of which some may be cancelled.
     fn add_unfinished(
         &mut self,
         id: &JobId,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// A job that named some dependencies is done or cancelled.
+    /// Removes a job that is done or cancelled, with the dependencies that it named.
     fn remove_finished(&mut self, id: &JobId, dependencies: &[JobId]) {
         self.awaiting_cascade.remove(id);
         for dependency in dependencies {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A job is cancelled, and with it all that name it.
+    /// Marks the unfinished jobs that name a cancelled job as awaiting the cascade.
     fn cancel_dependents_of(&mut self, id: &JobId) {
         let dependents = self.dependents.get(id).into_iter().flatten();
         self.awaiting_cascade.extend(dependents.cloned());
@@ -87,7 +88,7 @@
 }
 
 impl JobCache {
-    /// Updates the graph after a job's record has changed. `previous` is what was known of it.
+    /// Updates the graph after a job's record has changed. `previous` is the record that was known before.
     pub(super) fn update_graph(&mut self, id: &JobId, previous: Option<&KnownJob>) {
         let Some(known) = self.jobs.get(id) else {
             return;
@@ -109,7 +110,7 @@
             .add_unfinished(id, known.dependencies(), is_cancelled);
     }
 
-    /// Searches everything that some jobs need, directly or through others, the jobs included.
+    /// Searches some jobs and everything that they need, directly or through others.
     pub fn ancestry(&self, dependencies: &[JobId]) -> Ancestry {
         let mut found = Ancestry::default();
         let mut open: Vec<&JobId> = dependencies.iter().collect();
@@ -136,13 +137,14 @@
         found
     }
 
-    /// The same for all that one job needs.
+    /// Searches everything that an unfinished job needs, without the job itself.
     pub fn ancestry_of(&self, id: &JobId) -> Ancestry {
         let known = self.jobs.get(id).filter(|k| !k.record.is_final());
         known.map_or_else(Ancestry::default, |k| self.ancestry(k.dependencies()))
     }
 
-    /// Which of some dependencies are committed done. Completed tasks don't count before that.
+    /// Returns which of some dependencies are not done. Only a job whose record is committed as done counts as done;
+    /// completed tasks don't count before that.
     pub fn readiness(&self, dependencies: &[JobId]) -> Readiness {
         let mut readiness = Readiness::default();
         for id in dependencies {
--- a/crates/core/src/cache/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -6,8 +6,8 @@
 use rudderreel_wire::job::JobSpec;
 use std::collections::BTreeSet;
 
-/// Limits that nothing here reaches.
-const LARGE: StoreLimits = StoreLimits {
+/// Limits that no record in these tests reaches.
+const LARGE_LIMITS: StoreLimits = StoreLimits {
     value_bytes: 1 << 20,
     operations: 100,
     requests_per_s: 100.0,
@@ -18,14 +18,14 @@
     format!("wk-{n}").parse().expect("a job id")
 }
 
-/// A job that names others.
+/// Returns the submission of a job that names others as its dependencies.
 fn spec(n: usize, needs: &[usize]) -> JobSpec {
     let mut spec = (*job(n as u32, "sweep", "red", "normal").spec).clone();
     spec.dependencies = needs.iter().map(|&d| id(d)).collect();
     spec
 }
 
-/// The slow plain way: everything is searched again each time.
+/// Reference model of the dependencies, which searches everything again for each question.
 #[derive(Clone, Default)]
 struct Model {
     needs: Vec<Vec<usize>>,
@@ -34,14 +34,14 @@
 }
 
 impl Model {
-    /// Whether a job is cancelled, by its own record or with what it needs.
+    /// Returns whether a job is cancelled, by its own record or because something that it needs is.
     fn is_cancelled(&self, n: usize) -> bool {
         let needs = &self.needs[n];
         !self.done.contains(&n)
             && (self.cancelled.contains(&n) || needs.iter().any(|&d| self.is_cancelled(d)))
     }
 
-    /// All that a job needs and that is not done.
+    /// Returns everything that a job needs, directly or through others, and that is not done.
     fn unfinished(&self, n: usize) -> BTreeSet<usize> {
         let open = self.needs[n].iter().filter(|d| !self.done.contains(d));
         open.flat_map(|&d| self.unfinished(d).into_iter().chain([d]))
@@ -52,22 +52,22 @@
         self.needs[n].iter().all(|d| self.done.contains(d))
     }
 
-    /// The record that the store holds.
+    /// Returns the job's record as the store holds it.
     fn record(&self, n: usize) -> JobRecord {
         let spec = spec(n, &self.needs[n]);
         let record = JobRecord::queued(&spec, Wall(n as u64));
         if self.done.contains(&n) {
             JobRecord::done(spec.tasks, Wall(n as u64), Wall(1_000 + n as u64))
         } else if self.cancelled.contains(&n) {
-            record.cancelled(Wall(5), None, &LARGE)
+            record.cancelled(Wall(5), None, &LARGE_LIMITS)
         } else {
             record
         }
     }
 }
 
-/// What happens to jobs: each names some before it, and some are done or cancelled.
-fn histories() -> impl Strategy<Value = (Vec<Vec<usize>>, Vec<(usize, bool)>)> {
+/// Generates jobs, each of which names some jobs before it, and a sequence of jobs that are completed or cancelled.
+fn job_histories() -> impl Strategy<Value = (Vec<Vec<usize>>, Vec<(usize, bool)>)> {
     (2usize..14).prop_flat_map(|jobs| {
         let needs: Vec<_> = (0..jobs)
             .map(|n| proptest::collection::vec(0..n.max(1), 0..=n.min(4)))
@@ -109,16 +109,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, and in whatever order the cache hears of it, it knows what the plain model
-    /// knows once it has heard of all.
+    /// Once the cache has received all records, it agrees with the reference model, whatever the history and the order
+    /// in which the records were received.
     #[test]
-    fn the_cache_knows_what_the_plain_model_knows((needs, ends) in histories(), order in any::<u64>()) {
+    fn the_cache_agrees_with_the_reference_model((needs, ends) in job_histories(), order in any::<u64>()) {
         let jobs = needs.len();
         let mut needs = needs;
         needs[0].clear();
         let mut model = Model { needs, ..Model::default() };
         let mut job_cache = JobCache::default();
-        // The records are heard of in some order of their own.
+        // The records are received in an order other than that of the jobs.
         for k in 0..jobs {
             let n = (k * 7 + order as usize % jobs) % jobs;
             if !job_cache.contains_job(&id(n)) {
@@ -146,7 +146,8 @@
     }
 }
 
-/// What is not known may be anything: it is confirmed as missing, which fails if it is there.
+/// An unknown job may be in any state. It counts as unfinished with version 0, that of a missing key, so that a commit
+/// conditional on this version fails if the job exists.
 #[test]
 fn an_unknown_dependency_counts_as_unfinished() {
     let mut job_cache = JobCache::default();
@@ -160,7 +161,7 @@
     assert_eq!(job_cache.readiness(&[id(1)]).unmet, BTreeSet::from([id(1)]));
 }
 
-/// A peer makes a cancellation known before the watch does, and without the submission.
+/// A peer may report a cancellation before the watch does, and without the submission.
 #[test]
 fn dependents_of_a_job_that_a_peer_says_is_cancelled_await_the_cascade() {
     let mut job_cache = JobCache::default();
@@ -184,7 +185,7 @@
     );
 }
 
-/// A chain of a thousand jobs and a fan of a thousand are searched once each.
+/// A chain of a thousand jobs and a job with a thousand dependencies are searched without visiting a job twice.
 #[test]
 fn long_chains_and_wide_fans_are_followed_once() {
     let mut job_cache = JobCache::default();
@@ -220,17 +221,17 @@
     assert_eq!(dependents(&job_cache), 0);
 }
 
-/// The submission may come after the cancellation of what it names.
+/// The submission of a job may be received after the cancellation of a job that it names.
 #[test]
 fn a_job_that_names_a_cancelled_one_awaits_the_cascade_until_its_own_record_is_written() {
     let mut job_cache = JobCache::default();
-    let cancelled = queued(1, &[]).cancelled(Wall(5), None, &LARGE);
+    let cancelled = queued(1, &[]).cancelled(Wall(5), None, &LARGE_LIMITS);
     job_cache.update_job(id(1), Version(1), cancelled);
     let dependent = queued(2, &[1]);
     job_cache.update_job(id(2), Version(2), dependent.clone());
     let awaiting = |cache: &JobCache| cache.graph().awaiting_cascade().count();
     assert_eq!(awaiting(&job_cache), 1);
-    let by_cascade = dependent.cancelled(Wall(6), Some(&id(1)), &LARGE);
+    let by_cascade = dependent.cancelled(Wall(6), Some(&id(1)), &LARGE_LIMITS);
     job_cache.update_job(id(2), Version(3), by_cascade);
     assert_eq!(awaiting(&job_cache), 0);
 }
--- a/crates/core/src/cache/job_cache/tests.rs
+++ b/crates/core/src/cache/job_cache/tests.rs
@@ -2,7 +2,6 @@
 use crate::units::Wall;
 use rudderreel_wire::job::JobSpec;
 
-/// A submission.
 fn spec(n: u32) -> JobSpec {
     let job = crate::testing::job(n, "sweep", "red", "normal");
     (*job.spec).clone()
@@ -12,7 +11,7 @@
     spec(n).id
 }
 
-/// What can't be read is counted and leaves what was known as it is.
+/// A record that can't be read is counted and leaves the cached one unchanged.
 #[test]
 fn records_that_can_not_be_read_are_counted() {
     let mut cache = JobCache::default();
--- a/crates/core/src/cache/leader_keys.rs
+++ b/crates/core/src/cache/leader_keys.rs
@@ -1,25 +1,25 @@
-//! Who leads, as the cache knows it, and whether that leader may go on (see `leadership::version_gate`).
+//! The cached leader keys: which node leads, and whether its version may keep leading (see `leadership::version_gate`).
 
 use super::job_cache::JobCache;
 use crate::leadership::election::LeaderSlot;
 use crate::store::records::{LeaderKey, LeaderRecord, StoredLeader};
 use rudderreel_wire::ids::{LeaseId, Version};
 
-/// A leader's key as it is known.
+/// Cached state of one leader key.
 #[derive(Debug, Default)]
 struct HeldKey {
-    /// What it holds.
+    /// The leader that the key holds, if it is known to hold one.
     leader: Option<StoredLeader>,
-    /// The newest revision at which it is known.
-    seen: Version,
+    /// The newest revision at which the key's state is known.
+    revision: Version,
 }
 
-/// The two keys of which leaders hold one.
+/// The two leader keys, of which leaders hold one.
 #[derive(Debug, Default)]
 pub(super) struct LeaderKeys {
-    /// The one that every version reads.
+    /// The key that every version reads.
     common: HeldKey,
-    /// The one behind the version gate.
+    /// The key behind the version gate.
     gated: HeldKey,
 }
 
@@ -38,27 +38,29 @@
         }
     }
 
+    /// Updates a key unless a newer revision of it is known.
     fn update(&mut self, key: LeaderKey, revision: Version, leader: Option<StoredLeader>) {
         let held = self.held_mut(key);
-        if revision >= held.seen {
-            held.seen = revision;
+        if revision >= held.revision {
+            held.revision = revision;
             held.leader = leader;
         }
     }
 
+    /// Removes the leader that holds a lease.
     fn forget(&mut self, lease: LeaseId) {
         for held in [&mut self.common, &mut self.gated] {
             held.leader.take_if(|leader| leader.record.lease == lease);
         }
     }
 
-    /// What the common key holds, once leaders hold the gated one.
+    /// Returns the superseded leader that the common key holds once leaders hold the gated one.
     fn superseded(&self) -> Option<&StoredLeader> {
         let leader = self.common.leader.as_ref();
         leader.filter(|leader| leader.record.superseded)
     }
 
-    /// Which key leaders hold.
+    /// Returns the key that leaders hold.
     fn current(&self) -> LeaderKey {
         match self.superseded() {
             Some(_) => LeaderKey::Gated,
@@ -68,7 +70,7 @@
 }
 
 impl JobCache {
-    /// Who leads.
+    /// Returns the record of the current leader, if one is known.
     pub fn leader(&self) -> Option<&LeaderRecord> {
         self.stored_leader().map(|leader| &leader.record)
     }
@@ -78,12 +80,12 @@
         self.leader_keys.held(key).leader.as_ref()
     }
 
-    /// What the common key holds, once leaders hold the gated one.
+    /// Returns the superseded leader that the common key holds once leaders hold the gated one.
     pub(super) fn superseded_leader(&self) -> Option<&StoredLeader> {
         self.leader_keys.superseded()
     }
 
-    /// The leader's key as it is known here.
+    /// Returns the state of the leader key as this node knows it.
     pub fn leader_slot(&self) -> LeaderSlot<'_> {
         match self.stored_leader() {
             None => LeaderSlot::Vacant {
@@ -94,12 +96,12 @@
         }
     }
 
-    /// Whether a leader is of a version that must not lead any more.
+    /// Returns whether a leader's version must not lead any more: it knows no dependencies, and they are in use.
     fn is_outdated(&self, record: &LeaderRecord) -> bool {
         !record.knows_dependencies() && self.dependencies_in_use()
     }
 
-    /// Takes over what a leader's key holds, as read at a revision.
+    /// Updates a leader key with what it held at a revision.
     pub fn update_leader(
         &mut self,
         key: LeaderKey,
@@ -109,14 +111,14 @@
         self.leader_keys.update(key, revision, leader);
     }
 
-    /// Takes over what a leader's key holds, as it was read by itself, at a revision that is not known.
+    /// Updates a leader key with what a read of that key alone returned. The revision of such a read is not known.
     pub fn update_leader_read(&mut self, key: LeaderKey, leader: Option<StoredLeader>) {
-        let seen = self.leader_keys.held(key).seen;
-        let revision = leader.as_ref().map_or(seen, |leader| leader.version);
+        let known_at = self.leader_keys.held(key).revision;
+        let revision = leader.as_ref().map_or(known_at, |leader| leader.version);
         self.leader_keys.update(key, revision, leader);
     }
 
-    /// This node has moved its leader's key to the gated one, by a commit at a version.
+    /// Records that this node has moved its leader key from the common to the gated one, by a commit at a version.
     pub fn record_leader_key_move(&mut self, version: Version, record: LeaderRecord) {
         let superseded = StoredLeader {
             version,
@@ -127,7 +129,7 @@
         self.update_leader(LeaderKey::Gated, version, Some(leader));
     }
 
-    /// A term of this node has ended: the leader's key is gone, or will be.
+    /// Removes the leader of a term of this node that has ended: its key is deleted, or will be.
     pub fn forget_leader(&mut self, lease: LeaseId) {
         self.leader_keys.forget(lease);
     }
--- a/crates/core/src/cache/watched_keys.rs
+++ b/crates/core/src/cache/watched_keys.rs
@@ -1,4 +1,4 @@
-//! Which watched key holds what: items of a listing and events of the watch.
+//! Decoding of the watched keys and their values, from the items of a listing and the events of the watch.
 
 use super::job_cache::JobCache;
 use crate::io::Value;
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 impl JobCache {
-    /// Applies a watched key. What can't be read is counted and leaves what was known as it is.
+    /// Applies a watched key. A value that can't be read is counted and leaves the cached one unchanged.
     pub fn apply_item(&mut self, key: &str, version: Version, value: &Value) {
         if let Some(leader_key) = LeaderKey::of_name(key) {
             self.apply_leader(leader_key, version, value);
@@ -23,7 +23,7 @@
             self.catalog = serde_json::from_value(value.clone()).ok();
             self.catalog_in_common_key = true;
         } else if key == GATED_CATALOG_KEY {
-            // Null if they are too large to be stored.
+            // The value is null if the machine types are too large to be stored.
             self.catalog = serde_json::from_value(value.clone()).ok();
             self.catalog_in_gated_key = true;
         } else if let Some(node) = key.strip_prefix(WATERMARK_PREFIX) {
@@ -43,7 +43,7 @@
                 let leader = StoredLeader { version, record };
                 self.update_leader(key, version, Some(leader));
             }
-            None => self.count_unreadable_record(key.name(), &"no leader's record"),
+            None => self.count_unreadable_record(key.name(), &"not a leader record"),
         }
     }
 
@@ -53,7 +53,8 @@
             .ok()
     }
 
-    /// Applies an event of the watch. Of the keys that are deleted only the leader's and that of the machine types matter.
+    /// Applies an event of the watch. Of deletions only those of a leader key and of the common key of the machine
+    /// types matter.
     pub fn apply_event(&mut self, event: &Event<Value>) {
         match event {
             Event::Put {
@@ -64,13 +65,13 @@
             Event::Delete { key, .. } if key == CATALOG_KEY => self.catalog_in_common_key = false,
             Event::Delete { key, version } => match LeaderKey::of_name(key) {
                 Some(leader_key) => self.update_leader(leader_key, *version, None),
-                None => log::debug!("a watched key was deleted key={key}"),
+                None => log::debug!("deletion of watched key ignored key={key}"),
             },
         }
     }
 }
 
-/// The job that a key is of.
+/// Returns the job whose key this is, if it is a job's key.
 fn job_id_of(key: &str) -> Option<JobId> {
     key.strip_prefix(JOB_PREFIX)?.parse().ok()
 }
