--- a/crates/core/src/store/calls.rs
+++ b/crates/core/src/store/calls.rs
@@ -1,37 +1,38 @@
-//! Calls to the store that wait to go out, or for their answers.
+//! Calls to the store that wait to be sent, or for their answers.
 //!
-//! The store takes a limited number of requests a second from all nodes together, and each node keeps to its part of
-//! that by a token bucket. Calls wait in one queue for each priority; what each is for is kept until its answer comes.
+//! The store accepts a limited number of requests per second from all nodes together. Each node keeps to its share of
+//! that with a token bucket. Calls wait in one queue for each priority; the purpose of each is kept until it is
+//! answered.
 
 use crate::io::{CallId, Output, StoreCall};
 use crate::units::Time;
 use std::collections::{HashMap, VecDeque};
 
-/// Who waits for a call, which decides when it goes out if tokens are short.
+/// The priority of a call, by who waits for it. It decides which calls are sent first if tokens are short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// Leases and elections: they go first, and may use the last tokens.
+    /// Calls for leases and elections: they are sent first, and may use the last tokens.
     Lease,
-    /// What a user or the cache waits for. It takes turns with the leader's calls.
+    /// Calls that a user or the cache waits for. They take turns with the leader's calls.
     User,
     /// The leader's commits, and the reads of a failover. They take turns with users' calls.
     Leader,
 }
 
-/// How many priorities there are.
+/// Number of priorities.
 const PRIORITIES: usize = 3;
-/// Calls that may be open at once: more would only queue up in the shell.
+/// Number of calls that may be open at once: more would only queue up outside this crate.
 const MAX_OPEN: usize = 12;
-/// Calls for leases that may be open beyond that.
+/// Number of calls for leases that may be open beyond `MAX_OPEN`.
 const EXTRA_OPEN_FOR_LEASES: usize = 4;
-/// Tokens that other calls leave for leases.
+/// Number of tokens that other calls leave for leases.
 const TOKENS_KEPT_FOR_LEASES: f64 = 1.0;
-/// The tokens that gather at most are worth so many seconds of calls, and one more.
+/// Capacity of the token bucket in seconds of calls; it holds one token more.
 const MAX_BURST_S: f64 = 0.5;
-/// More users' calls than go out in so many seconds are too many to wait.
+/// Maximum length of the queue of users' calls, as the seconds that sending them takes. With more, the wait is too long.
 const MAX_QUEUED_S: f64 = 1.0;
 
-/// A token bucket: tokens come at a steady rate, each call takes one, and only so many gather.
+/// A token bucket: tokens are added at a steady rate up to a maximum, and each call takes one.
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens_per_s: f64,
@@ -54,7 +55,7 @@
         self.refilled_at = now;
     }
 
-    /// Whether a call may take a token and leave so many.
+    /// Returns whether a call may take a token and leave at least `kept` tokens.
     fn can_take_leaving(&self, kept: f64) -> bool {
         self.tokens >= 1.0 + kept
     }
@@ -64,18 +65,18 @@
     }
 }
 
-/// The calls of a node to the store. `P` says what a call is for.
+/// The calls of a node to the store. `P` is the type of a call's purpose.
 pub struct StoreCalls<P> {
     last_id: u64,
     bucket: TokenBucket,
     queues: [VecDeque<(StoreCall, P)>; PRIORITIES],
     open: HashMap<CallId, P>,
-    /// Whose turn it is when both users' calls and the leader's wait.
+    /// Whether it is the turn of the leader's calls when both users' calls and the leader's wait.
     is_leaders_turn: bool,
 }
 
 impl<P> StoreCalls<P> {
-    /// `calls_per_s` is how many calls a second this node may make.
+    /// Creates empty queues. `calls_per_s` is the number of calls per second that this node may make.
     pub fn new(calls_per_s: f64) -> Self {
         Self {
             last_id: 0,
@@ -86,12 +87,12 @@
         }
     }
 
-    /// This node's part of the limit has changed: how many calls a second it may make now.
+    /// Sets the number of calls per second that this node may make, after its share of the limit has changed.
     pub fn set_rate(&mut self, calls_per_s: f64) {
         self.bucket.tokens_per_s = calls_per_s;
     }
 
-    /// How many calls a second this node may make.
+    /// Returns the number of calls per second that this node may make.
     pub fn rate(&self) -> f64 {
         self.bucket.tokens_per_s
     }
@@ -101,18 +102,18 @@
         self.queues[priority as usize].push_back((call, purpose));
     }
 
-    /// Whether more of users' calls wait than can go out in time: one more would be answered too late.
+    /// Returns whether more users' calls wait than can be sent in time: one more would be answered too late.
     pub fn is_behind(&self) -> bool {
         let most = self.rate().max(1.0) * MAX_QUEUED_S;
         self.queues[CallPriority::User as usize].len() as f64 > most
     }
 
-    /// A call has been answered; returns what it was for.
+    /// Closes a call that has been answered. Returns its purpose, if the call was open.
     pub fn complete(&mut self, id: CallId) -> Option<P> {
         self.open.remove(&id)
     }
 
-    /// Sends the calls that may go out now.
+    /// Sends the calls that may be sent now.
     pub fn send_due(&mut self, now: Time, out: &mut Vec<Output>) {
         self.bucket.refill(now);
         while let Some((call, purpose)) = self.next_call() {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The next call that may go out.
+    /// Takes the next call that may be sent now off its queue.
     fn next_call(&mut self) -> Option<(StoreCall, P)> {
         let open = self.open.len();
         if open < MAX_OPEN + EXTRA_OPEN_FOR_LEASES && self.bucket.can_take_leaving(0.0) {
@@ -138,8 +139,9 @@
         None
     }
 
-    /// Users' calls and the leader's take turns: whichever always went first could keep the other waiting for ever.
-    /// (A leader that got many questions once took 690 s to recover its state, and nothing ran meanwhile.)
+    /// Takes the next of users' calls and the leader's, which take turns: calls that always went first could starve
+    /// the others. (A leader that received many user requests once took 690 s to recover its state, and nothing ran
+    /// meanwhile.)
     fn next_of_users_and_leader(&mut self) -> Option<(StoreCall, P)> {
         let order = if self.is_leaders_turn {
             [CallPriority::Leader, CallPriority::User]
--- a/crates/core/src/store/calls/tests.rs
+++ b/crates/core/src/store/calls/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What can't be asked for in time must be refused at once, not queued without bound.
+/// A user's call that can't be sent in time must be refused at once, not queued without bound.
 #[test]
 fn users_calls_do_not_pile_up() {
     let mut calls = StoreCalls::new(5.0);
@@ -19,7 +19,8 @@
     assert!(!out.is_empty() && !calls.is_behind());
 }
 
-/// A leader to which users put more questions than it may ask on never read its log back.
+/// Guards against starvation of the leader: with more user requests than calls that it may make, it never finished
+/// reading its placement log.
 #[test]
 fn neither_users_nor_the_leader_wait_for_ever() {
     let mut calls = StoreCalls::new(10.0);
@@ -36,10 +37,10 @@
             calls.complete(id);
         }
     }
-    let asked = |name: &str| {
-        let of =
+    let sent_calls = |name: &str| {
+        let matches_name =
             |o: &&Output| matches!(o, Output::State(_, StoreCall::Get(k)) if k.starts_with(name));
-        out.iter().filter(of).count()
+        out.iter().filter(matches_name).count()
     };
-    assert_eq!((asked("book/"), asked("pub/") > 8), (1, true));
+    assert_eq!((sent_calls("book/"), sent_calls("pub/") > 8), (1, true));
 }
--- a/crates/core/src/store/confirmation/tests.rs
+++ b/crates/core/src/store/confirmation/tests.rs
@@ -6,7 +6,7 @@
     assert_eq!(cache.age(Time(5_000)), None);
     cache.confirm(Version(7), Time(1_000));
     assert_eq!(cache.age(Time(5_000)), Some(Span(4_000)));
-    // An older answer that comes late takes nothing back.
+    // A late answer to an older call lowers neither the revision nor the confirmed moment.
     cache.confirm(Version(5), Time(500));
     assert_eq!(cache.revision(), Version(7));
     assert_eq!(cache.age(Time(5_000)), Some(Span(4_000)));
--- a/crates/core/src/store/limits.rs
+++ b/crates/core/src/store/limits.rs
@@ -1,39 +1,39 @@
 //! Limits of the store that every writer keeps to.
 //!
-//! The settings may announce limits that come into force at some later moment without notice. The
-//! smaller of both is used from the start, so that nothing that is written becomes unwritable. If a
-//! transaction is rejected as too large all the same, the limits are halved: what was rejected is
-//! never sent again unchanged.
+//! The settings may announce limits that come into force at some later moment without notice. The smaller of the
+//! present and the announced limit is used from the start, so that nothing that is written becomes unwritable. If a
+//! transaction is rejected as too large all the same, the limits are halved: what was rejected is never sent again
+//! unchanged.
 
 use rudderreel_wire::settings::StateLimits;
 use serde::Serialize;
 
-/// Bytes of a KiB.
+/// Bytes per KiB.
 const KIB: f64 = 1024.0;
-/// Conditions that a transaction may have for each change that it may make, by the protocol.
+/// Number of conditions that the protocol allows in a transaction for each change that it allows.
 const CONDITIONS_PER_OPERATION: usize = 4;
-/// The part of the writes that the leader may make for placements.
-const PLACEMENT_WRITES_PART: f64 = 0.7;
-/// A transaction needs room for the leader's key and one more.
+/// Share of the write rate that the leader may use for placements.
+const PLACEMENT_WRITES_SHARE: f64 = 0.7;
+/// Minimum number of changes of a transaction: the leader key and one more.
 const MIN_OPERATIONS: usize = 2;
-/// Values are never split below this size: the smallest record has to fit.
+/// Minimum size limit of a value: the smallest record has to fit.
 const MIN_VALUE_BYTES: usize = 256;
 
 /// Limits of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Bytes that a value may have as JSON.
+    /// Maximum size of a value as JSON, in bytes.
     pub value_bytes: usize,
-    /// Puts and deletes of a transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub operations: usize,
-    /// Requests per second of all nodes together.
+    /// Maximum requests per second of all nodes together.
     pub requests_per_s: f64,
-    /// Puts and deletes per second of all nodes together.
+    /// Maximum puts and deletes per second of all nodes together.
     pub writes_per_s: f64,
 }
 
 impl StoreLimits {
-    /// The smaller of the present and the announced limits.
+    /// Returns the smaller of the present and the announced limits, each by itself.
     pub fn of(state: &StateLimits) -> Self {
         let next = state.next.clone().unwrap_or_default();
         let smaller = |present: f64, next: Option<f64>| next.map_or(present, |n| n.min(present));
@@ -46,22 +46,23 @@
         }
     }
 
-    /// Puts and deletes per second that the leader may make for placements; the rest is for users.
+    /// Returns how many puts and deletes per second the leader may make for placements; the rest is for users.
     pub fn placement_writes_per_s(&self) -> f64 {
-        self.writes_per_s * PLACEMENT_WRITES_PART
+        self.writes_per_s * PLACEMENT_WRITES_SHARE
     }
 
-    /// Conditions of a transaction.
+    /// Returns the maximum number of conditions in a transaction.
     pub fn conditions(&self) -> usize {
         CONDITIONS_PER_OPERATION * self.operations
     }
 
-    /// Whether a value is small enough to be stored.
+    /// Returns whether a value is small enough to be stored.
     pub fn fits<T: Serialize>(&self, value: &T) -> bool {
         serde_json::to_vec(value).is_ok_and(|json| json.len() <= self.value_bytes)
     }
 
-    /// A transaction within these limits was rejected: they are lower than was known.
+    /// Halves the limits on sizes, down to their minimums, after a transaction within them was rejected: the store's
+    /// limits are lower than was known.
     pub fn halve(&mut self) {
         self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
         self.operations = (self.operations / 2).max(MIN_OPERATIONS);
--- a/crates/core/src/store/limits/tests.rs
+++ b/crates/core/src/store/limits/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn halving_ends_at_what_every_record_needs() {
+fn halving_stops_at_the_minimums_that_every_record_needs() {
     let mut limits = limits(None);
     (0..40).for_each(|_| limits.halve());
     assert_eq!(limits.value_bytes, MIN_VALUE_BYTES);
--- a/crates/core/src/store/periodic_call.rs
+++ b/crates/core/src/store/periodic_call.rs
@@ -1,8 +1,8 @@
-//! A call that is repeated for as long as something depends on it, such as the renewal of a lease.
+//! A call that is repeated as long as something depends on it, such as the renewal of a lease.
 
 use crate::units::{Span, Time};
 
-/// When a call is repeated. One is open at a time.
+/// The schedule of a repeated call, of which at most one is open at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct PeriodicCall {
     interval: Span,
@@ -12,7 +12,8 @@
 }
 
 impl PeriodicCall {
-    /// A call that is due at once, then at an interval; one that failed is repeated after another.
+    /// Creates a schedule whose first call is due at once and the following ones at `interval`. A call that failed is
+    /// repeated after `retry_interval`.
     pub fn new(interval: Span, retry_interval: Span) -> Self {
         Self {
             interval,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The same, of which one was just answered.
+    /// Returns the schedule as it is when a call was just answered: the next call is due after the interval.
     pub fn answered_at(self, now: Time) -> Self {
         Self {
             next_at: now + self.interval,
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Begins a call if one is due; returns whether it did.
+    /// Begins a call if one is due and none is open. Returns whether a call begins.
     pub fn begin_if_due(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_at && !self.is_open;
         if is_due {
@@ -41,12 +42,12 @@
         is_due
     }
 
-    /// The open call was answered.
+    /// Records that the open call has ended.
     pub fn end(&mut self) {
         self.is_open = false;
     }
 
-    /// The call failed: the next follows sooner.
+    /// Schedules the next call after the retry interval, since a call failed.
     pub fn retry(&mut self, now: Time) {
         self.next_at = now + self.retry_interval;
     }
--- a/crates/core/src/store/records.rs
+++ b/crates/core/src/store/records.rs
@@ -8,8 +8,8 @@
 //! | `epoch` | the leader | the last epoch given out |
 //! | `book/<segment>` | the leader, before a start is sent | tasks that may be on machines; tasks that are done |
 //! | `pub/catalog` | the leader | machine types as last fetched, until jobs depend on others |
-//! | `pub/machine-types` | the leader | the same from then on (see `leadership::version_gate`) |
-//! | `pub/seat` | the leader, on its lease | what `pub/leader` held, from then on |
+//! | `pub/machine-types` | the leader | machine types once jobs depend on others (see `leadership::version_gate`) |
+//! | `pub/seat` | the leader, on its lease | who leads, and its epoch, once jobs depend on others |
 //! | `pub/known/<node>` | that node, while links between nodes fail | its cancellation watermark |
 //!
 //! The text of the keys and the names of stored fields are fixed: other versions of this software read them.
@@ -28,35 +28,35 @@
 
 use rudderreel_wire::ids::JobId;
 
-// The text of each key is fixed.
-
-/// Prefix of everything that every node watches.
+/// Prefix of the keys that every node watches.
 pub const WATCHED_PREFIX: &str = "pub/";
-/// Prefix of jobs.
+/// Prefix of the jobs' keys.
 pub const JOB_PREFIX: &str = "pub/job/";
-/// The leader's key, which every version reads.
+/// The common leader key, which every version reads.
 pub const LEADER_KEY: &str = "pub/leader";
-/// The leader's key once jobs depend on others. Versions that know no dependencies don't read it.
+/// The gated leader key, which leaders hold once jobs depend on others. Versions that know no dependencies don't read
+/// it.
 pub const GATED_LEADER_KEY: &str = "pub/seat";
-/// Operators' settings.
+/// The key of the operators' settings.
 pub const ADMIN_SETTINGS_KEY: &str = "pub/admin";
-/// The last epoch given out.
+/// The key of the last epoch given out.
 pub const EPOCH_KEY: &str = "epoch";
 /// Prefix of the nodes' cancellation watermarks, which they write when they can't reach one another.
 pub const WATERMARK_PREFIX: &str = "pub/known/";
 /// Prefix of the segments of the leader's placement log.
 pub const SEGMENT_PREFIX: &str = "book/";
-/// The machine types, where every version reads them.
+/// The common key of the machine types, which every version reads.
 pub const CATALOG_KEY: &str = "pub/catalog";
-/// The machine types once jobs depend on others. Versions that know no dependencies don't read this key.
+/// The gated key of the machine types, used once jobs depend on others. Versions that know no dependencies don't read
+/// it.
 pub const GATED_CATALOG_KEY: &str = "pub/machine-types";
 
-/// A job's key.
+/// Returns the key of a job.
 pub fn job_key(id: &JobId) -> String {
     format!("{JOB_PREFIX}{id}")
 }
 
-/// The key of a segment of the placement log.
+/// Returns the key of a segment of the placement log.
 pub fn segment_key(segment: SegmentId) -> String {
     format!("{SEGMENT_PREFIX}{:016x}", segment.0)
 }
--- a/crates/core/src/store/records/jobs.rs
+++ b/crates/core/src/store/records/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs' records, also as versions that know no dependencies read and write them.
+//! Job records and their stored form, which versions that know no dependencies read and write, too.
 
 use crate::store::limits::StoreLimits;
 use crate::units::Wall;
@@ -6,48 +6,49 @@
 use rudderreel_wire::job::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 
-/// A job. The submission is dropped once the job is done, unless some of its tasks may still be somewhere.
+/// A job's record. The submission is dropped once the job is done, unless some of its tasks may still be on machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredJob", into = "StoredJob")]
 pub struct JobRecord {
-    /// Its state: queued while it is neither done nor cancelled.
+    /// State of the job: queued while it is neither done nor cancelled.
     pub state: JobState,
-    /// When it was submitted.
+    /// When the job was submitted.
     pub submitted: Wall,
-    /// When it was cancelled.
+    /// When the job was cancelled.
     pub cancelled: Option<Wall>,
-    /// The dependency whose cancellation cancelled it, if its user did not.
+    /// The dependency whose cancellation cancelled the job, if its user did not cancel it.
     pub cancelled_by: Option<JobId>,
-    /// When it was done.
+    /// When the job was done.
     pub finished: Option<Wall>,
-    /// How many tasks it has, kept after the submission is dropped.
+    /// Number of tasks of the job, kept after the submission is dropped.
     pub tasks: u32,
-    /// Whether its user named jobs that it depends on, also if all of them were done by then.
+    /// Whether the job's user named jobs that it depends on, also if all of those were done by then.
     pub names_dependencies: bool,
-    /// What was submitted.
+    /// The submission.
     pub spec: Option<JobSpec>,
 }
 
-/// A job's state as it is stored.
+/// The stored form of a job's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredState {
-    /// A state that every version knows.
+    /// A state that every version can read.
     Known(JobState),
-    /// Queued, with dependencies.
+    /// The state of an unfinished job that depends on others.
     Dependent(DependentState),
 }
 
-/// The state of an unfinished job that depends on others. It is stored as a state of its own so that a version that
-/// knows no dependencies can't read the record: such a version would drop them, start the job before they are done, and
-/// call it queued after they are cancelled. What it can't read it neither starts nor reports to users.
+/// The stored state of an unfinished job that depends on others. It is a state of its own so that a version that
+/// knows no dependencies can't read the record: such a version would drop the dependencies, start the job before they
+/// are done, and report it as queued after they are cancelled. A job whose record it can't read it neither
+/// starts nor reports to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum DependentState {
     #[serde(rename = "dependent")]
     Queued,
 }
 
-/// A job's record as it is stored.
+/// The stored form of a job's record.
 #[derive(Serialize, Deserialize)]
 struct StoredJob {
     state: StoredState,
@@ -102,14 +103,14 @@
             names_dependencies: stored.names_dependencies,
             spec: stored.spec,
         };
-        // Records that were written before this was a field of its own.
+        // Records that were written before this field was added lack it.
         record.names_dependencies |= record.is_dependent();
         record
     }
 }
 
 impl JobRecord {
-    /// A job that has just been submitted.
+    /// Creates the record of a job that has just been submitted.
     pub fn queued(spec: &JobSpec, submitted: Wall) -> Self {
         Self {
             state: JobState::Queued,
@@ -123,8 +124,8 @@
         }
     }
 
-    /// The same job, cancelled by its user or with a dependency. If it no longer fits the limits of the store, it is
-    /// stored without the lists and names that only a job which may start needs.
+    /// Returns the record of the same job as cancelled, by its user or with the dependency `by`. If that record does
+    /// not fit the limits of the store, it lacks the lists and names that only a job which may start needs.
     pub fn cancelled(&self, at: Wall, by: Option<&JobId>, limits: &StoreLimits) -> Self {
         let mut record = self.clone();
         record.state = JobState::Cancelled;
@@ -141,7 +142,7 @@
         record
     }
 
-    /// A job whose tasks are all done.
+    /// Creates the record of a job whose tasks are all done.
     pub fn done(tasks: u32, submitted: Wall, finished: Wall) -> Self {
         Self {
             state: JobState::Done,
@@ -155,8 +156,9 @@
         }
     }
 
-    /// The same record with its submission, if that fits. One task of a gang may be done while others may still be on
-    /// machines: a leader elected later has to know whose capacity and limit they use.
+    /// Returns the same record with its submission, if that fits. One task of a gang may be done while others may
+    /// still be on machines: a leader elected later has to know which team's limit they count against and what
+    /// capacity they use.
     pub fn with_submission(self, spec: &JobSpec, limits: &StoreLimits) -> Self {
         let record = Self {
             spec: Some(spec.clone()),
@@ -169,13 +171,13 @@
         }
     }
 
-    /// Whether it depends on other jobs, as far as the submission is kept.
+    /// Returns whether the job depends on other jobs; false if the submission is not kept.
     pub fn is_dependent(&self) -> bool {
         let spec = self.spec.as_ref();
         spec.is_some_and(|spec| !spec.dependencies.is_empty())
     }
 
-    /// Whether its state can't change any more.
+    /// Returns whether the job's state can't change any more.
     pub fn is_final(&self) -> bool {
         matches!(self.state, JobState::Done | JobState::Cancelled)
     }
--- a/crates/core/src/store/records/tests.rs
+++ b/crates/core/src/store/records/tests.rs
@@ -1,5 +1,5 @@
-//! Records as the version in production writes and reads them: during a rolling upgrade both versions
-//! work on each other's.
+//! Compatibility of records with the version in production: during a rolling upgrade each version works with the
+//! records of the other.
 
 use super::*;
 use crate::store::limits::StoreLimits;
@@ -24,14 +24,14 @@
         "expectedS":240.0,"snapshotS":30.0,"stowS":4.0,"dueS":900.0})
 }
 
-fn with_dependencies() -> JobSpec {
+fn spec_with_dependencies() -> JobSpec {
     let mut value = submission();
     value["awaits"] = json!(["wk-000398", "wk-000405"]);
     serde_json::from_value(value).expect("a job")
 }
 
-/// What production wrote is read, and written again without a change.
-fn round<T: DeserializeOwned + Serialize>(recorded: Value) -> T {
+/// Reads a recorded value and checks that it is written again unchanged.
+fn round_trip<T: DeserializeOwned + Serialize>(recorded: Value) -> T {
     let read: T = serde_json::from_value(recorded.clone()).expect("it is read");
     assert_eq!(
         serde_json::to_value(&read).expect("it is written"),
@@ -42,22 +42,22 @@
 
 #[test]
 fn records_of_production_are_read_and_written_unchanged() {
-    round::<JobRecord>(
+    round_trip::<JobRecord>(
         json!({"state":"pending","submitted":1790000000000u64,"tasks":16,
         "spec":submission()}),
     );
-    round::<JobRecord>(json!({"state":"aborted","submitted":1790000000000u64,
+    round_trip::<JobRecord>(json!({"state":"aborted","submitted":1790000000000u64,
         "cancelled":1790000009000u64,"tasks":16,"spec":submission()}));
-    round::<JobRecord>(json!({"state":"done","submitted":1790000000000u64,"tasks":16}));
-    round::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7}));
-    round::<EpochRecord>(json!({"epoch":41}));
-    round::<WatermarkRecord>(json!({"known_to":412,"asks":0}));
-    round::<SegmentRecord>(
+    round_trip::<JobRecord>(json!({"state":"done","submitted":1790000000000u64,"tasks":16}));
+    round_trip::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7}));
+    round_trip::<EpochRecord>(json!({"epoch":41}));
+    round_trip::<WatermarkRecord>(json!({"known_to":412,"asks":0}));
+    round_trip::<SegmentRecord>(
         json!({"m":[{"n":"vm-000231","t":"heron","z":"qu-appelle","s":true,
         "w":1790000000000u64,"p":[["wk-000412",687865857,[0,1,7]]]}],
         "d":[["wk-000398",[[0,3],[9,9]]]],"f":[["wk-000398",4]]}),
     );
-    round::<SegmentRecord>(json!({}));
+    round_trip::<SegmentRecord>(json!({}));
 }
 
 /// The job record as production declares it.
@@ -79,14 +79,14 @@
         let value = serde_json::to_value(record).expect("JSON");
         serde_json::from_value(value).expect("production reads it")
     };
-    let mut spec = with_dependencies();
+    let mut spec = spec_with_dependencies();
     spec.dependencies.clear();
     let independent = read(&JobRecord::queued(&spec, Wall(5)));
     assert_eq!(
         (independent.state, independent.tasks),
         (JobState::Queued, 16)
     );
-    let queued = JobRecord::queued(&with_dependencies(), Wall(5));
+    let queued = JobRecord::queued(&spec_with_dependencies(), Wall(5));
     let by: JobId = "wk-000398".parse().expect("an id");
     let cancelled = read(&queued.cancelled(Wall(9), Some(&by), &LIMITS));
     assert_eq!(
@@ -101,27 +101,28 @@
     );
 }
 
-/// It would drop the dependencies, so it must not take an unfinished job that has some for one that has
-/// none, whatever becomes of the record.
+/// The version in production would drop the dependencies. So it must not be able to read the record of an unfinished
+/// job that has some, whatever becomes of the record.
 #[test]
 fn production_can_not_read_an_unfinished_job_that_has_dependencies() {
-    let queued = JobRecord::queued(&with_dependencies(), Wall(5));
+    let queued = JobRecord::queued(&spec_with_dependencies(), Wall(5));
     let value = serde_json::to_value(&queued).expect("JSON");
     assert!(serde_json::from_value::<ProductionRecord>(value.clone()).is_err());
     let read: JobRecord = serde_json::from_value(value).expect("this version reads it");
     assert_eq!(read, queued);
 }
 
-/// What was written between the two is read: with dependencies, and called pending.
+/// Versions between production and this one stored unfinished jobs with dependencies as pending: these records are
+/// read.
 #[test]
 fn dependents_that_were_stored_as_pending_are_read() {
     let mut value = json!({"state":"pending","submitted":5,"tasks":16,"spec":submission()});
     value["spec"]["awaits"] = json!(["wk-000398", "wk-000405"]);
     let read: JobRecord = serde_json::from_value(value).expect("a record");
-    assert_eq!(read, JobRecord::queued(&with_dependencies(), Wall(5)));
+    assert_eq!(read, JobRecord::queued(&spec_with_dependencies(), Wall(5)));
 }
 
-/// Production reads a leader's record of this version, and one of production's says that it is.
+/// Production can read a leader record of this version, and a leader record of production is recognized as one.
 #[test]
 fn leaders_of_either_version_are_distinguished() {
     let current = LeaderRecord::new(NodeName::from("deckhand-1"), Epoch(41), LeaseId(7));
@@ -136,10 +137,10 @@
     assert!(!production.knows_dependencies());
 }
 
-/// Without dependencies a submission is stored and forwarded as production does it, to the letter.
+/// A submission without dependencies is stored and forwarded exactly as production does it.
 #[test]
 fn a_job_without_dependencies_is_written_as_before() {
-    let spec: JobSpec = round(submission());
+    let spec: JobSpec = round_trip(submission());
     assert!(spec.dependencies.is_empty());
     let mut value = submission();
     value["awaits"] = Value::Null;
@@ -150,7 +151,7 @@
 /// A job that was accepted under larger limits can be cancelled under smaller ones.
 #[test]
 fn a_cancellation_always_fits() {
-    let mut spec = with_dependencies();
+    let mut spec = spec_with_dependencies();
     let ids = (0..1_000).map(|n| format!("wk-{n}").parse().expect("an id"));
     spec.dependencies = ids.collect();
     spec.image = Image::from("x".repeat(3_000).as_str());
@@ -204,19 +205,19 @@
     );
 }
 
-/// Fields that came after production, as this version writes them.
+/// Fields that were added after the version in production are written by this version under fixed names.
 #[test]
 fn records_of_this_version_keep_their_fields() {
     let mut dependent = submission();
     dependent["awaits"] = json!(["wk-000398"]);
-    round::<JobRecord>(json!({"state":"dependent","submitted":5,"tasks":16,
+    round_trip::<JobRecord>(json!({"state":"dependent","submitted":5,"tasks":16,
         "names_dependencies":true,"spec":dependent}));
-    round::<JobRecord>(json!({"state":"aborted","submitted":5,"cancelled":9,
+    round_trip::<JobRecord>(json!({"state":"aborted","submitted":5,"cancelled":9,
         "cancelled_by":"wk-000398","tasks":16,"names_dependencies":true}));
-    round::<JobRecord>(json!({"state":"done","submitted":5,"finished":8,"tasks":16}));
-    round::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7,"format":2}));
-    round::<LeaderRecord>(
+    round_trip::<JobRecord>(json!({"state":"done","submitted":5,"finished":8,"tasks":16}));
+    round_trip::<LeaderRecord>(json!({"node":"deckhand-1","epoch":41,"lease":7,"format":2}));
+    round_trip::<LeaderRecord>(
         json!({"node":"deckhand-1","epoch":41,"lease":7,"format":2,"superseded":true}),
     );
-    round::<WatermarkRecord>(json!({"known_to":412,"asks":433}));
+    round_trip::<WatermarkRecord>(json!({"known_to":412,"asks":433}));
 }
--- a/crates/core/src/store/transactions.rs
+++ b/crates/core/src/store/transactions.rs
@@ -6,27 +6,31 @@
 use rudderreel_wire::state::{Change, Condition};
 use serde::Serialize;
 
-/// The condition that a key has a version; version 0 is that of a key that does not exist.
+/// Returns the condition that a key has a version. Version 0 is that of a key that does not exist.
 pub fn condition(key: String, version: Version) -> Condition {
     Condition { key, version }
 }
 
-/// The change that sets a key.
+/// Returns the change that sets a key.
 pub fn put<T: Serialize>(key: String, value: &T) -> Change<Value> {
-    put_on(key, value, None)
+    put_with_optional_lease(key, value, None)
 }
 
-/// The change that sets a key which is deleted when a lease ends.
+/// Returns the change that sets a key which is deleted when a lease ends.
 pub fn put_with_lease<T: Serialize>(key: String, value: &T, lease: LeaseId) -> Change<Value> {
-    put_on(key, value, Some(lease))
+    put_with_optional_lease(key, value, Some(lease))
 }
 
-/// The change that deletes a key.
+/// Returns the change that deletes a key.
 pub fn delete(key: String) -> Change<Value> {
     Change::Delete { key }
 }
 
-fn put_on<T: Serialize>(key: String, value: &T, lease: Option<LeaseId>) -> Change<Value> {
+fn put_with_optional_lease<T: Serialize>(
+    key: String,
+    value: &T,
+    lease: Option<LeaseId>,
+) -> Change<Value> {
     Change::Put {
         key,
         value: serde_json::to_value(value).unwrap_or_default(),
