--- a/crates/core/src/cache/cancellations.rs
+++ b/crates/core/src/cache/cancellations.rs
@@ -52,15 +52,15 @@
         self.update_job(id, cancelled.version, record);
     }
 
-    /// Returns cancellations after a revision, at most `most` of them unless the first revision alone has more. Those
-    /// of one revision are never split, since the node that receives them counts everything up to a revision as
+    /// Returns cancellations after a revision, at most `max_jobs` of them unless the first revision alone has more.
+    /// Those of one revision are never split, since the node that receives them counts everything up to a revision as
     /// known.
-    pub fn cancelled_after(&self, after: Version, most: usize) -> LaterCancellations {
+    pub fn cancelled_after(&self, after: Version, max_jobs: usize) -> LaterCancellations {
         let mut later = LaterCancellations::default();
         let mut last_included = after;
         let following = Version(after.0 + 1)..;
         for (version, ids) in self.cancellations.by_version.range(following) {
-            if !later.jobs.is_empty() && later.jobs.len() + ids.len() > most {
+            if !later.jobs.is_empty() && later.jobs.len() + ids.len() > max_jobs {
                 later.cut_after = Some(last_included);
                 break;
             }
--- a/crates/core/src/cache/dependencies.rs
+++ b/crates/core/src/cache/dependencies.rs
@@ -113,8 +113,8 @@
     /// Searches some jobs and everything that they need, directly or through others.
     pub fn ancestry(&self, dependencies: &[JobId]) -> Ancestry {
         let mut found = Ancestry::default();
-        let mut open: Vec<&JobId> = dependencies.iter().collect();
-        while let Some(id) = open.pop() {
+        let mut to_visit: Vec<&JobId> = dependencies.iter().collect();
+        while let Some(id) = to_visit.pop() {
             if found.unfinished.contains_key(id) {
                 continue;
             }
@@ -130,7 +130,7 @@
                 }
                 JobState::Queued | JobState::Running => {
                     found.unfinished.insert(id.clone(), known.version);
-                    open.extend(known.dependencies());
+                    to_visit.extend(known.dependencies());
                 }
             }
         }
--- a/crates/core/src/store/calls.rs
+++ b/crates/core/src/store/calls.rs
@@ -29,7 +29,8 @@
 const TOKENS_KEPT_FOR_LEASES: f64 = 1.0;
 /// Capacity of the token bucket in seconds of calls; it holds one token more.
 const MAX_BURST_S: f64 = 0.5;
-/// Maximum length of the queue of users' calls, as the seconds that sending them takes. With more, the wait is too long.
+/// Maximum length of the queue of users' calls, in seconds that sending them takes. With more calls the wait is too
+/// long.
 const MAX_QUEUED_S: f64 = 1.0;
 
 /// A token bucket: tokens are added at a steady rate up to a maximum, and each call takes one.
@@ -104,8 +105,8 @@
 
     /// Returns whether more users' calls wait than can be sent in time: one more would be answered too late.
     pub fn is_behind(&self) -> bool {
-        let most = self.rate().max(1.0) * MAX_QUEUED_S;
-        self.queues[CallPriority::User as usize].len() as f64 > most
+        let max_queued = self.rate().max(1.0) * MAX_QUEUED_S;
+        self.queues[CallPriority::User as usize].len() as f64 > max_queued
     }
 
     /// Closes a call that has been answered. Returns its purpose, if the call was open.
--- a/crates/core/src/store/records/leaders.rs
+++ b/crates/core/src/store/records/leaders.rs
@@ -5,8 +5,8 @@
 use rudderreel_wire::ids::{Epoch, LeaseId, NodeName, Version};
 use serde::{Deserialize, Serialize};
 
-/// The latest record format that this version understands: 2 since jobs may depend on others. A leader's record without a
-/// format is that of a version that knows no dependencies.
+/// The latest record format that this version understands: 2 since jobs may depend on others. A leader's record without
+/// a format is that of a version that knows no dependencies.
 pub const RECORD_FORMAT: u32 = 2;
 
 /// One of the two keys of which a leader holds one. Every write of a leader is conditional on the version of that key.
