--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -133,14 +133,14 @@
         log::info!("version gate closed, jobs depend on others key={GATED_LEADER_KEY}");
         leader.term.switch_to_gated_key(version);
         let record = leader.term.record(&self.settings.node);
-        self.job_cache.leader_key_moved(version, record);
+        self.job_cache.record_leader_key_move(version, record);
     }
 
     /// Handles the answer to the commit that moves the machine types. A commit that was not carried out, or may not
     /// have been, is tried again.
     fn catalog_move_answered(&mut self, answer: StoreAnswer) {
         if let StoreAnswer::Committed(_) = answer {
-            self.job_cache.catalog_moved();
+            self.job_cache.record_catalog_move();
         }
         self.set_version_gate(VersionGateStep::Idle);
         self.step_down_if_superseded(&answer);
