--- a/crates/core/src/api/admin/machines.rs
+++ b/crates/core/src/api/admin/machines.rs
@@ -80,7 +80,7 @@
             machine_type: &machine.machine_type,
             zone: &machine.zone,
             is_spot: machine.is_spot,
-            age_s: Leader::age(machine, now.wall).as_secs(),
+            age_s: Leader::machine_age(machine, now.wall).as_secs(),
             silent_s: (machine.last_heard_at).map(|heard| (now.time - heard).as_secs()),
             tasks: machine.tasks.iter().filter(occupying).count(),
             free_cpus: free.cpus as f64 / MILLI,
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -92,7 +92,7 @@
 
     /// Marks a machine as retired if it is dead, stuck, or has been idle for long enough.
     fn update_retirement(&self, machine: &mut Machine) {
-        let age = Leader::age(machine, self.now.wall);
+        let age = Leader::machine_age(machine, self.now.wall);
         if let Some(reason) = self.dead.get(&machine.id) {
             machine.retire(*reason);
         }
--- a/crates/core/src/capacity/scale_out.rs
+++ b/crates/core/src/capacity/scale_out.rs
@@ -45,7 +45,7 @@
     /// Whether a machine has booted for longer than it may take.
     fn boots_late(&self, machine: &Machine, now: Wall) -> bool {
         (self.policy.machine_type(&machine.machine_type)).is_some_and(|machine_type| {
-            Leader::age(machine, now) >= Span::secs(machine_type.boot_s * LATE_BOOT_FACTOR)
+            Leader::machine_age(machine, now) >= Span::secs(machine_type.boot_s * LATE_BOOT_FACTOR)
         })
     }
 }
--- a/crates/core/src/scheduling/machine_lifecycle.rs
+++ b/crates/core/src/scheduling/machine_lifecycle.rs
@@ -57,7 +57,7 @@
     }
 
     /// Age of a machine by the time of day.
-    pub fn age(machine: &Machine, wall: Wall) -> Span {
+    pub fn machine_age(machine: &Machine, wall: Wall) -> Span {
         machine.known_since.until(wall)
     }
 }
