--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -1,14 +1,16 @@
-//! The scheduling cycle: one consistent decision over a snapshot (article: "The scheduling cycle: snapshot,
-//! session, actions, plugins").
+//! The scheduling cycle: makes one consistent set of decisions on a snapshot (article: "The scheduling cycle:
+//! snapshot, session, actions, plugins").
 //!
 //! Steps: withdraw stalled placements, take the snapshot, allocate, reclaim and preempt, consolidate, apply, plan
 //! capacity.
 //!
-//! The order of the actions differs from the article's in two points. Allocation is split: work that can't be preempted
-//! runs only within quota, which is handed out first, so it is allocated and may reclaim or preempt before preemptible
-//! work is allocated. Preemptible arrays and services reclaim only after that. When they did so earlier, a little free
-//! room, which then was reserved or went to others, kept them from taking back what their team had lent. And
-//! consolidation comes last, only if the cycle stops no work.
+//! The order of the actions differs from the article's in two points:
+//!
+//! * Allocation is split. Non-preemptible work runs only within quota, which is handed out first, so it is allocated,
+//!   and may reclaim or preempt, before preemptible work is allocated. Preemptible arrays and services reclaim only
+//!   after that allocation. When they reclaimed earlier, a small amount of free room, which was then reserved or
+//!   given to other jobs, kept them from taking back what their team had lent.
+//! * Consolidation comes last, and only if the cycle stops no work.
 
 use super::actions::{self, ImagePreference, Scenario};
 use super::snapshot::Snapshot;
@@ -19,19 +21,19 @@
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::job::Kind;
 
-/// A machine that is being emptied gets nothing new for so many cycle periods.
+/// Number of cycle periods for which a machine that is being emptied receives no new placements.
 const CORDON_PERIODS: u64 = 3;
 
-/// What the actions of a cycle decided.
+/// Decisions of the actions of one cycle.
 struct Decisions {
-    /// Tasks that go on free room, in the order in which they were decided.
+    /// Placements on free room, in the order in which they were decided.
     allocated: Vec<Placement>,
-    /// Tasks that are stopped, and those that go on the room which that frees.
+    /// Evictions, and the placements on the room that they free.
     scenario: Scenario,
 }
 
 impl Leader {
-    /// Decides and applies one cycle.
+    /// Runs one scheduling cycle and applies its decisions.
     pub fn run_cycle(&mut self, now: Now) {
         self.withdraw_stalled_placements(now.time);
         let mut snapshot = Snapshot::take(self, now);
@@ -46,7 +48,7 @@
     /// Allocates, reclaims and preempts in the snapshot.
     fn run_actions(&self, snapshot: &mut Snapshot, now: Now) -> Decisions {
         let waiting = self.waiting_jobs(now);
-        let (preemptible, first): (Vec<&Job>, Vec<&Job>) =
+        let (late_reclaimers, early_reclaimers): (Vec<&Job>, Vec<&Job>) =
             (waiting.iter()).partition(|job| job.is_preemptible() && job.spec.kind != Kind::Gang);
         let mut scenario = Scenario::default();
 
@@ -56,8 +58,8 @@
             &waiting,
             ImagePreference::CachedIfUrgent,
         );
-        actions::reclaim(self, snapshot, &first, &mut scenario);
-        actions::preempt(self, snapshot, &first, &mut scenario);
+        actions::reclaim(self, snapshot, &early_reclaimers, &mut scenario);
+        actions::preempt(self, snapshot, &early_reclaimers, &mut scenario);
         allocated.extend(actions::allocate_non_preemptible(
             self,
             snapshot,
@@ -65,10 +67,11 @@
             ImagePreference::Any,
         ));
         allocated.extend(actions::allocate_preemptible(self, snapshot, &waiting));
-        // Only now is it known which arrays find no room: free room may be reserved, or go to others. Gangs of one
-        // task have had their turn: room for larger ones is reserved while preemptible work is allocated.
-        actions::reclaim(self, snapshot, &preemptible, &mut scenario);
-        actions::preempt(self, snapshot, &preemptible, &mut scenario);
+        // Only now is it known which arrays find no room: free room may have been reserved, or given to other jobs.
+        // Gangs of one task were tried above, because room for larger gangs is reserved while preemptible work is
+        // allocated.
+        actions::reclaim(self, snapshot, &late_reclaimers, &mut scenario);
+        actions::preempt(self, snapshot, &late_reclaimers, &mut scenario);
         actions::reclaim_gangs(self, snapshot, &waiting, &mut scenario);
         Decisions {
             allocated,
@@ -76,8 +79,8 @@
         }
     }
 
-    /// Moves replicas to empty a machine, unless the cycle stops work already or did so a moment ago. The machine
-    /// is cordoned meanwhile.
+    /// Moves replicas to empty a machine, unless this cycle already stops work or the next consolidation is not due
+    /// yet. The machine is cordoned meanwhile.
     fn consolidate_if_due(&mut self, snapshot: &mut Snapshot, scenario: &mut Scenario, now: Now) {
         if !scenario.evictions.is_empty() || now.time < self.schedule.next_consolidation {
             return;
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Applies what was decided to the leader's state.
+    /// Applies the decisions to the leader's state.
     fn apply(&mut self, decisions: Decisions, now: Now) {
         let mut placements = decisions.allocated;
         placements.extend(decisions.scenario.placements);
@@ -97,13 +100,14 @@
         self.apply_evictions(decisions.scenario.evictions, now.time);
     }
 
-    /// Machines that wait for others to come free or to boot, so that a gang can start on all of them, must not be
-    /// returned as idle meanwhile.
+    /// Resets the idle time of machines that are kept for a gang until other machines become free or have booted, so
+    /// that they are not returned as idle before the gang can start on all of them.
     fn retain_awaited_machines(&mut self, snapshot: &Snapshot, expected_by_gangs: &[usize]) {
         let reserved = (snapshot.candidates.iter())
             .filter(|candidate| candidate.gang_reservation.is_some())
             .map(|candidate| &candidate.id);
-        let expected = (expected_by_gangs.iter()).map(|&at| &snapshot.candidates[at].id);
+        let expected = (expected_by_gangs.iter())
+            .map(|&candidate_index| &snapshot.candidates[candidate_index].id);
         let awaited: Vec<MachineId> = reserved.chain(expected).cloned().collect();
         for id in awaited {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
--- a/crates/core/src/scheduling/cycle/tests.rs
+++ b/crates/core/src/scheduling/cycle/tests.rs
@@ -1,7 +1,7 @@
 use crate::testing;
 
-/// Replicas whose image no machine had were put off until the end of a cycle, and an array of another team took
-/// each machine that came up: they waited a minute.
+/// Replicas whose image no machine had cached were put off until the end of a cycle, and an array of another team
+/// took each machine that came up, so that the replicas waited for a minute.
 #[test]
 fn services_are_placed_before_arrays_also_without_their_image() {
     let mut leader = testing::leader();
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -1,8 +1,8 @@
-//! Stopping what is left of cancelled and finished jobs, within the time that the platform allows
-//! (`cancel_s` of the settings).
+//! Stops the remaining tasks of cancelled and finished jobs within the time that the platform allows (`cancel_s` in
+//! the settings).
 //!
-//! A stop command is sent to each machine that may hold a task. Where that can't succeed in time the machine is
-//! returned to the cloud, which ends everything on it: [`CancelledTaskDeadline`] decides when.
+//! A stop command is sent to each machine that may hold such a task. Where the command cannot succeed in time, the
+//! machine is returned to the cloud, which ends everything on it; [`CancelledTaskDeadline`] decides when.
 
 use crate::fleet::{Machine, RetireReason, Stop, StopReason};
 use crate::jobs::job::{Job, JobStage};
@@ -10,64 +10,67 @@
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 
-/// A machine that still holds a cancelled job's task is returned so long before that task must be gone.
+/// Time before a cancelled job's task must be gone at which a machine that still holds the task is returned.
 const RETURN_LEAD_TIME: Span = Span(8_000);
-/// The lead time of a leader that has not yet had time to hear all machines.
+/// Lead time that applies to a leader that has not yet led for long enough to receive reports from all machines.
 const NEW_LEADER_RETURN_LEAD_TIME: Span = Span(RETURN_LEAD_TIME.0 / 2);
-/// After so many report intervals a new leader may act on machines that it has not heard.
+/// Number of report intervals after which a new leader may return machines from which it has received no report.
 const NEW_LEADER_REPORT_INTERVALS: u64 = 2;
-/// Stop commands may be lost on a machine that has left more calls than this unanswered in a row.
+/// Number of consecutive unanswered calls above which stop commands may not reach a machine.
 const MAX_UNANSWERED_CALLS: u32 = 1;
 
-/// When a machine that may hold a task of a cancelled job must be returned.
+/// The inputs that decide when a machine that may hold a task of a cancelled job must be returned.
 #[derive(Clone, Copy, Debug)]
 struct CancelledTaskDeadline {
-    /// How long ago the job was cancelled.
+    /// Time since the job was cancelled.
     cancelled_for: Span,
-    /// For how long this leader has led.
+    /// Time since this leader was elected.
     led_for: Span,
-    /// How long a cancelled job's tasks may remain.
+    /// Time after the cancellation by which the job's tasks must be gone.
     cancel_deadline: Span,
-    /// Interval of status reports.
+    /// Interval between status reports.
     report_interval: Span,
-    /// After so long without a status report a machine counts as silent.
+    /// Time without a status report after which a machine counts as silent.
     heartbeat_timeout: Span,
 }
 
 impl CancelledTaskDeadline {
-    /// Whether the machine must be returned now.
+    /// Returns whether the machine must be returned now.
     ///
-    /// One that can't be reached is returned in good time, for calls to the cloud may fail for a while
-    /// themselves. What a new leader has recovered may be long out of date, so it waits for status reports first:
-    /// the machine may hold much else.
+    /// A machine that cannot be reached is returned early, because calls to the cloud may also fail for a while. The
+    /// state that a new leader has recovered may be long out of date, and the machine may hold many other tasks, so a
+    /// new leader waits for status reports first.
     fn requires_return(&self, machine: &Machine, now: Time) -> bool {
-        let has_heard_fleet = self.led_for > self.heartbeat_timeout;
-        let is_half_over = self.cancelled_for > Span(self.cancel_deadline.0 / 2);
-        let early = has_heard_fleet && is_half_over && self.is_unreachable(machine, now);
-        let last_moment = has_heard_fleet && self.is_within(RETURN_LEAD_TIME);
-        let has_had_reports =
+        let is_past_heartbeat_timeout = self.led_for > self.heartbeat_timeout;
+        let is_past_half = self.cancelled_for > Span(self.cancel_deadline.0 / 2);
+        let must_return_unreachable =
+            is_past_heartbeat_timeout && is_past_half && self.is_unreachable(machine, now);
+        let must_return_before_deadline =
+            is_past_heartbeat_timeout && self.is_due_within(RETURN_LEAD_TIME);
+        let is_past_report_intervals =
             self.led_for > Span(self.report_interval.0 * NEW_LEADER_REPORT_INTERVALS);
-        // What had to be gone before this leader was elected was dealt with by the one before; the log may still
-        // name it. An agent whose node has ended takes a while to find another.
+        // A task that had to be gone before this leader was elected was handled by the previous leader; the placement
+        // log may still name it. Agents whose node has ended take a while to find another node.
         let is_stale = self.cancelled_for > self.cancel_deadline + self.led_for;
-        let new_leaders_last_moment =
-            has_had_reports && !is_stale && self.is_within(NEW_LEADER_RETURN_LEAD_TIME);
-        early || last_moment || new_leaders_last_moment
+        let must_return_as_new_leader = is_past_report_intervals
+            && !is_stale
+            && self.is_due_within(NEW_LEADER_RETURN_LEAD_TIME);
+        must_return_unreachable || must_return_before_deadline || must_return_as_new_leader
     }
 
-    /// Whether less than a lead time is left until the task must be gone.
-    fn is_within(&self, lead_time: Span) -> bool {
+    /// Returns whether less than `lead_time` is left until the task must be gone.
+    fn is_due_within(&self, lead_time: Span) -> bool {
         self.cancelled_for + lead_time > self.cancel_deadline
     }
 
-    /// Whether a stop command may not arrive. A machine that is heard but leaves calls unanswered may never get
-    /// it either.
+    /// Returns whether a stop command may not arrive. A machine that sends reports but leaves calls unanswered may
+    /// never receive the command either.
     fn is_unreachable(&self, machine: &Machine, now: Time) -> bool {
         let is_silent = (machine.last_heard_at).is_none_or(|at| now - at > self.heartbeat_timeout);
         is_silent || machine.unanswered_calls > MAX_UNANSWERED_CALLS
     }
 
-    /// Time until the machine would have to be returned.
+    /// Returns the time until the machine would have to be returned.
     fn time_left(&self) -> Span {
         let used = self.cancelled_for + RETURN_LEAD_TIME;
         Span(self.cancel_deadline.0.saturating_sub(used.0))
@@ -75,7 +78,7 @@
 }
 
 impl Leader {
-    /// Stops what is left of cancelled and finished jobs, and forgets those of which nothing is left.
+    /// Stops the remaining tasks of cancelled and finished jobs, and removes jobs that have none left.
     pub fn stop_ended_jobs(&mut self, now: Now) {
         let ended: Vec<JobId> = (self.jobs.iter())
             .filter(|(_, job)| !job.is_active())
@@ -96,21 +99,22 @@
         }
     }
 
-    /// Stops everything that may be left of a cancelled or finished job; returns the machines that may hold it.
+    /// Stops every task that may remain of a cancelled or finished job. Returns the machines that may hold one.
     pub fn stop_ended_job(&mut self, id: &JobId, now: Time) -> Vec<MachineId> {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_active()) else {
             return Vec::new();
         };
-        let places: Vec<(MachineId, Attempt)> =
+        let placements: Vec<(MachineId, Attempt)> =
             job.placements.values().flatten().cloned().collect();
         let stop = Stop::without_grace(StopReason::JobCancelled, now);
-        for (machine, attempt) in &places {
+        for (machine, attempt) in &placements {
             self.stop_attempt_on(machine, id, *attempt, stop);
         }
-        places.into_iter().map(|(machine, _)| machine).collect()
+        placements.into_iter().map(|(machine, _)| machine).collect()
     }
 
-    /// A finished job counts as cancelled just now: its tasks end by themselves.
+    /// Returns the deadline for the tasks of an ended job. A finished job counts as cancelled just now, because its
+    /// tasks end by themselves.
     fn cancelled_task_deadline(&self, job: &Job, now: Now) -> CancelledTaskDeadline {
         CancelledTaskDeadline {
             cancelled_for: match job.stage {
@@ -124,8 +128,9 @@
         }
     }
 
-    /// Has a machine returned if it may hold a cancelled task for too long. In a partitioned zone the expiry of
-    /// the machine's lease ends the task; if that is soon enough, the machine is kept for what else it holds.
+    /// Marks a machine to be returned if it may hold a cancelled task for too long. In a partitioned zone the expiry
+    /// of the machine's lease ends the task; if the lease expires soon enough, the machine is kept for the other
+    /// tasks that it holds.
     fn return_if_required(&mut self, id: &MachineId, deadline: CancelledTaskDeadline, now: Time) {
         let Some(machine) = self.fleet.machines.get_mut(id) else {
             return;
--- a/crates/core/src/scheduling/ended_jobs/tests.rs
+++ b/crates/core/src/scheduling/ended_jobs/tests.rs
@@ -17,7 +17,7 @@
     machine
 }
 
-/// Whether a machine must be returned, by the time since the cancellation and since the election.
+/// Returns whether a machine must be returned, given the time since the cancellation and since the election.
 fn requires_return(machine: &Machine, cancelled_for: Span, led_for: Span) -> bool {
     let deadline = CancelledTaskDeadline {
         cancelled_for,
@@ -29,17 +29,17 @@
     deadline.requires_return(machine, NOW)
 }
 
-/// A new leader recovered that a machine may hold a task of a job that was cancelled long ago. It returned the
-/// machine at once, with twenty replicas that ran on it.
+/// A new leader recovered a record that a machine may hold a task of a job that was cancelled long ago. It returned
+/// the machine at once, together with twenty replicas that ran on it.
 #[test]
 fn new_leader_waits_for_status_reports_before_it_returns_machines() {
     let silent = machine(None);
     let long = Span(300_000);
     assert!(!requires_return(&silent, long, Span(30)));
-    // Agents of the node that ended were still looking for another when their machines were returned.
+    // Agents of the node that ended were still looking for another node when their machines were returned.
     assert!(!requires_return(&silent, long, Span(6_000)));
     assert!(requires_return(&silent, long, Span(11_000)));
-    // A task that must be gone soon can't wait for that.
+    // A task that must be gone soon cannot wait for the reports.
     let soon = Span(35_000);
     assert!(requires_return(&silent, soon, Span(6_000)));
 }
--- a/crates/core/src/scheduling/job_queue.rs
+++ b/crates/core/src/scheduling/job_queue.rs
@@ -1,18 +1,18 @@
-//! Waiting jobs and their order: by priority, then what is overdue for its first start, then the least work left
-//! (see [`Job::queue_order`]).
+//! The queue of waiting jobs, ordered by priority, then overdue jobs first, then by the least work left (see
+//! [`Job::queue_order`]).
 
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Wall};
 use rudderreel_wire::job::Kind;
 
-/// A job that has waited so long for its first start goes before others of its priority, whatever its size.
-/// Users take a job that does not begin within four minutes for not served, and room for a large one takes a
-/// while to come free.
+/// Waiting time after which a job that has not started yet is overdue and goes before other jobs of its priority,
+/// whatever its size. Users count a job that does not begin within four minutes as not served, and it takes a while
+/// until room for a large job is free.
 const OVERDUE_AFTER: Span = Span(80_000);
 
 impl Leader {
-    /// Jobs with tasks to start, in order.
+    /// Returns the jobs that have tasks to start, in queue order.
     pub fn waiting_jobs(&self, now: Now) -> Vec<&Job> {
         let mut jobs: Vec<&Job> = (self.jobs.values())
             .filter(|job| job.is_active() && job.retry_at <= now.time && job.startable_tasks() > 0)
@@ -22,8 +22,9 @@
         jobs
     }
 
-    /// Whether a job has waited too long for its first start: then it goes before others. A gang of several tasks
-    /// does once room is reserved for it, which begins in time for it to be done in time.
+    /// Returns whether a job has waited too long for its first start and therefore goes before others. A gang of
+    /// several tasks counts as overdue once room is reserved for it, which happens early enough for the gang to be
+    /// done in time.
     pub fn is_overdue(&self, job: &Job, now: Wall) -> bool {
         match job.spec.kind {
             Kind::Gang if job.spec.tasks > 1 => {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether a job must start on a machine that has its image cached: its users' objective for the start is
+    /// Returns whether a job must start on a machine that has its image cached: the users' objective for its start is
     /// shorter than the slowest fetch of the image.
     pub fn needs_cached_image(&self, job: &Job) -> bool {
         if job.is_preemptible() {
--- a/crates/core/src/scheduling/job_records.rs
+++ b/crates/core/src/scheduling/job_records.rs
@@ -1,4 +1,4 @@
-//! Applying a job's stored record, which the watch of the key-value store delivers, to the leader's job table.
+//! Applies stored job records, which the watch of the key-value store delivers, to the leader's job table.
 
 use crate::jobs::job::{Job, JobStage};
 use crate::leader::Leader;
@@ -7,7 +7,7 @@
 use rudderreel_wire::job::JobState;
 
 impl Leader {
-    /// Applies a job's record.
+    /// Applies the stored record of a job.
     pub fn update_job(&mut self, id: &JobId, version: Version, record: &JobRecord) {
         match record.state {
             JobState::Done => {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// During failover state recovery the placement log may yet name tasks of a job that is done or cancelled: the
-    /// job is kept for them.
+    /// Restores a job that is done or cancelled during failover state recovery, because the placement log may still
+    /// name tasks of it.
     fn restore_ended_job(
         &mut self,
         id: &JobId,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Notes that a job is done. It is kept while some of its tasks may still be on a machine, and during failover
-    /// state recovery, when the placement log may yet name some.
+    /// Records that a job is done. The job is kept while some of its tasks may still be on a machine, and during
+    /// failover state recovery, while the placement log may still name some.
     pub fn finish_job(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.stage = JobStage::Finished;
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -1,19 +1,19 @@
-//! Scheduling: which waiting task starts on which machine, and what is stopped for it.
+//! Scheduling: decides on which machine each waiting task starts, and which running tasks are stopped to make room.
 //!
-//! The design follows the article "KAI Scheduler Deep Dive"; the terms *snapshot*, *action*, *statement*,
-//! *reclaim*, *preempt*, *consolidation*, *fair share* and *saturation* are used as there. A [`cycle`] freezes
-//! the leader's state into a [`snapshot`], runs the [`actions`] against it through [`statement`]s, and then
-//! applies what they decided.
+//! The design follows the article "KAI Scheduler Deep Dive"; the terms *snapshot*, *action*, *statement*, *reclaim*,
+//! *preempt*, *consolidation*, *fair share* and *saturation* have the same meaning as in that article. A [`cycle`]
+//! takes a [`snapshot`] of the leader's state, runs the [`actions`] on the snapshot through [`statement`]s, and then
+//! applies their decisions.
 //!
-//! * In: the machines, jobs and policy that the [`Leader`](crate::leader::Leader) holds, and the time.
-//! * Out: placements and stops noted on the machines of the leader ([`placements`]). Nothing is sent from here:
-//!   starts go out only after the placement log has recorded them (see `placement_log` and `dispatch`).
-//! * Invariant: a task is placed only on room that is free, or that tasks stopped in the same cycle will free;
-//!   quotas, limits and zone rules are checked in the snapshot, and again before each start in `dispatch`.
+//! * Input: the machines, jobs and policy of the [`Leader`](crate::leader::Leader), and the current time.
+//! * Output: placements and stops, recorded on the leader's machines ([`placements`]). This module sends nothing: a
+//!   start is sent only after the placement log has recorded the placement (see `placement_log` and `dispatch`).
+//! * Invariant: a task is placed only on free room, or on room that tasks stopped in the same cycle will free.
+//!   Quotas, limits and zone rules are checked in the snapshot, and again before each start in `dispatch`.
 //!
-//! Beside the cycle stand the passes over machines and jobs that the leader makes between cycles: ended jobs are
-//! stopped ([`ended_jobs`]), machines that the cloud reclaims are drained ([`spot_reclaim`]), and machines whose
-//! leases have expired are cleared ([`machine_lifecycle`]).
+//! Between cycles the leader makes these passes over jobs and machines: it stops the tasks of ended jobs
+//! ([`ended_jobs`]), drains machines that the cloud reclaims ([`spot_reclaim`]), and clears machines whose leases
+//! have expired ([`machine_lifecycle`]).
 
 pub mod actions;
 pub mod arrival_reserve;
--- a/crates/core/src/scheduling/placements.rs
+++ b/crates/core/src/scheduling/placements.rs
@@ -1,8 +1,8 @@
-//! Applying what a cycle decided to the leader's state: placements, stops, and the withdrawal of placements that
-//! can't start.
+//! Applies the decisions of a cycle to the leader's state: placements, stops, and the withdrawal of placements that
+//! cannot start.
 //!
-//! A placement makes an entry on its machine and a place of its job, both in [`Phase::Planned`]: the start is
-//! sent once the placement log has recorded it and the room is surely free.
+//! A placement is recorded on its machine, in [`Phase::Planned`], and on its job. The start is sent once the
+//! placement log has recorded the placement and the room is surely free.
 
 use super::actions::Eviction;
 use super::statement::Placement;
@@ -12,11 +12,11 @@
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// A placement that could not start for so long is withdrawn.
+/// Time after which a placement whose start has not been sent is withdrawn.
 const STALLED_AFTER: Span = Span(10_000);
 
 impl Leader {
-    /// Withdraws placements that wait for room which does not come free.
+    /// Withdraws placements that have waited too long for room that has not been freed.
     pub(crate) fn withdraw_stalled_placements(&mut self, now: Time) {
         let stalled: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
             .flat_map(|machine| machine.tasks.iter().map(move |task| (machine, task)))
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Notes placements on their machines and jobs. Tasks of a job that are placed in the same cycle share an
-    /// attempt number: the tasks of a gang find one another by it, and equal numbers are recorded in less space.
+    /// Records placements on their machines and jobs. Tasks of a job that are placed in the same cycle share an
+    /// attempt number: the tasks of a gang find one another by it, and equal numbers take less space in the records.
     pub(crate) fn apply_placements(&mut self, placements: Vec<Placement>, now: Time) {
         let mut attempts: BTreeMap<JobId, Attempt> = BTreeMap::new();
         if !placements.is_empty() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Marks evicted tasks to be stopped, each with the time that its job takes to save.
+    /// Marks evicted tasks to be stopped, each with the time that its job needs to save a checkpoint.
     pub(super) fn apply_evictions(&mut self, evictions: Vec<Eviction>, now: Time) {
         for eviction in evictions {
             log::debug!(
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Tasks of each job that run, for display.
+    /// Returns the number of running tasks of each job, for display.
     pub fn running_tasks_by_job(&self) -> BTreeMap<JobId, u32> {
         let mut counts = BTreeMap::new();
         for task in self.fleet.machines.values().flat_map(|m| &m.tasks) {
--- a/crates/core/src/scheduling/spot_reclaim.rs
+++ b/crates/core/src/scheduling/spot_reclaim.rs
@@ -1,4 +1,4 @@
-//! Draining spot machines of which the cloud has announced that it will reclaim them.
+//! Drains spot machines that the cloud has announced it will reclaim.
 
 use crate::fleet::{PlacedTask, Stop, StopReason};
 use crate::jobs::job::Job;
@@ -6,7 +6,7 @@
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 
-/// Notices may be half as long as announced, so saving begins so much before it would have to, in seconds.
+/// Margin in seconds by which saving begins earlier than it must: the notice period may be half as long as announced.
 const SAVE_MARGIN_S: f64 = 3.0;
 
 /// A task that is stopped before its machine is reclaimed.
@@ -18,8 +18,9 @@
 }
 
 impl Leader {
-    /// Stops tasks on spot machines that will be reclaimed: those that can save in time to save, those that can't
-    /// and won't finish at once, so that they start again elsewhere.
+    /// Stops tasks on spot machines that will be reclaimed. Tasks that can save a checkpoint are stopped early enough
+    /// to save it. Tasks that cannot save, and will not finish before the reclaim, are stopped at once, so that they
+    /// start again elsewhere.
     pub fn drain_reclaimed_machines(&mut self, now: Time) {
         let mut drained = Vec::new();
         for machine in self.fleet.machines.values() {
@@ -51,7 +52,7 @@
     job.spec.checkpoint_s > 0.0
 }
 
-/// Whether a task must be stopped now for its machine to be reclaimed then.
+/// Returns whether a task must be stopped now because its machine will be reclaimed at `reclaim_at`.
 fn must_stop(job: &Job, task: &PlacedTask, reclaim_at: Time, now: Time) -> bool {
     let left = reclaim_at - now;
     if can_save(job) {
--- a/crates/core/src/scheduling/spot_reclaim/tests.rs
+++ b/crates/core/src/scheduling/spot_reclaim/tests.rs
@@ -3,8 +3,8 @@
 use crate::testing::{job_of, leader, run, up, NOW};
 use rudderreel_wire::ids::Version;
 
-/// A leader with one spot machine that will be reclaimed after so many milliseconds, on which one task runs.
-fn reclaimed(estimate_s: f64, checkpoint_s: f64, left_ms: u64) -> Leader {
+/// Returns a leader with one spot machine that will be reclaimed after `left_ms` milliseconds and runs one task.
+fn leader_with_reclaimed_machine(estimate_s: f64, checkpoint_s: f64, left_ms: u64) -> Leader {
     let mut leader = leader();
     let machine = up(&mut leader, "vm-1", "a");
     let mut spec = (*job_of(1, "sweep", "red", "low", 1, 1.0).spec).clone();
@@ -19,8 +19,8 @@
     leader
 }
 
-/// The time to save that the task is stopped with, if it is stopped.
-fn stopped_with_grace(mut leader: Leader) -> Option<f64> {
+/// Returns the time to save, in seconds, that the task is stopped with; none if it is not stopped.
+fn grace_of_stop(mut leader: Leader) -> Option<f64> {
     leader.drain_reclaimed_machines(NOW.time);
     let machine = leader.fleet.machines.values().next().expect("a machine");
     machine.tasks[0].stop.map(|stop| stop.grace_s)
@@ -28,14 +28,14 @@
 
 #[test]
 fn task_that_can_save_is_stopped_in_time_to_save() {
-    let can_save = |left_ms| reclaimed(1_000.0, 60.0, left_ms);
-    assert_eq!(stopped_with_grace(can_save(8_001)), None);
-    assert_eq!(stopped_with_grace(can_save(8_000)), Some(5.0));
+    let can_save = |left_ms| leader_with_reclaimed_machine(1_000.0, 60.0, left_ms);
+    assert_eq!(grace_of_stop(can_save(8_001)), None);
+    assert_eq!(grace_of_stop(can_save(8_000)), Some(5.0));
 }
 
 #[test]
 fn task_that_cannot_save_runs_on_only_if_it_will_finish() {
-    let cannot_save = |left_ms| reclaimed(60.0, 0.0, left_ms);
-    assert_eq!(stopped_with_grace(cannot_save(60_001)), None);
-    assert_eq!(stopped_with_grace(cannot_save(60_000)), Some(0.0));
+    let cannot_save = |left_ms| leader_with_reclaimed_machine(60.0, 0.0, left_ms);
+    assert_eq!(grace_of_stop(cannot_save(60_001)), None);
+    assert_eq!(grace_of_stop(cannot_save(60_000)), Some(0.0));
 }
