--- a/crates/core/src/scheduling/actions/allocate.rs
+++ b/crates/core/src/scheduling/actions/allocate.rs
@@ -1,9 +1,9 @@
-//! Allocate: waiting tasks go on free room.
+//! Allocate: places waiting tasks on free room.
 //!
 //! Teams that use less than their fair share go first, and among them jobs in the order of the queue (priority, then
-//! what is overdue, then the least work left). Work that can't be preempted runs only within quota, which is handed
-//! out first, so it is allocated before work that can also borrow. Like tasks are decided as a class: one refusal
-//! holds for all of the same class in this cycle.
+//! overdue jobs, then the least work left). Non-preemptible work runs only within quota, which is handed out first,
+//! so it is allocated before work that can also borrow. Equivalent tasks are decided as a class: one refusal holds
+//! for all tasks of the same class in this cycle.
 
 use super::gang_reservation::reserve_for_gangs;
 use super::scoring::{best_machine, rank_machines, task_slots, ImagePreference, RankedMachine};
@@ -16,17 +16,17 @@
 use rudderreel_wire::job::Kind;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// How many tasks of a job are placed before its team's saturation is considered again.
+/// Number of tasks of a job that are placed before its team's saturation is considered again.
 const TASKS_PER_TURN: usize = 16;
 
-/// Which work is allocated.
+/// The part of the work that is allocated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Tier {
     NonPreemptible,
     Preemptible,
 }
 
-/// Allocates work that can't be preempted.
+/// Allocates non-preemptible work.
 pub fn allocate_non_preemptible(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -37,8 +37,8 @@
     allocate(leader, snapshot, queues, images)
 }
 
-/// Allocates work that can be preempted, after all that can't: also after what went without its image, which would
-/// find no room left on machines that have just come up.
+/// Allocates preemptible work, after all non-preemptible work, including that which was placed without its image
+/// cached. Otherwise that work would find no room left on machines that have just come up.
 pub fn allocate_preemptible(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -50,10 +50,10 @@
     allocate(leader, snapshot, queues, ImagePreference::Any)
 }
 
-/// Waiting jobs by team, each team's in order.
+/// Waiting jobs by team, each team's in queue order.
 struct TeamQueues<'a> {
     by_team: BTreeMap<usize, VecDeque<&'a Job>>,
-    /// The place of each job in the queue of all.
+    /// Position of each job in the queue of all waiting jobs.
     rank: HashMap<&'a JobId, usize>,
 }
 
@@ -76,8 +76,8 @@
         Self { by_team, rank }
     }
 
-    /// The team whose turn it is, and its first job: teams below their fair share first, or whose job is overdue;
-    /// then by the place of the job in the queue of all.
+    /// Returns the team whose turn it is, and its first job: teams below their fair share, or whose first job is
+    /// overdue, come first; then the position of the job in the queue of all waiting jobs decides.
     fn next(&self, leader: &Leader, snapshot: &Snapshot) -> Option<(usize, &'a Job)> {
         (self.by_team.iter())
             .filter_map(|(&team, queue)| Some((team, *queue.front()?)))
@@ -89,7 +89,7 @@
             })
     }
 
-    /// Removes the first job of a team.
+    /// Removes the first job of a team's queue.
     fn pop(&mut self, team: usize) {
         if let Some(queue) = self.by_team.get_mut(&team) {
             queue.pop_front();
@@ -111,7 +111,7 @@
             queues.pop(team);
             continue;
         }
-        let placements = place_some(leader, snapshot, job, images);
+        let placements = place_batch(leader, snapshot, job, images);
         let has_more = job.startable_tasks() as usize > snapshot.placed_count(&job.spec.id);
         let found_no_more_room =
             placements.is_empty() || (placements.len() < TASKS_PER_TURN && has_more);
@@ -126,8 +126,8 @@
     placed
 }
 
-/// Places some tasks of a job; a gang whole or not at all.
-fn place_some(
+/// Places a batch of tasks of a job; a gang is placed whole or not at all.
+fn place_batch(
     leader: &Leader,
     snapshot: &mut Snapshot,
     job: &Job,
@@ -135,13 +135,13 @@
 ) -> Vec<Placement> {
     match job.spec.kind {
         Kind::Gang => place_gang(leader, snapshot, job),
-        Kind::Array if !has_zone_rules(&job.spec) => place_alike(leader, snapshot, job),
-        Kind::Array | Kind::Service => place_each(leader, snapshot, job, images),
+        Kind::Array if !has_zone_rules(&job.spec) => place_equivalent(leader, snapshot, job),
+        Kind::Array | Kind::Service => place_one_by_one(leader, snapshot, job, images),
     }
 }
 
-/// Places tasks of which each changes where the next may go.
-fn place_each(
+/// Places tasks one by one, because each placement changes where the next task may go.
+fn place_one_by_one(
     leader: &Leader,
     snapshot: &mut Snapshot,
     job: &Job,
@@ -153,47 +153,48 @@
         if !snapshot.allows_one_more(leader, job) {
             break;
         }
-        let Some(at) = best_machine(leader, snapshot, job, images) else {
+        let Some(candidate_index) = best_machine(leader, snapshot, job, images) else {
             break;
         };
-        statement.place(leader, snapshot, job, index, at);
+        statement.place(leader, snapshot, job, index, candidate_index);
     }
     statement.commit()
 }
 
-/// Places tasks that are alike: machines are ranked once and filled one after the other.
-fn place_alike(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
+/// Places equivalent tasks: machines are ranked once and filled one after the other.
+fn place_equivalent(leader: &Leader, snapshot: &mut Snapshot, job: &Job) -> Vec<Placement> {
     let already_placed = snapshot.placed_count(&job.spec.id);
     let indexes = job.next_startable(already_placed, TASKS_PER_TURN);
     let slots = task_slots(rank_machines(leader, snapshot, job, None));
     let mut statement = Statement::default();
-    for (index, at) in indexes.into_iter().zip(slots) {
+    for (index, candidate_index) in indexes.into_iter().zip(slots) {
         if !snapshot.allows_one_more(leader, job) {
             break;
         }
-        statement.place(leader, snapshot, job, index, at);
+        statement.place(leader, snapshot, job, index, candidate_index);
     }
     statement.commit()
 }
 
-/// Places a gang whole. One that must be in one zone is tried in each, and goes to the zone where most of its
-/// machines have the image.
+/// Places a gang whole or not at all. A gang that must be in one zone is tried in each zone, and is placed in the
+/// zone where most of its machines have the image.
 fn place_gang(leader: &Leader, snapshot: &mut Snapshot, gang: &Job) -> Vec<Placement> {
     let Some(ranked) = zone_with_fewest_fetches(leader, snapshot, gang) else {
         return Vec::new();
     };
     let mut statement = Statement::default();
-    for (index, at) in (0..gang.spec.tasks).zip(task_slots(ranked)) {
+    for (index, candidate_index) in (0..gang.spec.tasks).zip(task_slots(ranked)) {
         if !snapshot.allows_one_more(leader, gang) {
             break;
         }
-        statement.place(leader, snapshot, gang, index, at);
+        statement.place(leader, snapshot, gang, index, candidate_index);
     }
     let placements = statement.commit_if_whole(leader, snapshot, gang, gang.spec.tasks);
     placements.unwrap_or_default()
 }
 
-/// The ranked machines of the zone with room for a whole gang where the fewest fetch its image.
+/// Returns the ranked machines of the zone with room for the whole gang where the fewest machines must fetch its
+/// image.
 fn zone_with_fewest_fetches(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -202,7 +203,7 @@
     let image = snapshot.image(&gang.spec.image);
     let fetches = |ranked: &Vec<RankedMachine>| {
         (ranked.iter().take(gang.spec.tasks as usize))
-            .filter(|machine| !snapshot.candidates[machine.at].has_image(image))
+            .filter(|machine| !snapshot.candidates[machine.candidate_index].has_image(image))
             .count()
     };
     (snapshot.zone_choices(&gang.spec).into_iter())
--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -1,8 +1,8 @@
-//! Consolidation: replicas are moved off a machine that holds few, if all of them have room elsewhere, so that it
-//! empties and can be returned (article: "Consolidation: defragmenting without losing work").
+//! Consolidation: moves the replicas off a machine that holds few, if all of them have room elsewhere, so that the
+//! machine becomes empty and can be returned (article: "Consolidation: defragmenting without losing work").
 //!
-//! A replica can't run in two places, so a move costs a moment of its time. It goes only to a machine that has its
-//! image, the new start is recorded before the old task is stopped, and only a few are moved in a cycle.
+//! A replica cannot run in two places, so a move interrupts it for a moment. It is moved only to a machine that has
+//! its image, the new start is recorded before the old task is stopped, and only a few replicas are moved in a cycle.
 
 use super::predicates::fits;
 use super::scenario::{Eviction, Scenario};
@@ -18,22 +18,23 @@
 use rudderreel_wire::worker::TaskState;
 use std::cmp::Reverse;
 
-/// Replicas moved in a cycle.
+/// Number of replicas moved in a cycle.
 const MAX_MOVES: usize = 2;
-/// Machines considered in a cycle.
+/// Number of machines considered in a cycle.
 const MAX_MACHINES_CONSIDERED: usize = 8;
-/// A replica is left alone for so long after its start.
+/// Time after its start during which a replica is not moved.
 const MIN_RUNTIME: Span = Span(45_000);
 
 /// A replica whose move is simulated.
 struct Move<'a> {
     victim: Victim,
     job: &'a Job,
-    /// Its new placement; empty if there is none.
+    /// New placement of the replica; empty if there is none.
     statement: Statement,
 }
 
-/// Moves replicas off the machine that is easiest to empty. Returns that machine, which must get nothing new meanwhile.
+/// Moves replicas off the machine that is easiest to empty. Returns that machine, which must receive no new
+/// placements meanwhile.
 pub fn consolidate(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -41,36 +42,38 @@
 ) -> Option<MachineId> {
     // Only a machine that holds nothing but replicas can be emptied by moving them.
     let mut order: Vec<usize> = (0..snapshot.candidates.len())
-        .filter(|&at| {
-            let candidate = &snapshot.candidates[at];
+        .filter(|&candidate_index| {
+            let candidate = &snapshot.candidates[candidate_index];
             candidate.replica_count > 0 && candidate.preemptible == Resources::default()
         })
         .collect();
-    order.sort_by_key(|&at| {
-        let candidate = &snapshot.candidates[at];
+    order.sort_by_key(|&candidate_index| {
+        let candidate = &snapshot.candidates[candidate_index];
         (candidate.used().cpus, Reverse(candidate.capacity.cpus))
     });
     (order.into_iter())
         .take(MAX_MACHINES_CONSIDERED)
-        .find_map(|at| empty_machine(leader, snapshot, scenario, at))
+        .find_map(|candidate_index| empty_machine(leader, snapshot, scenario, candidate_index))
 }
 
-/// Simulates the move of every replica of a machine, and keeps the first few moves if all have room elsewhere.
+/// Simulates the move of every replica of a machine. If all of them have room elsewhere, and room for urgent arrivals
+/// remains without the machine, keeps the first [`MAX_MOVES`] moves and returns the machine; otherwise reverts all
+/// moves.
 fn empty_machine(
     leader: &Leader,
     snapshot: &mut Snapshot,
     scenario: &mut Scenario,
-    at: usize,
+    candidate_index: usize,
 ) -> Option<MachineId> {
-    let id = snapshot.candidates[at].id.clone();
-    let replicas = movable_replicas(leader, snapshot, at)?;
-    let min_used = snapshot.candidates[at].used().cpus;
+    let id = snapshot.candidates[candidate_index].id.clone();
+    let replicas = movable_replicas(leader, snapshot, candidate_index)?;
+    let min_used = snapshot.candidates[candidate_index].used().cpus;
     let mut moves = Vec::new();
     for (placed, job) in replicas {
-        let victim = Victim::new(at, placed);
+        let victim = Victim::new(candidate_index, placed);
         snapshot.evict(leader, &victim);
         let mut statement = Statement::default();
-        if let Some(target) = move_target(leader, snapshot, job, at, min_used) {
+        if let Some(target) = move_target(leader, snapshot, job, candidate_index, min_used) {
             statement.place(leader, snapshot, job, placed.task.index, target);
         }
         moves.push(Move {
@@ -80,7 +83,7 @@
         });
     }
     let all_have_room = moves.iter().all(|planned| planned.statement.len() == 1);
-    if !all_have_room || !snapshot.has_room_for_arrivals(leader, Some(at)) {
+    if !all_have_room || !snapshot.has_room_for_arrivals(leader, Some(candidate_index)) {
         undo(leader, snapshot, moves);
         return None;
     }
@@ -92,13 +95,16 @@
     Some(id)
 }
 
-/// What is on a machine, if there is something and all of it are replicas that can be moved.
+/// Returns the tasks on a machine, if there are any and all of them are replicas that can be moved.
 fn movable_replicas<'a>(
     leader: &'a Leader,
     snapshot: &Snapshot,
-    at: usize,
+    candidate_index: usize,
 ) -> Option<Vec<(&'a PlacedTask, &'a Job)>> {
-    let machine = leader.fleet.machines.get(&snapshot.candidates[at].id)?;
+    let machine = leader
+        .fleet
+        .machines
+        .get(&snapshot.candidates[candidate_index].id)?;
     let replicas: Option<Vec<(&PlacedTask, &Job)>> = (machine.tasks.iter())
         .filter(|placed| placed.occupies_capacity())
         .map(|placed| {
@@ -109,7 +115,7 @@
     replicas.filter(|replicas| !replicas.is_empty())
 }
 
-/// Whether a task is a replica that has run for a while and is in one place only.
+/// Returns whether a task is a replica that has run for a while and is in one place only.
 fn is_movable(snapshot: &Snapshot, placed: &PlacedTask, job: &Job) -> bool {
     let has_settled =
         (placed.running_since).is_some_and(|since| snapshot.now.time - since >= MIN_RUNTIME);
@@ -121,8 +127,9 @@
         && has_settled
 }
 
-/// Where a replica could go: to a machine with its image and at least as much in use, where fewest replicas of its
-/// service are, and then the fullest.
+/// Returns the machine that a replica could move to: one that has room, its image, fewer replicas than the cap, and
+/// at least as many CPUs in use as the machine that is emptied. The one with the fewest replicas of its service is
+/// chosen, then the fullest.
 fn move_target(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -133,15 +140,17 @@
     let image = snapshot.image(&job.spec.image);
     let replica_cap = snapshot.replica_cap();
     (snapshot.candidates.iter().enumerate())
-        .filter(|(at, candidate)| *at != from && candidate.has_image(image))
+        .filter(|(candidate_index, candidate)| {
+            *candidate_index != from && candidate.has_image(image)
+        })
         .filter(|(_, candidate)| fits(leader, snapshot, job, candidate))
         .filter(|(_, candidate)| candidate.replica_count < replica_cap)
         .filter(|(_, candidate)| candidate.used().cpus >= min_used_cpus)
         .min_by_key(|(_, candidate)| (candidate.replicas_of(&job.spec.id), candidate.free.cpus))
-        .map(|(at, _)| at)
+        .map(|(candidate_index, _)| candidate_index)
 }
 
-/// Takes simulated moves back, the last one first.
+/// Reverts simulated moves, the last one first.
 fn undo(leader: &Leader, snapshot: &mut Snapshot, moves: Vec<Move>) {
     for planned in moves.into_iter().rev() {
         planned.statement.discard(leader, snapshot, planned.job);
--- a/crates/core/src/scheduling/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -1,4 +1,4 @@
-//! What reclaim and preempt share: work is stopped on one machine for a task, and only if the task then fits.
+//! Shared part of reclaim and preempt: stops work on one machine for a task, and only if the task then fits.
 //!
 //! The task is placed at once on the room that is being freed (the article's *pipeline*); its start is sent when that
 //! room is surely free. Gangs of several tasks need several machines emptied at once: see
@@ -20,30 +20,30 @@
 use rudderreel_wire::job::Kind;
 use std::collections::{HashSet, VecDeque};
 
-/// For how many jobs a cycle ranks machines by what stopping their work loses. This and the next bound are large
-/// enough that a zone's replicas find room within seconds, and small enough that a cycle stays short; what is left
-/// waits for the next.
+/// Number of jobs for which a cycle ranks machines by the loss if their work is stopped. This bound and the next are
+/// large enough that the replicas of a zone find room within seconds, and small enough that a cycle stays short; the
+/// remaining jobs and tasks wait for the next cycle.
 const MAX_JOBS_RANKED: usize = 24;
-/// For how many tasks of each job a cycle makes room.
+/// Number of tasks of each job for which a cycle makes room.
 const MAX_TASKS_PER_JOB: usize = 8;
 
-/// Whose work may be stopped, and why.
+/// Which tasks may be stopped, and for which reason.
 pub(super) struct EvictionPolicy {
-    /// Why.
+    /// Reason for the stops.
     pub(super) reason: StopReason,
-    /// Tasks that were placed more lately are spared.
+    /// Time since its placement before which a task is not stopped.
     pub(super) min_runtime: Span,
-    /// Whether work of the second job may be stopped for the first; the amounts are all that the second one's team
-    /// would have given then, on that machine.
+    /// Returns whether work of the second job may be stopped for the first. The amounts are all that the second job's
+    /// team would then lose on that machine.
     pub(super) allows: fn(&Leader, &Snapshot, &Job, &Job, &Amounts) -> bool,
 }
 
-/// How the search for a job's tasks ended.
+/// Result of the search for room for a job's tasks.
 #[derive(Default)]
 struct SearchOutcome {
-    /// Machines were ranked for it.
+    /// Whether machines were ranked for the job.
     has_ranked: bool,
-    /// A task found no machine where room could be made.
+    /// Whether a task found no machine where room could be made.
     found_none: bool,
 }
 
@@ -55,8 +55,8 @@
     scenario: &mut Scenario,
     policy: &EvictionPolicy,
 ) {
-    // Like tasks are decided as a class: where one finds no room, neither does the next. Counted by jobs, waiting
-    // gangs used up what a cycle considers, and nothing was reclaimed for arrays.
+    // Equivalent tasks are decided as a class: if one finds no room, no other does. When the bound of the cycle was
+    // counted by jobs instead, waiting gangs used it up, and nothing was reclaimed for arrays.
     let mut refused: HashSet<(&Team, TaskClass)> = HashSet::new();
     let mut jobs_ranked = 0;
     for &job in waiting.iter().filter(|job| may_evict(job)) {
@@ -75,12 +75,13 @@
     }
 }
 
-/// What fails wherever it is tried stops nobody's work.
+/// Returns whether work may be stopped for a job: it must not be a gang of several tasks, nor a job that is suspected
+/// because it fails wherever it is tried.
 fn may_evict(job: &Job) -> bool {
     (job.spec.kind != Kind::Gang || job.spec.tasks == 1) && !job.is_suspected()
 }
 
-/// Makes room for tasks of a job that are within its team's limits and find none.
+/// Makes room for tasks of a job that are within its team's limits and find no room.
 fn evict_for_job(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -89,11 +90,12 @@
     policy: &EvictionPolicy,
 ) -> SearchOutcome {
     let already_placed = snapshot.placed_count(&job.spec.id);
-    // The tasks of a job are alike: the machines are ranked once for all.
+    // The tasks of a job are equivalent, so the machines are ranked once for all of them.
     let mut ranked: Option<VecDeque<usize>> = None;
     let mut found_none = false;
     for index in job.next_startable(already_placed, MAX_TASKS_PER_JOB) {
-        // The limits first: they are a few comparisons, the search for room looks at every machine.
+        // The limits are checked first: that takes a few comparisons, while the search for room looks at every
+        // machine.
         let needs_eviction = snapshot.allows_one_more(leader, job)
             && best_machine(leader, snapshot, job, ImagePreference::CachedIfUrgent).is_none();
         if !needs_eviction {
@@ -101,7 +103,8 @@
         }
         let machines =
             ranked.get_or_insert_with(|| machines_by_loss(leader, snapshot, job, policy));
-        let Some((at, chosen)) = next_machine(leader, snapshot, job, machines, policy) else {
+        let Some((candidate_index, chosen)) = next_machine(leader, snapshot, job, machines, policy)
+        else {
             found_none = true;
             break;
         };
@@ -111,7 +114,7 @@
             scenario.evictions.push(eviction);
         }
         let mut statement = Statement::default();
-        statement.place(leader, snapshot, job, index, at);
+        statement.place(leader, snapshot, job, index, candidate_index);
         scenario.placements.extend(statement.commit());
     }
     SearchOutcome {
@@ -120,7 +123,7 @@
     }
 }
 
-/// The next of the ranked machines where room can still be made for a task, and the victims there.
+/// Returns the next of the ranked machines where room can still be made for a task, and the victims there.
 fn next_machine(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -128,20 +131,20 @@
     ranked: &mut VecDeque<usize>,
     policy: &EvictionPolicy,
 ) -> Option<(usize, VictimSet)> {
-    while let Some(at) = ranked.pop_front() {
-        if !is_eligible(leader, snapshot, job, &snapshot.candidates[at]) {
+    while let Some(candidate_index) = ranked.pop_front() {
+        if !is_eligible(leader, snapshot, job, &snapshot.candidates[candidate_index]) {
             continue;
         }
-        if let Some(chosen) = victims_on(leader, snapshot, job, at, policy) {
-            return Some((at, chosen));
+        if let Some(chosen) = victims_on(leader, snapshot, job, candidate_index, policy) {
+            return Some((candidate_index, chosen));
         }
     }
     None
 }
 
-/// Machines where room can be made for a task, the one where that loses the least first: among those that have the
-/// image, if the job's start can't wait for a fetch. If it would find free room on a machine without the image, no
-/// work is stopped on another one of these.
+/// Returns the machines where room can be made for a task, the one with the least loss first. If the job's start
+/// cannot wait for a fetch, machines that have its image come before the others. In that case, if the task would find
+/// free room on a machine without the image, no work is stopped on another machine without it.
 fn machines_by_loss(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -155,12 +158,15 @@
         .filter(|(_, candidate)| (candidate.free + candidate.preemptible).holds(&job.need))
         .filter(|(_, candidate)| is_eligible(leader, snapshot, job, candidate))
         .filter(|(_, candidate)| finds_no_room || !needs_cached || candidate.has_image(image))
-        .filter_map(|(at, candidate)| {
-            let chosen = victims_on(leader, snapshot, job, at, policy)?;
+        .filter_map(|(candidate_index, candidate)| {
+            let chosen = victims_on(leader, snapshot, job, candidate_index, policy)?;
             let must_fetch = needs_cached && !candidate.has_image(image);
-            Some((must_fetch, chosen.loss, at))
+            Some((must_fetch, chosen.loss, candidate_index))
         })
         .collect();
     by_loss.sort_unstable();
-    by_loss.into_iter().map(|(.., at)| at).collect()
+    by_loss
+        .into_iter()
+        .map(|(.., candidate_index)| candidate_index)
+        .collect()
 }
--- a/crates/core/src/scheduling/actions/gang_reservation.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation.rs
@@ -1,8 +1,8 @@
-//! Reserving room for gangs that have waited too long.
+//! Reservation of room for gangs that have waited too long.
 //!
-//! A gang of many tasks in one zone would wait for ever while smaller work takes each machine that comes free. So in
-//! good time machines of one zone are reserved for it: those that will be free soonest. Work that would not have ended
-//! by the time that enough are free does not go on them, and then the gang is placed whole.
+//! A gang of many tasks in one zone would wait forever while smaller work takes each machine that becomes free. So
+//! machines of one zone are reserved for it early enough: those that will be free soonest. Work that would not have
+//! ended by the time that enough machines are free is not placed on them, and then the gang is placed whole.
 
 use super::predicates::is_eligible;
 use crate::jobs::job::Job;
@@ -10,30 +10,31 @@
 use crate::scheduling::snapshot::{CandidateMachine, Snapshot};
 use rudderreel_wire::job::Kind;
 
-/// Room is reserved for so many gangs at the same time: more would keep too much room from small ones.
+/// Number of gangs that room is reserved for at the same time: more would keep too much room from small jobs.
 const MAX_RESERVATIONS: usize = 4;
-/// In a large fleet more gangs may wait, so one that has waited so long, in seconds, gets room beyond that number.
+/// Waiting time in seconds after which a gang gets a reservation beyond that number, because more gangs may wait in a
+/// large fleet.
 const EXEMPT_AFTER_S: f64 = 120.0;
-/// So many waiting gangs are considered in a cycle.
+/// Number of waiting gangs considered in a cycle.
 const MAX_GANGS_CONSIDERED: usize = 24;
-/// A gang should begin within so many seconds. Users take a job that does not begin within four minutes for not
-/// served. Room is reserved in time for a gang to begin well before, and not sooner: meanwhile smaller work goes
-/// first.
+/// Waiting time in seconds within which a gang should begin. Users count a job that does not begin within four
+/// minutes as not served. Room is reserved early enough for a gang to begin well before that, and not sooner: until
+/// then smaller work goes first.
 const TARGET_WAIT_S: f64 = 90.0;
-/// Machines come free so many times later than owners' estimates say.
+/// Factor by which machines become free later than owners' estimates say.
 const ESTIMATE_FACTOR: f64 = 1.5;
-/// What boots and fetches may add, in seconds.
+/// Time in seconds that boots and fetches may add.
 const START_MARGIN_S: f64 = 30.0;
 
 /// Machines that could hold a gang.
 struct GangRoom {
-    /// Their places among the candidates.
+    /// Indices of the machines in [`Snapshot::candidates`].
     machines: Vec<usize>,
-    /// In how many seconds they will probably have room for the whole gang.
+    /// Expected time in seconds until they have room for the whole gang.
     ready_in_s: f64,
 }
 
-/// Reserves machines for gangs that would not begin in time otherwise, longest waiting first.
+/// Reserves machines for gangs that would not begin in time otherwise, the longest waiting gang first.
 pub(super) fn reserve_for_gangs(leader: &Leader, snapshot: &mut Snapshot, waiting: &[&Job]) {
     snapshot.clear_gang_reservations();
     let mut gangs: Vec<&Job> = (waiting.iter().copied())
@@ -44,7 +45,7 @@
         let waited_s = gang.waiting_since().until(snapshot.now.wall).as_secs();
         let is_exempt = waited_s >= EXEMPT_AFTER_S;
         if snapshot.gang_reservation_count() >= MAX_RESERVATIONS && !is_exempt {
-            // The others have waited less.
+            // The remaining gangs have waited for less time.
             return;
         }
         let Some(room) = soonest_room(leader, snapshot, gang) else {
@@ -57,8 +58,8 @@
     }
 }
 
-/// Whether room may be reserved for a job: a gang of several tasks that has not begun, and is not suspected to fail
-/// wherever it is tried.
+/// Returns whether room may be reserved for a job: it must be a gang of several tasks that has not begun and is not
+/// suspected to fail wherever it is tried.
 fn may_reserve(snapshot: &Snapshot, job: &Job) -> bool {
     job.spec.kind == Kind::Gang
         && job.spec.tasks > 1
@@ -67,14 +68,14 @@
         && snapshot.placed_count(&job.spec.id) == 0
 }
 
-/// The machines, of one zone if the gang must be in one, that could hold it soonest.
+/// Returns the machines that could hold a gang soonest, all of one zone if the gang must be in one.
 fn soonest_room(leader: &Leader, snapshot: &Snapshot, gang: &Job) -> Option<GangRoom> {
     (snapshot.zone_choices(&gang.spec).into_iter())
         .filter_map(|zone| soonest_room_in(leader, snapshot, gang, zone))
         .min_by(|one, other| one.ready_in_s.total_cmp(&other.ready_in_s))
 }
 
-/// The machines of a zone that could hold a gang soonest; none if there are too few.
+/// Returns the machines of a zone that could hold a gang soonest; none if there are too few.
 fn soonest_room_in(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -85,17 +86,17 @@
         .filter(|(_, candidate)| zone.is_none_or(|zone| zone == candidate.zone_index))
         .filter(|(_, candidate)| candidate.gang_reservation.is_none())
         .filter(|(_, candidate)| is_eligible(leader, snapshot, gang, candidate))
-        .map(|(at, candidate)| (at, FutureRoom::of(gang, candidate)))
+        .map(|(candidate_index, candidate)| (candidate_index, FutureRoom::of(gang, candidate)))
         .filter(|(_, room)| room.tasks > 0)
         .collect();
-    by_readiness.sort_by(|(at, room), (other_at, other)| {
+    by_readiness.sort_by(|(candidate_index, room), (other_index, other)| {
         let by_time = room.ready_in_s.total_cmp(&other.ready_in_s);
-        by_time.then(at.cmp(other_at))
+        by_time.then(candidate_index.cmp(other_index))
     });
     let mut left = gang.spec.tasks;
     let mut machines = Vec::new();
-    for (at, room) in by_readiness {
-        machines.push(at);
+    for (candidate_index, room) in by_readiness {
+        machines.push(candidate_index);
         left = left.saturating_sub(room.tasks);
         if left == 0 {
             return Some(GangRoom {
@@ -114,13 +115,14 @@
 }
 
 impl FutureRoom {
-    /// What has room now, or else once the machine's finite tasks have ended.
+    /// Returns the room that the machine has now, or, if it has none, the room once its tasks that end by themselves
+    /// have ended.
     fn of(gang: &Job, candidate: &CandidateMachine) -> Self {
         let free = candidate.unreserved();
         match free.count(&gang.need) {
             0 => Self {
-                ready_in_s: candidate.finite_end_in_s,
-                tasks: (free + candidate.finite).count(&gang.need),
+                ready_in_s: candidate.finite_tasks_end_in_s,
+                tasks: (free + candidate.finite_tasks_need).count(&gang.need),
             },
             tasks => Self {
                 ready_in_s: 0.0,
--- a/crates/core/src/scheduling/actions/gang_reservation/tests.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation/tests.rs
@@ -2,7 +2,8 @@
 use crate::testing::{job_of, leader, run, up, NOW};
 use crate::units::{Now, Span};
 
-/// Two machines in each of two zones, one of each zone full for four seconds, and a gang of two whole machines.
+/// Returns a leader with two machines in each of two zones, one machine of each zone full for four seconds, and a
+/// gang that needs two whole machines.
 fn full_fleet() -> (Leader, Job) {
     let mut leader = leader();
     for zone in ["a", "b"] {
@@ -25,7 +26,7 @@
     (leader, gang)
 }
 
-/// Zones of the machines that are reserved once the gang has waited for so long.
+/// Returns the zones of the machines that are reserved once the gang has waited for `waited`.
 fn reserved_after(waited: Span) -> Vec<String> {
     let (leader, gang) = full_fleet();
     let now = Now {
@@ -47,5 +48,8 @@
     assert_eq!(reserved_after(Span(0)), Vec::<String>::new());
     let reserved = reserved_after(Span(100_000));
     assert_eq!(reserved.len(), 2);
-    assert_eq!(reserved[0], reserved[1], "one zone");
+    assert_eq!(
+        reserved[0], reserved[1],
+        "the reserved machines must be in one zone"
+    );
 }
--- a/crates/core/src/scheduling/actions/mod.rs
+++ b/crates/core/src/scheduling/actions/mod.rs
@@ -1,14 +1,14 @@
 //! The actions of a cycle (article: "The five actions"), each in a module of its own:
 //!
-//! * [`allocate`]: waiting tasks go on free room; nothing is stopped.
-//! * [`mod@reclaim`] and [`reclaim_gang`]: room that other teams borrowed is taken back.
-//! * [`mod@preempt`]: work of lower priority in the same team makes room.
-//! * [`mod@consolidate`]: replicas are moved off a machine so that it can be returned.
+//! * [`allocate`]: places waiting tasks on free room; nothing is stopped.
+//! * [`mod@reclaim`] and [`reclaim_gang`]: take back room that other teams borrowed.
+//! * [`mod@preempt`]: stops work of lower priority in the same team to make room.
+//! * [`mod@consolidate`]: moves replicas off a machine so that it can be returned.
 //!
-//! What they share: filters ([`predicates`]) and scores ([`scoring`]) of machines, the search for [`victims`]
-//! ([`evict`]), the class of tasks that are decided alike ([`task_class`]), and room reserved for gangs
-//! ([`gang_reservation`]). The article's action for stale gangs has no counterpart here: a gang that lost a task
-//! is restarted where its agents' status reports are reconciled.
+//! Shared by the actions: filters ([`predicates`]) and scores ([`scoring`]) of machines, the search for [`victims`]
+//! ([`evict`]), classes of equivalent tasks ([`task_class`]), and room reserved for gangs ([`gang_reservation`]). The
+//! article's action for stale gangs has no counterpart here: a gang that lost a task is restarted when the status
+//! reports of its agents are reconciled.
 
 mod allocate;
 mod consolidate;
@@ -36,7 +36,7 @@
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 
-/// Whether one more task of a job has room somewhere.
+/// Returns whether one more task of a job has room on any machine.
 pub fn has_room(leader: &Leader, snapshot: &Snapshot, job: &Job) -> bool {
     scoring::best_machine(leader, snapshot, job, ImagePreference::Any).is_some()
 }
--- a/crates/core/src/scheduling/actions/predicates.rs
+++ b/crates/core/src/scheduling/actions/predicates.rs
@@ -1,4 +1,4 @@
-//! Filters: which machines a task may go on.
+//! Filters: decide which machines a task may be placed on.
 
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -6,12 +6,12 @@
 use rudderreel_wire::ids::{TypeName, Zone};
 use rudderreel_wire::job::{JobSpec, Kind};
 
-/// Owners' estimates are often too short: a task is expected to take so many times its estimate.
+/// Factor by which a task is expected to exceed its owner's estimate: estimates are often too short.
 const ESTIMATE_FACTOR: f64 = 1.4;
-/// What a start takes besides, mostly for its image, in seconds.
+/// Time in seconds that a start takes in addition, mostly to fetch the image.
 const START_DELAY_S: f64 = 8.0;
 
-/// Node affinity: whether a job may use machines of a type and zone, and spot instances.
+/// Node affinity: returns whether a job may use machines of a type and zone, and spot instances.
 pub fn satisfies_node_affinity(
     spec: &JobSpec,
     machine_type: &TypeName,
@@ -23,12 +23,12 @@
         && (spec.zone.as_ref()).is_none_or(|wanted| wanted == zone)
 }
 
-/// Whether one more task of the job fits on a machine: it has room, and nothing else speaks against it.
+/// Returns whether one more task of the job fits on a machine: the machine has room and is eligible.
 pub fn fits(leader: &Leader, snapshot: &Snapshot, job: &Job, candidate: &CandidateMachine) -> bool {
     candidate.free_for(job).holds(&job.need) && is_eligible(leader, snapshot, job, candidate)
 }
 
-/// Whether one more task of the job may go on a machine if there is room.
+/// Returns whether one more task of the job may be placed on a machine if there is room.
 pub(super) fn is_eligible(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -47,11 +47,11 @@
             .failures
             .avoids_machine(&candidate.id, snapshot.now.time)
         && !wastes_gpus(leader, job, candidate)
-        && keeps_zone_rules(snapshot, &job.spec, candidate.zone_index)
+        && satisfies_zone_rules(snapshot, &job.spec, candidate.zone_index)
 }
 
-/// Whether a machine is reserved for another gang. Work that can't be preempted goes before that, and work that
-/// will have ended when the gang has room enough is let in meanwhile.
+/// Returns whether a machine is reserved for another gang and therefore closed to the job. Non-preemptible work takes
+/// precedence over the reservation, and work that will have ended by the time the gang has enough room is admitted.
 fn is_reserved_for_other_gang(job: &Job, candidate: &CandidateMachine) -> bool {
     let Some(reservation) = &candidate.gang_reservation else {
         return false;
@@ -60,20 +60,22 @@
     job.is_preemptible() && reservation.gang != job.spec.id && ends_in_s > reservation.ready_in_s
 }
 
-/// Anti-affinity to GPUs: work without GPUs stays off machines with free GPUs if it could ever run elsewhere, and
-/// replicas off all machines with GPUs, which they would hold long after the work on the GPUs is done.
+/// Anti-affinity to GPUs: returns whether a job must stay off a machine because of its GPUs. Work without GPUs stays
+/// off machines with free GPUs if it could ever run elsewhere. Replicas stay off all machines with GPUs, because they
+/// would occupy them long after the work on the GPUs is done.
 fn wastes_gpus(leader: &Leader, job: &Job, candidate: &CandidateMachine) -> bool {
     let outlasts_gpu_work = job.spec.kind == Kind::Service && candidate.capacity.gpus > 0;
     (candidate.free.gpus > 0 || outlasts_gpu_work) && should_avoid_gpus(leader, job)
 }
 
-/// Whether a job needs no GPUs and could run on some machine type without them.
+/// Returns whether a job needs no GPUs and could run on some machine type without them.
 pub fn should_avoid_gpus(leader: &Leader, job: &Job) -> bool {
     job.need.gpus == 0 && leader.policy.fits_without_gpus(&job.spec, &job.need)
 }
 
-/// Affinity between the tasks of a job: whether one more may be in a zone, given where the others may be.
-fn keeps_zone_rules(snapshot: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
+/// Affinity between the tasks of a job: returns whether one more task may be in a zone, given the zones where the
+/// others may be.
+fn satisfies_zone_rules(snapshot: &Snapshot, spec: &JobSpec, zone: usize) -> bool {
     if !has_zone_rules(spec) {
         return true;
     }
--- a/crates/core/src/scheduling/actions/predicates/tests.rs
+++ b/crates/core/src/scheduling/actions/predicates/tests.rs
@@ -17,12 +17,12 @@
     let mut snapshot = Snapshot::take(&leader, NOW);
     let gang: JobId = "wk-9".parse().expect("an id");
     snapshot.reserve_for_gang(&gang, &[0], 50.0);
-    let is_let_in = |job: &Job| fits(&leader, &snapshot, job, &snapshot.candidates[0]);
-    assert!(is_let_in(&job(9, "normal", 1_000.0)), "the gang itself");
-    // With 40% more than its estimate and 8 s for its start it ends just before.
-    assert!(is_let_in(&job(1, "normal", 30.0)));
-    assert!(!is_let_in(&job(2, "normal", 30.1)));
-    assert!(is_let_in(&job(3, "prod", 1_000.0)));
+    let is_admitted = |job: &Job| fits(&leader, &snapshot, job, &snapshot.candidates[0]);
+    assert!(is_admitted(&job(9, "normal", 1_000.0)), "the gang itself");
+    // With 40% more than its estimate and 8 s for its start, this task ends just before the gang has its room.
+    assert!(is_admitted(&job(1, "normal", 30.0)));
+    assert!(!is_admitted(&job(2, "normal", 30.1)));
+    assert!(is_admitted(&job(3, "prod", 1_000.0)));
 }
 
 #[test]
--- a/crates/core/src/scheduling/actions/preempt.rs
+++ b/crates/core/src/scheduling/actions/preempt.rs
@@ -1,5 +1,5 @@
-//! Preempt: within a team, work of strictly lower priority makes room for a waiting job (article: "Two eviction paths,
-//! never mixed").
+//! Preempt: within a team, work of strictly lower priority is stopped to make room for a waiting job (article: "Two
+//! eviction paths, never mixed").
 
 use super::evict::{evict_for, EvictionPolicy};
 use super::scenario::Scenario;
@@ -16,7 +16,7 @@
     waiting: &[&Job],
     scenario: &mut Scenario,
 ) {
-    // Only what some other work yields to can preempt.
+    // Only a job with a higher priority than some other job can preempt.
     let lowest = leader.jobs.values().map(|job| job.urgency.priority).min();
     let may_find_victims: Vec<&Job> = (waiting.iter().copied())
         .filter(|job| Some(job.spec.priority) > lowest)
@@ -29,9 +29,10 @@
     evict_for(leader, snapshot, &may_find_victims, scenario, &policy);
 }
 
-/// An inherited priority protects a job from being stopped, and goes first where room is free; no work is stopped for
-/// it. (Stages of pipelines stopped some three hundred tasks that can't save on one day of a large deployment, and
-/// deadlines were missed for it; the pipelines were in time without.)
+/// Returns whether a job may preempt a victim. An inherited priority protects a job from being stopped, and places it
+/// first where room is free, but no work is stopped for it: when pipeline stages with an inherited priority did
+/// preempt, they stopped some three hundred tasks that cannot save on one day of a large deployment, and deadlines
+/// were missed because of it. Without that the pipelines were in time.
 fn may_preempt(_: &Leader, _: &Snapshot, job: &Job, victim: &Job, _: &Amounts) -> bool {
     job.spec.team == victim.spec.team && job.spec.priority > victim.urgency.priority
 }
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -1,12 +1,12 @@
-//! Reclaim for gangs of several tasks: in one statement, simulated whole and kept whole.
+//! Reclaim for gangs of several tasks: simulated in one statement that is kept whole or discarded.
 //!
-//! A gang needs several machines at once, in one zone mostly. What other teams borrowed there is stopped, in the order
-//! of what is lost by it, until the gang fits; victims that turn out not to be needed are spared; and if the gang does
-//! not fit after all, nothing is stopped. Gangs are victims as a whole, wherever their tasks are, and save what they
-//! have.
+//! A gang needs several machines at once, mostly in one zone. Tasks that run there on room borrowed by other teams
+//! are stopped, in the order of the loss, until the gang fits. Victims that turn out not to be needed are spared, and
+//! if the gang does not fit after all, nothing is stopped. A victim gang is stopped as a whole, wherever its tasks
+//! are, and its tasks save what they can.
 //!
-//! Invariant: every victim's team stays at or above its fair share, and the gang's own within its share, so that
-//! neither can take the room back from the other.
+//! Invariant: every victim's team stays at or above its fair share, and the gang's own team stays within its share,
+//! so that neither can take the room back from the other.
 
 mod victim_group;
 
@@ -26,10 +26,10 @@
 use std::collections::{BTreeSet, HashMap};
 use victim_group::VictimGroup;
 
-/// So many waiting gangs are considered in a cycle: each means a search through all that is borrowed.
+/// Number of waiting gangs considered in a cycle: each requires a search through all borrowed room.
 const MAX_GANGS_CONSIDERED: usize = 2;
 
-/// Reclaims borrowed room for gangs of teams that stay within their fair share with them.
+/// Reclaims borrowed room for gangs whose teams stay within their fair share with them.
 pub fn reclaim_gangs(
     leader: &Leader,
     snapshot: &mut Snapshot,
@@ -49,7 +49,7 @@
         return;
     }
     let positions: HashMap<MachineId, usize> = (snapshot.candidates.iter().enumerate())
-        .map(|(at, candidate)| (candidate.id.clone(), at))
+        .map(|(candidate_index, candidate)| (candidate.id.clone(), candidate_index))
         .collect();
     for gang in gangs {
         let search = GangSearch {
@@ -61,7 +61,8 @@
     }
 }
 
-/// Whether a gang's team stays within its fair share, and all nodes above it within their limits, with it.
+/// Returns whether a gang's team stays within its fair share with the gang, and the team and all nodes above it
+/// within their limits.
 fn stays_within_share(leader: &Leader, snapshot: &Snapshot, gang: &Job) -> bool {
     let need = gang.need.times(gang.spec.tasks);
     let Some(team) = leader.policy.teams.find(&gang.spec.team) else {
@@ -72,13 +73,13 @@
         && snapshot.within_limits(leader, gang, &amounts(&need))
 }
 
-/// A group that is stopped in the simulation, and how many tasks of the gang find room by that.
-struct StoppedGroup {
+/// A group whose eviction is simulated, and the number of tasks of the gang that gain room by it.
+struct EvictedGroup {
     group: VictimGroup,
     gained: u32,
 }
 
-/// Groups whose stop makes room for a gang in a zone, or in several if none is given.
+/// Groups whose eviction makes room for a gang in a zone, or in any zones if none is given.
 struct ReclaimPlan {
     groups: Vec<VictimGroup>,
     zone: Option<usize>,
@@ -87,13 +88,13 @@
 /// The search for room for one gang.
 struct GangSearch<'a> {
     leader: &'a Leader,
-    /// Places of machines among the candidates.
+    /// Indices of machines in [`Snapshot::candidates`].
     positions: &'a HashMap<MachineId, usize>,
     gang: &'a Job,
 }
 
 impl GangSearch<'_> {
-    /// Reclaims room where that loses the least, and places the gang there, unless it fits as it is.
+    /// Reclaims room in the zone with the least loss, and places the gang there, unless it already fits somewhere.
     fn reclaim(&self, snapshot: &mut Snapshot, scenario: &mut Scenario) {
         let zones = snapshot.zone_choices(&self.gang.spec);
         if (zones.iter()).any(|zone| self.room_in(snapshot, *zone) >= self.gang.spec.tasks) {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Of the plans for each zone the one that loses the least; the snapshot is left as it was.
+    /// Returns the plan with the least loss among the plans for each zone. The snapshot is left as it was.
     fn cheapest_plan(
         &self,
         snapshot: &mut Snapshot,
@@ -134,21 +135,21 @@
         plans.into_iter().min_by_key(ReclaimPlan::loss)
     }
 
-    /// How many tasks of the gang find room in a zone.
+    /// Returns the number of tasks of the gang that find room in a zone.
     fn room_in(&self, snapshot: &Snapshot, zone: Option<usize>) -> u32 {
         (rank_machines(self.leader, snapshot, self.gang, zone).iter())
             .map(|machine| machine.tasks)
             .fold(0, u32::saturating_add)
     }
 
-    /// What must be stopped for the gang to fit into a zone; it is simulated in the snapshot, which is left as it was
-    /// if there is not enough.
+    /// Returns the groups to be stopped for the gang to fit into a zone, with their eviction simulated in the
+    /// snapshot. If there is not enough to stop, the snapshot is left as it was.
     fn make_room(&self, snapshot: &mut Snapshot, zone: Option<usize>) -> Option<Vec<VictimGroup>> {
-        let want = self.gang.spec.tasks;
+        let tasks_needed = self.gang.spec.tasks;
         let mut room = self.room_in(snapshot, zone);
-        let mut stopped: Vec<StoppedGroup> = Vec::new();
+        let mut evicted: Vec<EvictedGroup> = Vec::new();
         for group in self.victim_groups(snapshot, zone) {
-            if room >= want {
+            if room >= tasks_needed {
                 break;
             }
             if !group.is_borrowed(self.leader, snapshot, self.gang) {
@@ -157,19 +158,20 @@
             let gained = self.evict_if_useful(snapshot, zone, &group);
             if gained > 0 {
                 room += gained;
-                stopped.push(StoppedGroup { group, gained });
+                evicted.push(EvictedGroup { group, gained });
             }
         }
-        if room < want {
-            for stopped in &stopped {
-                stopped.group.restore(self.leader, snapshot);
+        if room < tasks_needed {
+            for evicted in &evicted {
+                evicted.group.restore(self.leader, snapshot);
             }
             return None;
         }
-        Some(self.spare_unneeded(snapshot, stopped, room))
+        Some(self.spare_unneeded(snapshot, evicted, room))
     }
 
-    /// Simulates the stop of a group, and takes it back if no task of the gang gains room by it. Returns how many do.
+    /// Simulates the eviction of a group, and reverts it if no task of the gang gains room by it. Returns the number
+    /// of tasks that do.
     fn evict_if_useful(
         &self,
         snapshot: &mut Snapshot,
@@ -186,15 +188,15 @@
         gained
     }
 
-    /// Spares groups that are not needed any more after later ones were stopped, too.
+    /// Spares groups that are no longer needed because of groups that were evicted after them.
     fn spare_unneeded(
         &self,
         snapshot: &mut Snapshot,
-        stopped: Vec<StoppedGroup>,
+        evicted: Vec<EvictedGroup>,
         mut room: u32,
     ) -> Vec<VictimGroup> {
         let mut needed = Vec::new();
-        for StoppedGroup { group, gained } in stopped {
+        for EvictedGroup { group, gained } in evicted {
             if room - gained >= self.gang.spec.tasks {
                 group.restore(self.leader, snapshot);
                 room -= gained;
@@ -205,37 +207,42 @@
         needed
     }
 
-    /// How many tasks of the gang find room on the machines of a group.
+    /// Returns the number of tasks of the gang that find room on the machines of a group.
     fn room_on_machines_of(
         &self,
         snapshot: &Snapshot,
         zone: Option<usize>,
         group: &VictimGroup,
     ) -> u32 {
-        let machines: BTreeSet<usize> = group.tasks.iter().map(|victim| victim.at).collect();
+        let machines: BTreeSet<usize> = group
+            .tasks
+            .iter()
+            .map(|victim| victim.candidate_index)
+            .collect();
         (machines.into_iter())
-            .map(|at| &snapshot.candidates[at])
+            .map(|candidate_index| &snapshot.candidates[candidate_index])
             .filter(|candidate| zone.is_none_or(|zone| zone == candidate.zone_index))
             .filter(|candidate| fits(self.leader, snapshot, self.gang, candidate))
             .map(|candidate| candidate.unreserved().count(&self.gang.need))
             .sum()
     }
 
-    /// What could be stopped in a zone, in the order of what is lost for the room that comes free.
+    /// Returns the groups that could be stopped in a zone, in the order of the loss per CPU that is freed.
     fn victim_groups(&self, snapshot: &Snapshot, zone: Option<usize>) -> Vec<VictimGroup> {
         let mut gangs_seen: BTreeSet<(&JobId, Attempt)> = BTreeSet::new();
         let mut groups = Vec::new();
-        for (at, machine) in self.machines_in(snapshot, zone) {
+        for (candidate_index, machine) in self.machines_in(snapshot, zone) {
             for placed in &machine.tasks {
                 let Some(owner) = self.leader.jobs.get(&placed.task.job) else {
                     continue;
                 };
-                if owner.spec.team == self.gang.spec.team || !self.may_stop(snapshot, owner, placed)
+                if owner.spec.team == self.gang.spec.team
+                    || !self.may_evict(snapshot, owner, placed)
                 {
                     continue;
                 }
                 if owner.spec.kind != Kind::Gang || owner.spec.tasks == 1 {
-                    let tasks = vec![Victim::new(at, placed)];
+                    let tasks = vec![Victim::new(candidate_index, placed)];
                     groups.push(VictimGroup::new(self.leader, snapshot, tasks));
                 } else if gangs_seen.insert((&owner.spec.id, placed.attempt)) {
                     groups.extend(self.whole_gang(snapshot, owner, placed.attempt));
@@ -246,7 +253,8 @@
         groups
     }
 
-    /// Machines of a zone that could hold a task of the gang, with their places among the candidates.
+    /// Returns the machines of a zone that could hold a task of the gang, with their indices in
+    /// [`Snapshot::candidates`].
     fn machines_in<'s>(
         &'s self,
         snapshot: &'s Snapshot,
@@ -255,18 +263,21 @@
         (snapshot.candidates.iter().enumerate())
             .filter(move |(_, candidate)| zone.is_none_or(|zone| zone == candidate.zone_index))
             .filter(|(_, candidate)| is_eligible(self.leader, snapshot, self.gang, candidate))
-            .filter_map(|(at, candidate)| {
-                Some((at, self.leader.fleet.machines.get(&candidate.id)?))
+            .filter_map(|(candidate_index, candidate)| {
+                Some((
+                    candidate_index,
+                    self.leader.fleet.machines.get(&candidate.id)?,
+                ))
             })
             .filter(|(_, machine)| machine.capacity.holds(&self.gang.need))
     }
 
-    fn may_stop(&self, snapshot: &Snapshot, owner: &Job, placed: &PlacedTask) -> bool {
+    fn may_evict(&self, snapshot: &Snapshot, owner: &Job, placed: &PlacedTask) -> bool {
         let min_runtime = self.leader.policy.reclaim_min_runtime;
         owner.is_active() && is_evictable(snapshot, placed, owner, min_runtime)
     }
 
-    /// A gang with all its tasks, if all of them are there and may be stopped.
+    /// Returns a gang with all its tasks, if each of them is in exactly one place and may be stopped.
     fn whole_gang(
         &self,
         snapshot: &Snapshot,
@@ -278,26 +289,26 @@
             let [(machine, placed_attempt)] = places.as_slice() else {
                 return None;
             };
-            let at = *self.positions.get(machine)?;
+            let candidate_index = *self.positions.get(machine)?;
             let task = owner.spec.id.task(*index);
             let on_machine = &self.leader.fleet.machines.get(machine)?.tasks;
             let placed = (on_machine.iter())
                 .find(|placed| placed.attempt == *placed_attempt && placed.task == task)?;
-            if *placed_attempt != attempt || !self.may_stop(snapshot, owner, placed) {
+            if *placed_attempt != attempt || !self.may_evict(snapshot, owner, placed) {
                 return None;
             }
-            tasks.push(Victim::new(at, placed));
+            tasks.push(Victim::new(candidate_index, placed));
         }
         let is_whole = tasks.len() as u32 == owner.spec.tasks;
         is_whole.then(|| VictimGroup::new(self.leader, snapshot, tasks))
     }
 
-    /// Places the gang whole.
+    /// Places the gang whole or not at all.
     fn place(&self, snapshot: &mut Snapshot, zone: Option<usize>) -> Option<Vec<Placement>> {
         let slots = task_slots(rank_machines(self.leader, snapshot, self.gang, zone));
         let mut statement = Statement::default();
-        for (index, at) in (0..self.gang.spec.tasks).zip(slots) {
-            statement.place(self.leader, snapshot, self.gang, index, at);
+        for (index, candidate_index) in (0..self.gang.spec.tasks).zip(slots) {
+            statement.place(self.leader, snapshot, self.gang, index, candidate_index);
         }
         statement.commit_if_whole(self.leader, snapshot, self.gang, self.gang.spec.tasks)
     }
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -5,9 +5,9 @@
 use rudderreel_wire::ids::TaskId;
 use std::collections::BTreeMap;
 
-/// A crowded fleet: one team runs much of it, in gangs and single tasks, and the other waits with
-/// a gang for whole machines of one zone.
-fn crowded(rng: &mut StdRng) -> (Leader, Job) {
+/// Returns a crowded fleet: one team uses much of it, with gangs and single tasks, and the other team waits with a
+/// gang that needs whole machines of one zone.
+fn crowded_fleet(rng: &mut StdRng) -> (Leader, Job) {
     let mut leader = leader();
     let machines: Vec<MachineId> = (0..rng.random_range(8..24))
         .map(|n| up(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
@@ -32,8 +32,8 @@
         let team = if rng.random_bool(0.85) { "red" } else { "blue" };
         let running = job_of(n, kind, team, "normal", tasks, cpus);
         for index in 0..tasks {
-            let at = rng.random_range(0..free.len());
-            let machine = free.remove(at);
+            let position = rng.random_range(0..free.len());
+            let machine = free.remove(position);
             run(&mut leader, &running, index, &machine);
         }
     }
@@ -43,7 +43,7 @@
     (leader, waiting)
 }
 
-/// CPUs that a team's tasks use, looked up on every machine, but for some tasks.
+/// Returns the CPUs that a team's tasks use, summed over every machine, without the tasks in `without`.
 fn used(leader: &Leader, team: &str, without: &BTreeSet<TaskId>) -> i64 {
     let entries = leader.fleet.machines.values().flat_map(|m| &m.tasks);
     entries
@@ -53,7 +53,7 @@
         .sum()
 }
 
-/// How many tasks of a gang a zone has room for if some tasks are stopped.
+/// Returns the number of tasks of a gang that a zone has room for if the tasks in `without` are stopped.
 fn room_for(leader: &Leader, job: &Job, zone: &str, without: &BTreeSet<TaskId>) -> u32 {
     (leader.fleet.machines.values())
         .filter(|m| m.zone == zone.into())
@@ -67,11 +67,11 @@
         .sum()
 }
 
-/// What was decided for a gang, with what it was decided on.
+/// The decisions for a gang, and the state that they were based on.
 struct Outcome<'a> {
     leader: &'a Leader,
     gang: &'a Job,
-    /// Fair shares of the two teams, in CPUs, before.
+    /// Fair shares of the two teams before the decisions, in CPUs.
     share_of_red: f64,
     share_of_blue: f64,
     stopped: BTreeSet<TaskId>,
@@ -99,55 +99,70 @@
         }
     }
 
-    /// The gang is placed whole in one zone, which has room for it only now. Returns the zone.
+    /// Checks that the gang is placed whole in one zone, and that no zone had room for it before the evictions.
+    /// Returns the zone.
     fn check_placements(&self) -> &str {
         let tasks = self.gang.spec.tasks;
         assert_eq!(self.placements.len() as u32, tasks);
         let zones: BTreeSet<&str> = (self.placements.iter())
             .map(|p| self.leader.fleet.machines[&p.machine].zone.as_str())
             .collect();
-        assert_eq!(zones.len(), 1, "one zone");
+        assert_eq!(zones.len(), 1, "the gang must be in one zone");
         let zone = zones.first().copied().unwrap_or_default();
         let room = room_for(self.leader, self.gang, zone, &self.stopped);
-        assert!(room >= tasks, "it fits");
-        let nobody = BTreeSet::new();
+        assert!(room >= tasks, "the zone must have room for the gang");
+        let no_tasks = BTreeSet::new();
         assert!(["a", "b"]
             .iter()
-            .all(|z| room_for(self.leader, self.gang, z, &nobody) < tasks));
+            .all(|z| room_for(self.leader, self.gang, z, &no_tasks) < tasks));
         zone
     }
 
-    /// All victims are of the other team, whole, and needed.
+    /// Checks that all victims are of the other team, are stopped whole, and are needed.
     fn check_victims(&self, zone: &str) {
         let mut groups: BTreeMap<&JobId, BTreeSet<TaskId>> = BTreeMap::new();
         for task in &self.stopped {
             let victim = &self.leader.jobs[&task.job];
-            assert_eq!(victim.spec.team, "red".into(), "of another team");
+            assert_eq!(
+                victim.spec.team,
+                "red".into(),
+                "victims must be of the other team"
+            );
             groups.entry(&task.job).or_default().insert(task.clone());
         }
         for (id, tasks) in &groups {
             let job = &self.leader.jobs[*id];
-            assert_eq!(tasks.len() as u32, job.spec.tasks, "whole");
+            assert_eq!(
+                tasks.len() as u32,
+                job.spec.tasks,
+                "jobs must be stopped whole"
+            );
             let others: BTreeSet<TaskId> = self.stopped.difference(tasks).cloned().collect();
             let room = room_for(self.leader, self.gang, zone, &others);
-            assert!(room < self.gang.spec.tasks, "{id} is needed");
+            assert!(room < self.gang.spec.tasks, "{id} was stopped without need");
         }
     }
 
-    /// The victims' team stays at or above its fair share, and the gang's within its own.
+    /// Checks that the victims' team stays at or above its fair share, and the gang's team within its own.
     fn check_shares(&self) {
         let capacity = self.leader.policy.capacity_of(&"m4".into()).cpus;
         let cpus = |milli: i64| milli as f64 * 4.0 / capacity as f64;
         let red = used(self.leader, "red", &self.stopped);
-        assert!(cpus(red) >= self.share_of_red - 1e-6, "borrowed");
+        assert!(
+            cpus(red) >= self.share_of_red - 1e-6,
+            "the victims' team must stay at or above its fair share"
+        );
         let need = self.gang.need.times(self.gang.spec.tasks).cpus;
         let blue = used(self.leader, "blue", &BTreeSet::new()) + need;
-        assert!(cpus(blue) <= self.share_of_blue + 1e-6, "within its share");
+        assert!(
+            cpus(blue) <= self.share_of_blue + 1e-6,
+            "the gang's team must stay within its fair share"
+        );
     }
 }
 
-/// Compared with the slow plain way: what is stopped, if anything, is borrowed, whole and needed, and then the gang fits
-/// whole into one zone. Returns whether anything was stopped.
+/// Checks the decisions against a direct computation: what is stopped, if anything, is borrowed, stopped whole and
+/// needed, and then the whole gang fits into one zone. Returns whether anything was stopped.
 fn check(leader: &Leader, gang: &Job) -> bool {
     let outcome = Outcome::of(leader, gang);
     if outcome.stopped.is_empty() {
@@ -163,13 +178,16 @@
 #[test]
 fn victims_of_a_gang_are_borrowed_whole_and_needed() {
     let mut rng = StdRng::seed_from_u64(32);
-    let made = (0..5_000)
+    let runs_with_evictions = (0..5_000)
         .filter(|_| {
-            let (leader, job) = crowded(&mut rng);
+            let (leader, job) = crowded_fleet(&mut rng);
             check(&leader, &job)
         })
         .count();
-    assert!(made > 50, "room was made {made} times");
+    assert!(
+        runs_with_evictions > 50,
+        "room was made in only {runs_with_evictions} runs"
+    );
 }
 
 fn evicted(leader: &Leader, job: &Job) -> BTreeSet<JobId> {
@@ -180,8 +198,8 @@
     jobs.collect()
 }
 
-/// A task is stopped first, then a gang that makes room enough alone: the task is spared. And when the gang that was
-/// stopped waits in its turn, it can't take the room back.
+/// A single task is chosen first, and then a gang that makes enough room alone: the task must be spared. And when the
+/// gang that was stopped waits in turn, it must not be able to take the room back.
 #[test]
 fn unneeded_victims_are_spared_and_room_is_not_reclaimed_back() {
     let mut leader = leader();
@@ -193,7 +211,7 @@
         let leaf = leader.policy.teams.find(&team.into()).expect("a team");
         leader.policy.teams.nodes[leaf].quota[0] = quota;
     }
-    // More is borrowed than is needed: the team's limit was tightened.
+    // The team has borrowed more than is needed, because its limit was tightened.
     let red = leader.policy.teams.find(&"red".into()).expect("a team");
     leader.policy.teams.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
--- a/crates/core/src/scheduling/actions/scenario.rs
+++ b/crates/core/src/scheduling/actions/scenario.rs
@@ -1,4 +1,4 @@
-//! What reclaiming, preempting and consolidating come to.
+//! The combined result of reclaiming, preempting and consolidating.
 
 use crate::fleet::StopReason;
 use crate::scheduling::snapshot::{Snapshot, Victim};
@@ -8,33 +8,33 @@
 /// A task to be stopped.
 #[derive(Clone, Debug)]
 pub struct Eviction {
-    /// The task.
+    /// Task to be stopped.
     pub task: TaskId,
-    /// Its attempt.
+    /// Attempt of the task.
     pub attempt: Attempt,
-    /// Its machine.
+    /// Machine that the task is on.
     pub machine: MachineId,
-    /// Why.
+    /// Reason for the stop.
     pub reason: StopReason,
 }
 
 impl Eviction {
-    /// The eviction of a victim.
+    /// Creates the eviction of a victim.
     pub(super) fn new(victim: &Victim, snapshot: &Snapshot, reason: StopReason) -> Self {
         Self {
             task: victim.task.clone(),
             attempt: victim.attempt,
-            machine: snapshot.candidates[victim.at].id.clone(),
+            machine: snapshot.candidates[victim.candidate_index].id.clone(),
             reason,
         }
     }
 }
 
-/// Tasks that are stopped, and tasks that go on the room which that frees.
+/// Tasks that are stopped, and the placements on the room that they free.
 #[derive(Default)]
 pub struct Scenario {
     /// Tasks to be stopped.
     pub evictions: Vec<Eviction>,
-    /// Tasks that go on their room. Their starts are sent once it is surely free.
+    /// Placements on the freed room. Their starts are sent once that room is surely free.
     pub placements: Vec<Placement>,
 }
--- a/crates/core/src/scheduling/actions/scoring.rs
+++ b/crates/core/src/scheduling/actions/scoring.rs
@@ -1,4 +1,4 @@
-//! Scores: which of the machines that pass the filters a task goes on.
+//! Scoring: ranks the machines that pass the filters for a task.
 
 use super::predicates::fits;
 use crate::jobs::job::Job;
@@ -7,31 +7,33 @@
 use rudderreel_wire::job::Kind;
 use std::cmp::Ordering;
 
-/// From so many tasks on a gang prefers on-demand machines: with one spot instance in ten reclaimed in the time that
-/// a gang runs, hardly one of many tasks would end undisturbed, and one that is reclaimed stops them all.
+/// Number of tasks from which a gang prefers on-demand machines. With one spot instance in ten reclaimed in the time
+/// that a gang runs, a gang of many tasks would rarely end undisturbed, and one reclaimed instance stops all of its
+/// tasks.
 const MIN_GANG_SIZE_FOR_ON_DEMAND: u32 = 4;
 
-/// Which machines are considered for a task, by its image.
+/// Which machines are considered for a task, depending on its image.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ImagePreference {
-    /// All.
+    /// All machines.
     Any,
-    /// Only those that have the image cached, if the job's start can't wait for a fetch (see
-    /// [`Leader::needs_cached_image`]): room may yet be made for it where its image is.
+    /// Only machines that have the image cached, if the job's start cannot wait for a fetch (see
+    /// [`Leader::needs_cached_image`]): room may still be made for the job on a machine that has its image.
     CachedIfUrgent,
 }
 
-/// How good a machine is for a task; lower is better. The fields are compared in their order.
+/// Score of a machine for a task; lower is better. The fields are compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Score {
-    /// Replicas of the same service on the machine; for a large gang, whether it is a spot instance.
+    /// For a service: its replicas on the machine, plus the number of all replicas there divided by the replica cap,
+    /// rounded down. For a large gang: 1 if the machine is a spot instance.
     crowding: u32,
-    /// How long the image takes to be there: 0 if it is cached, 1 if it is being fetched, and more for each image
-    /// that shares the rate.
+    /// Cost of getting the image: 0 if it is cached, 1 if it is being fetched, otherwise 2 and one more for each
+    /// image that shares the fetch rate.
     fetch: u32,
-    /// Whether the machine is of the kind that others need more: on-demand for work that tolerates spot instances.
+    /// Whether the machine is an on-demand one, which other work needs more, while the job tolerates spot instances.
     market_mismatch: bool,
-    /// The part of the machine that remains free: full machines first, so that others empty out.
+    /// Fraction of the machine's CPUs that remains free. Full machines come first, so that others become empty.
     free_fraction: f64,
 }
 
@@ -57,7 +59,7 @@
     }
 }
 
-/// Whether a job is better off on on-demand machines even if it may use spot instances.
+/// Returns whether a job is better placed on on-demand machines even if it may use spot instances.
 fn prefers_on_demand(job: &Job) -> bool {
     job.spec.kind == Kind::Gang && job.spec.tasks >= MIN_GANG_SIZE_FOR_ON_DEMAND
 }
@@ -72,7 +74,7 @@
     }
 }
 
-/// The best machine for one more task of a job, by its place among the candidates.
+/// Returns the best machine for one more task of a job, as an index in [`Snapshot::candidates`].
 pub(super) fn best_machine(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -86,21 +88,26 @@
     (snapshot.candidates.iter().enumerate())
         .filter(|(_, candidate)| !needs_cached || candidate.has_image(image))
         .filter(|(_, candidate)| fits(leader, snapshot, job, candidate))
-        .map(|(at, candidate)| (at, Score::of(job, image, replica_cap, candidate)))
+        .map(|(candidate_index, candidate)| {
+            (
+                candidate_index,
+                Score::of(job, image, replica_cap, candidate),
+            )
+        })
         .min_by(|(_, one), (_, other)| one.compare(other))
-        .map(|(at, _)| at)
+        .map(|(candidate_index, _)| candidate_index)
 }
 
-/// A machine and how many tasks it takes.
+/// A machine and the number of tasks that it has room for.
 pub(super) struct RankedMachine {
-    /// Its place among the candidates.
-    pub(super) at: usize,
-    /// How many tasks have room there.
+    /// Index of the machine in [`Snapshot::candidates`].
+    pub(super) candidate_index: usize,
+    /// Number of tasks that have room on the machine.
     pub(super) tasks: u32,
 }
 
-/// Machines for more tasks of a job, in a zone or in all, the best first. Tasks of an array, or of a gang in one
-/// zone, are alike: they are decided as a class.
+/// Returns machines for more tasks of a job, in one zone or in all, the best first. Tasks of an array, or of a gang
+/// in one zone, are equivalent, so their machines are ranked once for all of them.
 pub(super) fn rank_machines(
     leader: &Leader,
     snapshot: &Snapshot,
@@ -112,17 +119,27 @@
     let mut scored: Vec<(Score, RankedMachine)> = (snapshot.candidates.iter().enumerate())
         .filter(|(_, candidate)| zone.is_none_or(|zone| zone == candidate.zone_index))
         .filter(|(_, candidate)| fits(leader, snapshot, job, candidate))
-        .map(|(at, candidate)| {
+        .map(|(candidate_index, candidate)| {
             let tasks = candidate.free_for(job).count(&job.need);
             let score = Score::of(job, image, replica_cap, candidate);
-            (score, RankedMachine { at, tasks })
+            (
+                score,
+                RankedMachine {
+                    candidate_index,
+                    tasks,
+                },
+            )
         })
         .collect();
-    scored.sort_by(|(one, a), (other, b)| one.compare(other).then(a.at.cmp(&b.at)));
+    scored.sort_by(|(one, a), (other, b)| {
+        one.compare(other)
+            .then(a.candidate_index.cmp(&b.candidate_index))
+    });
     scored.into_iter().map(|(_, machine)| machine).collect()
 }
 
-/// Each ranked machine as often as it takes a task.
+/// Yields the index of each ranked machine once for each task that it has room for.
 pub(super) fn task_slots(ranked: Vec<RankedMachine>) -> impl Iterator<Item = usize> {
-    (ranked.into_iter()).flat_map(|machine| std::iter::repeat_n(machine.at, machine.tasks as usize))
+    (ranked.into_iter())
+        .flat_map(|machine| std::iter::repeat_n(machine.candidate_index, machine.tasks as usize))
 }
--- a/crates/core/src/scheduling/actions/task_class.rs
+++ b/crates/core/src/scheduling/actions/task_class.rs
@@ -1,4 +1,4 @@
-//! Classes of tasks that are decided alike: where one finds no room, neither does another.
+//! Classes of equivalent tasks: if one task of a class finds no room, no other task of that class does.
 
 use crate::jobs::job::Job;
 use crate::scheduling::snapshot::has_zone_rules;
@@ -6,7 +6,7 @@
 use rudderreel_wire::ids::{JobId, TypeName, Zone};
 use rudderreel_wire::job::Kind;
 
-/// What makes tasks alike.
+/// The properties by which tasks are equivalent.
 #[derive(PartialEq, Eq, Hash)]
 pub(super) struct TaskClass {
     need: Resources,
@@ -16,16 +16,16 @@
     kind: Kind,
     gang_size: Option<u32>,
     one_zone: bool,
-    /// The job, if its tasks can't be judged by those of others.
+    /// The job, if the results for other jobs do not apply to its tasks.
     job: Option<JobId>,
 }
 
 impl TaskClass {
-    /// The class of a job's tasks. A job with rules for zones is a class of its own, since it depends on where its
-    /// tasks are; so is one that avoids machines where it failed.
+    /// Returns the class of a job's tasks. A job with zone rules is a class of its own, because its placement depends
+    /// on where its tasks are; so is a job that avoids machines where it failed.
     pub(super) fn of(job: &Job, now: Time) -> Self {
         let spec = &job.spec;
-        let is_unlike_others = has_zone_rules(spec) || job.failures.avoids_any_machine(now);
+        let needs_own_class = has_zone_rules(spec) || job.failures.avoids_any_machine(now);
         Self {
             need: job.need,
             machine_types: spec.types.clone(),
@@ -34,7 +34,7 @@
             kind: spec.kind,
             gang_size: (spec.kind == Kind::Gang).then_some(spec.tasks),
             one_zone: spec.one_zone,
-            job: is_unlike_others.then(|| spec.id.clone()),
+            job: needs_own_class.then(|| spec.id.clone()),
         }
     }
 }
--- a/crates/core/src/scheduling/arrival_reserve.rs
+++ b/crates/core/src/scheduling/arrival_reserve.rs
@@ -1,4 +1,4 @@
-//! Room to be kept free for urgent services that may arrive before a machine could boot for them.
+//! Room that is kept free for urgent services that may arrive before a machine could boot for them.
 
 use crate::jobs::job::Job;
 use crate::leader::Leader;
@@ -7,27 +7,28 @@
 use rudderreel_wire::job::Kind;
 use std::collections::BTreeSet;
 
-/// Arrivals are counted over so long.
+/// Length of the window in which arrivals are counted.
 const ARRIVAL_WINDOW: Span = Span(120_000);
-/// So many standard deviations are kept beyond the mean number of arrivals.
+/// Number of standard deviations added to the mean number of arrivals.
 const RESERVE_DEVIATIONS: f64 = 2.0;
 
-/// Room to be kept for urgent tasks of one size.
+/// Room to be kept free for urgent tasks of one size.
 #[derive(Clone, Debug)]
 pub struct ArrivalReserve {
-    /// What one task takes.
+    /// Resources of one task.
     pub need: Resources,
-    /// How many may arrive.
+    /// Number of tasks that may arrive.
     pub tasks: u32,
-    /// The images that they may need.
+    /// Images that these tasks may need.
     pub images: BTreeSet<Image>,
 }
 
 impl Leader {
-    /// Room for urgent services that may arrive before a machine could be had: for each size as many tasks as
-    /// arrived lately in the time that a machine takes to boot, and two standard deviations more (arrivals are
-    /// taken for a Poisson process).
-    pub fn reserve_for_arrivals(&self, now: Now) -> Vec<ArrivalReserve> {
+    /// Returns the room to keep free for urgent services that may arrive before a machine could boot: for each task
+    /// size as many tasks as arrive on average in the time that a machine takes to boot, by the recent arrivals, plus
+    /// two standard deviations (arrivals are assumed to be a Poisson process). The sum is multiplied by the policy's
+    /// reserve factor.
+    pub fn arrival_reserves(&self, now: Now) -> Vec<ArrivalReserve> {
         let boot_s = self.policy.catalog.slowest_boot_s();
         let mut reserves = self.recent_urgent_arrivals(boot_s, now);
         for reserve in &mut reserves {
@@ -38,8 +39,8 @@
         reserves
     }
 
-    /// Tasks of urgent services that arrived within the window, by size. Older services add none, but their
-    /// images are kept room for.
+    /// Counts the tasks of urgent services that arrived within the window, by task size. Older services add no tasks,
+    /// but their images are included.
     fn recent_urgent_arrivals(&self, boot_s: f64, now: Now) -> Vec<ArrivalReserve> {
         let mut arrivals: Vec<ArrivalReserve> = Vec::new();
         for job in self.jobs.values() {
@@ -68,7 +69,7 @@
         arrivals
     }
 
-    /// Whether a job is a service whose users want it started sooner than a machine boots.
+    /// Returns whether a job is a service whose start objective is shorter than the boot time of a machine.
     fn is_urgent_service(&self, job: &Job, boot_s: f64) -> bool {
         job.spec.kind == Kind::Service
             && job.is_active()
--- a/crates/core/src/scheduling/snapshot/candidate_machine.rs
+++ b/crates/core/src/scheduling/snapshot/candidate_machine.rs
@@ -1,4 +1,4 @@
-//! A machine of the snapshot that work can be placed on.
+//! Candidate machines: machines of the snapshot that work can be placed on.
 
 use super::name_index::NameIndex;
 use super::reservations::GangReservation;
@@ -9,59 +9,59 @@
 use rudderreel_wire::ids::{JobId, MachineId, TypeName, Zone};
 use rudderreel_wire::job::{JobSpec, Kind};
 
-/// What has run longer than its owner's estimate is expected to run on for this part of the time it has run.
+/// A task that has exceeded its owner's estimate is expected to run on for this fraction of its run time so far.
 const OVERRUN_FRACTION: f64 = 0.3;
-/// Whatever runs is expected to take so much longer at least, in seconds.
+/// Shortest remaining run time that is expected of any task, in seconds.
 const MIN_REMAINING_S: f64 = 2.0;
 
-/// A machine that work can be placed on.
+/// A machine that work can be placed on, with its state in the simulation.
 #[derive(Clone, Debug)]
 pub struct CandidateMachine {
-    /// The machine.
+    /// Machine name.
     pub id: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: TypeName,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: Zone,
-    /// The zone's number in the snapshot.
+    /// Index of the zone in the snapshot.
     pub zone_index: usize,
     /// Whether it is a spot instance, which the cloud may reclaim.
     pub is_spot: bool,
-    /// What it offers.
+    /// Total resources of the machine.
     pub capacity: Resources,
-    /// What is free: reserved room is part of it.
+    /// Free resources, including reserved ones.
     pub free: Resources,
-    /// Numbers of the images that it has.
+    /// Numbers of the images in its cache.
     pub cached_images: Vec<u32>,
-    /// Numbers of the images that it fetches, one for each task that waits for one.
+    /// Numbers of the images that it fetches, one entry for each task that waits for an image.
     pub fetching_images: Vec<u32>,
-    /// Replicas of each service, to spread them.
+    /// Number of replicas of each service on it, used to spread the replicas.
     replicas_by_service: Vec<(JobId, u32)>,
-    /// Replicas of all services.
+    /// Number of replicas of all services on it.
     pub replica_count: u32,
-    /// What tasks take that could be preempted for work of the highest priority.
+    /// Resources of tasks that could be preempted for work of the highest priority.
     pub preemptible: Resources,
-    /// Free room that is reserved for urgent arrivals, and so is not for preemptible work.
+    /// Free resources that are reserved for urgent arrivals and therefore closed to preemptible work.
     pub reserved_for_arrivals: Resources,
-    /// What tasks take that end by themselves.
-    pub finite: Resources,
-    /// In how many seconds the last of these will probably have ended.
-    pub finite_end_in_s: f64,
-    /// The gang that it is reserved for.
+    /// Resources of tasks that end by themselves.
+    pub finite_tasks_need: Resources,
+    /// Expected time in seconds until the last of the tasks that end by themselves has ended.
+    pub finite_tasks_end_in_s: f64,
+    /// Reservation of the machine for a gang.
     pub gang_reservation: Option<GangReservation>,
 }
 
 impl CandidateMachine {
-    /// A machine with what may be on it.
+    /// Creates a candidate from a machine and the tasks that may be on it.
     pub(super) fn new(
         leader: &Leader,
         machine: &Machine,
         names: &mut NameIndex,
         now: Time,
     ) -> Self {
-        let zone_index = names.number_zone(&machine.zone);
+        let zone_index = names.intern_zone(&machine.zone);
         let cached_images = (machine.cached_images.iter())
-            .map(|image| names.number_image(image))
+            .map(|image| names.intern_image(image))
             .collect();
         let mut candidate = Self {
             id: machine.id.clone(),
@@ -77,8 +77,8 @@
             replica_count: 0,
             preemptible: Resources::default(),
             reserved_for_arrivals: Resources::default(),
-            finite: Resources::default(),
-            finite_end_in_s: 0.0,
+            finite_tasks_need: Resources::default(),
+            finite_tasks_end_in_s: 0.0,
             gang_reservation: None,
         };
         for task in machine.tasks.iter().filter(|t| t.occupies_capacity()) {
@@ -98,14 +98,14 @@
         now: Time,
     ) {
         if task.running_since.is_none() {
-            self.fetching_images.push(names.number_image(&spec.image));
+            self.fetching_images.push(names.intern_image(&spec.image));
         }
         if spec.kind == Kind::Service {
-            self.shift_replicas(&spec.id, 1);
+            self.adjust_replicas(&spec.id, 1);
         } else {
-            self.finite += task.need;
+            self.finite_tasks_need += task.need;
             let remaining_s = remaining_s(task, spec, now);
-            self.finite_end_in_s = self.finite_end_in_s.max(remaining_s);
+            self.finite_tasks_end_in_s = self.finite_tasks_end_in_s.max(remaining_s);
         }
         let may_be_preempted = !is_non_preemptible(spec)
             && task.stop.is_none()
@@ -115,7 +115,7 @@
         }
     }
 
-    /// What is free for a job: reserved room is only for work that can't be preempted.
+    /// Returns the resources that are free for a job. Reserved ones are only for non-preemptible work.
     pub fn free_for(&self, job: &Job) -> Resources {
         if job.is_preemptible() {
             self.unreserved()
@@ -124,22 +124,22 @@
         }
     }
 
-    /// What is free and not reserved for urgent arrivals.
+    /// Returns the resources that are free and not reserved for urgent arrivals.
     pub fn unreserved(&self) -> Resources {
         self.free - self.reserved_for_arrivals
     }
 
-    /// What is in use.
+    /// Returns the resources in use.
     pub fn used(&self) -> Resources {
         self.capacity - self.free
     }
 
-    /// Whether it has an image.
+    /// Returns whether the machine has an image in its cache.
     pub fn has_image(&self, image: Option<u32>) -> bool {
         image.is_some_and(|number| self.cached_images.contains(&number))
     }
 
-    /// How many different images it fetches.
+    /// Returns the number of different images that the machine fetches.
     pub fn fetch_count(&self) -> u32 {
         let is_new = |(position, image): &(usize, &u32)| {
             !self.cached_images.contains(image)
@@ -152,14 +152,14 @@
             .count() as u32
     }
 
-    /// Replicas of a service on it.
+    /// Returns the number of replicas of a service on the machine.
     pub fn replicas_of(&self, service: &JobId) -> u32 {
         let found = (self.replicas_by_service.iter()).find(|(id, _)| id == service);
         found.map_or(0, |(_, replicas)| *replicas)
     }
 
-    /// Counts replicas of a service more or less.
-    pub(super) fn shift_replicas(&mut self, service: &JobId, change: i32) {
+    /// Changes the number of replicas of a service on the machine by `change`.
+    pub(super) fn adjust_replicas(&mut self, service: &JobId, change: i32) {
         self.replica_count = self.replica_count.saturating_add_signed(change);
         let known = (self.replicas_by_service.iter_mut()).find(|(id, _)| id == service);
         match known {
@@ -172,7 +172,7 @@
     }
 }
 
-/// In how many seconds a task that ends by itself will probably have ended.
+/// Returns the expected time in seconds until a task that ends by itself has ended.
 fn remaining_s(task: &PlacedTask, spec: &JobSpec, now: Time) -> f64 {
     let ran_s = (task.running_since).map_or(0.0, |since| (now - since).as_secs());
     let overrun_s = ran_s * OVERRUN_FRACTION;
--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -1,14 +1,15 @@
 //! The snapshot that a cycle decides on (article: "The scheduling cycle: snapshot, session, actions, plugins").
 //!
-//! It is frozen when the cycle begins. What the cycle decides is simulated in it, mostly through a
-//! [`Statement`](super::statement::Statement), and becomes real only when the cycle applies its decisions. It is
-//! made anew for each cycle from several hundred machines, so names that are compared often are numbers here.
+//! The snapshot is taken when the cycle begins and does not follow later changes. The decisions of the cycle are
+//! simulated in it, mostly through a [`Statement`](super::statement::Statement), and take effect only when the cycle
+//! applies them. Each cycle builds a new snapshot from several hundred machines, so names that are compared often are
+//! replaced by numbers.
 //!
-//! * [`candidate_machine`]: one machine that work can be placed on.
+//! * [`candidate_machine`]: a machine that work can be placed on.
 //! * [`name_index`]: numbers of images and zones.
-//! * [`quota`]: what teams use, their limits and fair shares.
+//! * [`quota`]: usage of teams, their limits and fair shares.
 //! * [`reservations`]: free room kept for urgent arrivals and for gangs.
-//! * [`simulation`]: placing and evicting tasks in the snapshot, and taking that back.
+//! * [`simulation`]: simulated placements and evictions, and their reversal.
 
 pub mod candidate_machine;
 mod name_index;
@@ -30,56 +31,58 @@
 use rudderreel_wire::job::JobSpec;
 use std::collections::{BTreeSet, HashMap};
 
-/// No machine should hold more than one in so many of all replicas, so that its loss is not felt too much.
+/// One machine should hold at most one in this many of all replicas, so that its loss affects few of them.
 const REPLICA_SPREAD: u32 = 4;
-/// So many replicas may be on one machine in any case.
+/// Number of replicas that one machine may hold in any case.
 const MIN_REPLICA_CAP: u32 = 4;
 
-/// The state of the fleet, the jobs and the teams at the beginning of a cycle, with what was decided since.
+/// State of the fleet, the jobs and the teams at the beginning of a cycle, with the decisions of the cycle so far.
 pub struct Snapshot {
     /// Machines that work can be placed on.
     pub candidates: Vec<CandidateMachine>,
-    /// What teams use, against their limits and fair shares.
+    /// Usage of teams, with their limits and fair shares.
     pub quota: QuotaAccount,
-    /// When it was taken.
+    /// Time at which the snapshot was taken.
     pub now: Now,
     /// Gangs that room is reserved for.
     gang_reservations: BTreeSet<JobId>,
     /// Numbers of images and zones.
     names: NameIndex,
-    /// Of jobs with rules for zones: tasks in each zone that may exist.
+    /// For each job with zone rules: number of tasks that may exist in each zone.
     tasks_by_zone: HashMap<JobId, Vec<u32>>,
-    /// Tasks that are to be evicted.
+    /// Tasks to be evicted.
     evicted: BTreeSet<(TaskId, Attempt)>,
-    /// Tasks of each job that were placed in this cycle.
+    /// Number of tasks of each job that were placed in this cycle.
     placed: HashMap<JobId, usize>,
 }
 
-/// Whether new work may be placed on a machine.
+/// Returns whether new work may be placed on a machine.
 fn is_usable(machine: &Machine, leader: &Leader, now: Time) -> bool {
     let max_silence = Span(leader.agent_timings.lease.0 / 2);
-    let heard_lately = (machine.last_heard_at).is_some_and(|at| now - at < max_silence);
-    // Being heard is not enough: while its agent leaves calls unanswered it gets nothing new.
-    let is_commanded = machine.unanswered_calls == 0;
+    let was_heard_recently =
+        (machine.last_heard_at).is_some_and(|heard_at| now - heard_at < max_silence);
+    // Receiving reports of the machine is not enough: while its agent leaves calls unanswered, the machine gets no
+    // new work.
+    let answers_calls = machine.unanswered_calls == 0;
     let is_leaving = machine.reclaim_at.is_some()
         || machine.retire_reason.is_some()
         || machine.return_requested_at.is_some();
     machine.is_reconciled(leader.term.epoch())
-        && heard_lately
+        && was_heard_recently
         && !leader.fleet.partitioned_zones.contains(&machine.zone)
-        && is_commanded
+        && answers_calls
         && !is_leaving
         && machine.quarantined_until <= now
         && machine.cordoned_until <= now
 }
 
-/// Whether the zones of a job's tasks depend on one another.
+/// Returns whether the zones allowed for a task depend on the zones of the job's other tasks.
 pub fn has_zone_rules(spec: &JobSpec) -> bool {
     spec.spread || spec.one_zone
 }
 
 impl Snapshot {
-    /// Takes the snapshot.
+    /// Takes a snapshot of the leader's state.
     pub fn take(leader: &Leader, now: Now) -> Self {
         let mut snapshot = Self {
             candidates: Vec::new(),
@@ -101,31 +104,32 @@
         for job in leader.jobs.values() {
             snapshot.count_zones(leader, job);
             if job.is_active() {
-                snapshot.names.number_image(&job.spec.image);
+                snapshot.names.intern_image(&job.spec.image);
             }
         }
         snapshot
     }
 
-    /// Counts the tasks of a job with rules for zones that may exist anywhere.
+    /// Counts by zone the tasks of a job with zone rules, including every task that may exist.
     fn count_zones(&mut self, leader: &Leader, job: &Job) {
         if !has_zone_rules(&job.spec) {
             return;
         }
         for (id, _) in job.placements.values().flatten() {
             if let Some(machine) = leader.fleet.machines.get(id) {
-                let zone = self.names.number_zone(&machine.zone);
-                self.shift_zone_count(&job.spec.id, zone, 1);
+                let zone = self.names.intern_zone(&machine.zone);
+                self.adjust_zone_count(&job.spec.id, zone, 1);
             }
         }
     }
 
-    /// The number of an image, if any job uses it or any machine has it.
+    /// Returns the number of an image, if any active job uses it or any machine has it cached or fetches it.
     pub fn image(&self, image: &Image) -> Option<u32> {
         self.names.image(image)
     }
 
-    /// The zones to be tried one after the other for a gang: none in particular if its tasks may be in several.
+    /// Returns the zones to be tried one after the other for a gang; a single `None` if its tasks may be in several
+    /// zones.
     pub fn zone_choices(&self, gang: &JobSpec) -> Vec<Option<usize>> {
         if gang.one_zone {
             (0..self.names.zone_count()).map(Some).collect()
@@ -134,42 +138,42 @@
         }
     }
 
-    /// Tasks of a job with rules for zones, by zone.
+    /// Returns the number of tasks of a job with zone rules in each zone, by zone index.
     pub fn tasks_by_zone(&self, job: &JobId) -> &[u32] {
         self.tasks_by_zone.get(job).map_or(&[], Vec::as_slice)
     }
 
-    /// How many of a job's tasks were placed in this cycle.
+    /// Returns the number of a job's tasks that were placed in this cycle.
     pub fn placed_count(&self, job: &JobId) -> usize {
         self.placed.get(job).copied().unwrap_or(0)
     }
 
-    /// Whether a task is to be evicted.
+    /// Returns whether a task is to be evicted.
     pub fn is_evicted(&self, task: &TaskId, attempt: Attempt) -> bool {
         !self.evicted.is_empty() && self.evicted.contains(&(task.clone(), attempt))
     }
 
-    /// Whether a job's team, and all nodes above it, may use so much more.
+    /// Returns whether a job's team, and all nodes above it, may use `need` in addition.
     pub fn within_limits(&self, leader: &Leader, job: &Job, need: &Amounts) -> bool {
         self.quota.usage().within_limits(leader, job, need)
     }
 
-    /// Whether one more task of a job keeps its team within its limits.
+    /// Returns whether one more task of a job keeps its team within its limits.
     pub fn allows_one_more(&self, leader: &Leader, job: &Job) -> bool {
         self.within_limits(leader, job, &amounts(&job.need))
     }
 
-    /// What a node of the team tree uses and its fair share.
+    /// Returns the usage and the fair share of a node of the team tree.
     pub fn team_usage(&self, node: usize) -> TeamStanding {
         self.quota.standing(node)
     }
 
-    /// How much of its fair share a node of the team tree uses.
+    /// Returns the saturation of a node of the team tree: its usage relative to its fair share.
     pub fn saturation(&self, node: usize) -> f64 {
         self.quota.saturation(node)
     }
 
-    /// Replicas that one machine should hold at most.
+    /// Returns the number of replicas that one machine should hold at most.
     pub fn replica_cap(&self) -> u32 {
         let replicas: u32 = (self.candidates.iter().map(|c| c.replica_count)).sum();
         (replicas / REPLICA_SPREAD).max(MIN_REPLICA_CAP)
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -1,11 +1,11 @@
-//! What teams use in a snapshot, against their limits, quotas and fair shares (article: "Queues and hierarchical
-//! fair share").
+//! Usage of teams in a snapshot, with their limits, quotas and fair shares (article: "Queues and hierarchical fair
+//! share").
 //!
-//! Every amount is kept for each node of the team tree; what a team uses counts for all nodes above it, too.
-//! Invariants: everything that is not surely gone counts as used; non-preemptible work keeps to the quota, and all
-//! work to the limit, of each node from its team up to the root.
+//! Every amount is kept for each node of the team tree; the usage of a team also counts for all nodes above it.
+//! Invariants: everything that is not surely gone counts as used; non-preemptible work stays within the quota, and
+//! all work within the limit, of each node from its team up to the root.
 //!
-//! Fair shares count work on GPUs apart (see [`QuotaAccount::counted_for_shares`]).
+//! Fair shares count work on GPUs separately (see [`QuotaAccount::counted_for_shares`]).
 
 use crate::fleet::Machine;
 use crate::jobs::job::Job;
@@ -14,17 +14,17 @@
 use crate::teams::team_tree::{add_amounts, amounts, Amounts, GPUS, KINDS, MEMORY, NO_AMOUNTS};
 use crate::units::Resources;
 
-/// Sums of amounts are compared with limits up to this.
+/// Rounding tolerance of comparisons with quotas and limits.
 const LIMIT_TOLERANCE: f64 = 1e-9;
-/// Fair shares are compared up to this.
+/// Rounding tolerance of comparisons with fair shares.
 const SHARE_TOLERANCE: f64 = 1e-6;
 
-/// What is used below each node of the team tree.
+/// Resources in use in the subtree of each node of the team tree.
 #[derive(Clone)]
 pub struct QuotaUsage {
-    /// Everything that is not surely gone.
+    /// Usage of each node: everything that is not surely gone.
     used: Vec<Amounts>,
-    /// What of that can't be preempted.
+    /// The part of the usage that is non-preemptible.
     non_preemptible: Vec<Amounts>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Adds to what the team of a job, which is this node of the tree, and all nodes above it use.
+    /// Adds `need` to the usage of a job's team, whose node of the tree is `team`, and of all nodes above it.
     fn charge_team(&mut self, leader: &Leader, team: usize, job: &Job, need: &Amounts) {
         for node in leader.policy.teams.chain(team) {
             add_amounts(&mut self.used[node], need);
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether a job's team, and all nodes above it, may use so much more.
+    /// Returns whether a job's team, and all nodes above it, may use `need` in addition.
     pub fn within_limits(&self, leader: &Leader, job: &Job, need: &Amounts) -> bool {
         (leader.policy.teams.find(&job.spec.team))
             .is_some_and(|team| self.team_within_limits(leader, team, job, need))
     }
 
-    /// The same if the team's node of the tree is known.
+    /// Does the same as [`Self::within_limits`] for a team whose node of the tree is already known.
     fn team_within_limits(&self, leader: &Leader, team: usize, job: &Job, need: &Amounts) -> bool {
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
@@ -65,7 +65,8 @@
         })
     }
 
-    /// Adds as many of `most` tasks of a job as its team's limits allow; returns how many.
+    /// Adds up to `most` tasks of a job to the usage, as many as its team's limits allow. Returns the number of tasks
+    /// added.
     pub fn charge_within_limits(&mut self, leader: &Leader, job: &Job, most: u32) -> u32 {
         let Some(team) = leader.policy.teams.find(&job.spec.team) else {
             return 0;
@@ -80,40 +81,40 @@
     }
 }
 
-/// What a node of the team tree uses and its fair share.
+/// Usage and fair share of a node of the team tree.
 #[derive(Clone, Copy, Debug)]
 pub struct TeamStanding {
-    /// Everything that is not surely gone.
+    /// Usage: everything that is not surely gone.
     pub used: Amounts,
-    /// What of that counts for fair shares.
+    /// The part of the usage that counts for fair shares.
     pub counted: Amounts,
-    /// The fair share.
+    /// Fair share of the node.
     pub fair_share: Amounts,
 }
 
-/// What teams use, and their fair shares.
+/// Usage and fair shares of all nodes of the team tree.
 pub struct QuotaAccount {
     usage: QuotaUsage,
-    /// For each node: what of its usage counts for fair shares.
+    /// For each node: the part of its usage that counts for fair shares.
     counted: Vec<Amounts>,
-    /// For each node: its fair share, with work on GPUs counted apart.
+    /// For each node: its fair share, with work on GPUs counted separately.
     fair_share: Vec<Amounts>,
-    /// For each node: its fair share, with everything counted together.
-    fair_share_of_all: Vec<Amounts>,
-    /// Whether GPUs are shared apart from all else: if there are machines without.
-    counts_gpus_apart: bool,
+    /// For each node: its fair share, with all resources counted together.
+    combined_fair_share: Vec<Amounts>,
+    /// Whether work on GPUs is counted separately: true if there are machine types without GPUs.
+    counts_gpus_separately: bool,
 }
 
 impl QuotaAccount {
-    /// Counts what all jobs may have anywhere, and computes fair shares.
+    /// Counts the usage of all jobs, including every task that may be on any machine, and computes the fair shares.
     pub(super) fn new(leader: &Leader) -> Self {
         let nodes = leader.policy.teams.nodes.len();
         let mut account = Self {
             usage: QuotaUsage::new(nodes),
             counted: vec![NO_AMOUNTS; nodes],
             fair_share: Vec::new(),
-            fair_share_of_all: Vec::new(),
-            counts_gpus_apart: leader.policy.catalog.types.iter().any(|t| t.gpus <= 0.0),
+            combined_fair_share: Vec::new(),
+            counts_gpus_separately: leader.policy.catalog.types.iter().any(|t| t.gpus <= 0.0),
         };
         for job in (leader.jobs.values()).filter(|job| !job.placements.is_empty()) {
             let need = amounts(&job.need.times(job.placement_count()));
@@ -123,16 +124,16 @@
         account
     }
 
-    /// Fair shares by what teams use and what their waiting tasks request.
+    /// Computes the fair shares from the usage of teams and the requests of their waiting tasks.
     fn compute_fair_shares(&mut self, leader: &Leader) {
         let mut requested = self.counted.clone();
-        let mut requested_of_all = self.usage.used.clone();
+        let mut combined_request = self.usage.used.clone();
         let mut non_preemptible = self.usage.non_preemptible.clone();
         for job in leader.jobs.values().filter(|job| job.is_active()) {
             let need = amounts(&job.need.times(job.startable_tasks()));
             let counted = self.counted_for_shares(&need);
             if let Some(team) = leader.policy.teams.find(&job.spec.team) {
-                add_amounts(&mut requested_of_all[team], &need);
+                add_amounts(&mut combined_request[team], &need);
                 add_amounts(&mut requested[team], &counted);
                 if !job.is_preemptible() {
                     add_amounts(&mut non_preemptible[team], &counted);
@@ -140,7 +141,7 @@
             }
         }
         requested[0] = NO_AMOUNTS;
-        requested_of_all[0] = NO_AMOUNTS;
+        combined_request[0] = NO_AMOUNTS;
         let (mut shared, mut all) = (NO_AMOUNTS, NO_AMOUNTS);
         for machine in leader.fleet.machines.values() {
             if machine.retire_reason.is_none() && machine.return_requested_at.is_none() {
@@ -150,15 +151,15 @@
         }
         let teams = &leader.policy.teams;
         self.fair_share = fair_shares(teams, shared, &requested, &non_preemptible);
-        self.fair_share_of_all = fair_shares(teams, all, &requested_of_all, &non_preemptible);
+        self.combined_fair_share = fair_shares(teams, all, &combined_request, &non_preemptible);
     }
 
-    /// What is used below each node.
+    /// Returns the resources in use in the subtree of each node.
     pub fn usage(&self) -> &QuotaUsage {
         &self.usage
     }
 
-    /// What a node uses and its fair share.
+    /// Returns the usage and the fair share of a node.
     pub fn standing(&self, node: usize) -> TeamStanding {
         TeamStanding {
             used: self.usage.used[node],
@@ -167,17 +168,17 @@
         }
     }
 
-    /// How much of its fair share a node uses.
+    /// Returns the saturation of a node: its usage relative to its fair share.
     pub fn saturation(&self, node: usize) -> f64 {
         saturation(&self.counted[node], &self.fair_share[node])
     }
 
-    /// Whether any team uses more than its fair share, so that there is something to reclaim.
+    /// Returns whether any node uses more than its fair share, so that there is something to reclaim.
     pub fn is_any_over_share(&self) -> bool {
         (1..self.counted.len()).any(|node| self.saturation(node) > 1.0)
     }
 
-    /// Adds to what a job's team, and all nodes above it, use.
+    /// Adds `need`, which may be negative, to the usage of a job's team and of all nodes above it.
     pub(super) fn charge(&mut self, leader: &Leader, job: &Job, need: &Amounts) {
         let Some(team) = leader.policy.teams.find(&job.spec.team) else {
             return;
@@ -189,23 +190,24 @@
         }
     }
 
-    /// What of a need counts for fair shares. Work without GPUs stays off machines with GPUs where it can, so
-    /// the CPUs of these are no room that it could borrow: counted with the rest they made every team seem to stay
-    /// within its share, and nothing was ever reclaimed. So work with GPUs counts by these, and all else by what
-    /// machines without GPUs have.
+    /// Returns the part of a need that counts for fair shares. If there are machine types without GPUs, a need with
+    /// GPUs counts by its GPUs only, and any other need counts in full, against the capacity of machines without
+    /// GPUs. Work without GPUs stays off machines with GPUs where it can, so the CPUs of these machines are not
+    /// capacity that it could borrow. If they were counted with the rest, every team would seem to stay within its
+    /// share, and nothing would ever be reclaimed.
     fn counted_for_shares(&self, need: &Amounts) -> Amounts {
-        if self.counts_gpus_apart && need[GPUS] != 0.0 {
+        if self.counts_gpus_separately && need[GPUS] != 0.0 {
             gpus_only(need)
         } else {
             *need
         }
     }
 
-    /// What a machine adds to the room that is shared. What runs on a machine with GPUs without using them has
-    /// its room there all the same.
+    /// Returns what a machine adds to the capacity that is shared. Tasks that run on a machine with GPUs without
+    /// using them occupy capacity there all the same, so their needs are added.
     fn shared_capacity(&self, machine: &Machine) -> Amounts {
         let capacity = amounts(&machine.capacity);
-        if !self.counts_gpus_apart || capacity[GPUS] <= 0.0 {
+        if !self.counts_gpus_separately || capacity[GPUS] <= 0.0 {
             return capacity;
         }
         let mut shared = gpus_only(&capacity);
@@ -217,14 +219,14 @@
         shared
     }
 
-    /// Usage and fair shares as they count for reclaiming room for a job. Work on GPUs is stopped only where its
-    /// team is above its share of all that it takes: by GPUs alone, gangs of teams on a large deployment stopped
-    /// one another, and fewer were done in time.
+    /// Returns usage and fair shares as they count for reclaiming room for a job. Work on GPUs is stopped only where
+    /// its team is above its share of every resource that this work takes: when only GPUs were counted, gangs of
+    /// teams on a large deployment stopped one another, and fewer were done in time.
     pub fn reclaim_basis(&self, job: &Job) -> ReclaimBasis<'_> {
         if job.need.gpus > 0 {
             ReclaimBasis {
                 used: &self.usage.used,
-                fair_share: &self.fair_share_of_all,
+                fair_share: &self.combined_fair_share,
                 counting: Counting::Everything,
                 account: self,
             }
@@ -232,7 +234,7 @@
             ReclaimBasis {
                 used: &self.counted,
                 fair_share: &self.fair_share,
-                counting: Counting::GpusApart,
+                counting: Counting::GpusSeparately,
                 account: self,
             }
         }
@@ -245,11 +247,11 @@
     counted
 }
 
-/// How needs count for reclaiming.
+/// How needs are counted for reclaiming.
 #[derive(Clone, Copy)]
 enum Counting {
     Everything,
-    GpusApart,
+    GpusSeparately,
 }
 
 /// Usage and fair shares as they count for reclaiming room for a job.
@@ -261,16 +263,17 @@
 }
 
 impl ReclaimBasis<'_> {
-    /// What a need counts for.
+    /// Returns the amounts that a need counts for.
     pub fn counted(&self, need: &Resources) -> Amounts {
         let need = amounts(need);
         match self.counting {
             Counting::Everything => need,
-            Counting::GpusApart => self.account.counted_for_shares(&need),
+            Counting::GpusSeparately => self.account.counted_for_shares(&need),
         }
     }
 
-    /// Whether a team stays within its fair share with so much more, counted `multiplier` times.
+    /// Returns whether a team stays within its fair share of each resource in `need` when its usage and `need`
+    /// together are multiplied by `multiplier`.
     pub fn stays_within_share(&self, team: usize, need: &Resources, multiplier: f64) -> bool {
         let need = self.counted(need);
         let (used, share) = (&self.used[team], &self.fair_share[team]);
@@ -279,12 +282,12 @@
         })
     }
 
-    /// Whether a team is still at or above its fair share in what it gives. Memory has neither quota nor limit in
-    /// the platform's settings, so it is not reclaimed.
-    pub fn stays_at_share_without(&self, team: usize, given: &Amounts) -> bool {
+    /// Returns whether a team stays at or above its fair share without `evicted`, for each resource in `evicted`.
+    /// Memory has neither quota nor limit in the platform's settings, so it is not reclaimed.
+    pub fn stays_at_share_without(&self, team: usize, evicted: &Amounts) -> bool {
         let (used, share) = (&self.used[team], &self.fair_share[team]);
         (0..KINDS)
-            .filter(|&k| k != MEMORY && given[k] > 0.0)
-            .all(|k| used[k] - given[k] >= share[k] - SHARE_TOLERANCE)
+            .filter(|&k| k != MEMORY && evicted[k] > 0.0)
+            .all(|k| used[k] - evicted[k] >= share[k] - SHARE_TOLERANCE)
     }
 }
--- a/crates/core/src/scheduling/snapshot/simulation.rs
+++ b/crates/core/src/scheduling/snapshot/simulation.rs
@@ -1,6 +1,6 @@
-//! Simulating placements and evictions in a snapshot (article: "Simulate first, commit later").
+//! Simulation of placements and evictions in a snapshot (article: "Simulate first, commit later").
 //!
-//! Each change has an exact reverse, and nothing outside the snapshot is touched.
+//! Each change has an exact reverse, and nothing outside the snapshot is changed.
 
 use super::{has_zone_rules, Snapshot};
 use crate::fleet::PlacedTask;
@@ -14,21 +14,21 @@
 /// A task that is evicted, or may be.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// Its machine, by its place among the candidates.
-    pub at: usize,
-    /// The task.
+    /// Index of its machine in [`Snapshot::candidates`].
+    pub candidate_index: usize,
+    /// Task to be evicted.
     pub task: TaskId,
-    /// Its attempt.
+    /// Attempt of the task.
     pub attempt: Attempt,
-    /// What it takes.
+    /// Resources of the task.
     pub need: Resources,
 }
 
 impl Victim {
-    /// A task on a machine.
-    pub fn new(at: usize, placed: &PlacedTask) -> Self {
+    /// Creates a victim from a task on a candidate machine.
+    pub fn new(candidate_index: usize, placed: &PlacedTask) -> Self {
         Self {
-            at,
+            candidate_index,
             task: placed.task.clone(),
             attempt: placed.attempt,
             need: placed.need,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether the machine's list of fetches was extended for a placement.
+/// Whether a placement added an entry to the list of images that the machine fetches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::scheduling) enum FetchCounted {
     Yes,
@@ -63,21 +63,21 @@
     /// Simulates an eviction.
     pub fn evict(&mut self, leader: &Leader, victim: &Victim) {
         self.evicted.insert((victim.task.clone(), victim.attempt));
-        self.shift_victim(leader, victim, Change::Remove);
+        self.adjust_victim(leader, victim, Change::Remove);
     }
 
-    /// Takes a simulated eviction back.
+    /// Reverts a simulated eviction.
     pub fn restore(&mut self, leader: &Leader, victim: &Victim) {
         self.evicted.remove(&(victim.task.clone(), victim.attempt));
-        self.shift_victim(leader, victim, Change::Add);
+        self.adjust_victim(leader, victim, Change::Add);
     }
 
-    fn shift_victim(&mut self, leader: &Leader, victim: &Victim, change: Change) {
+    fn adjust_victim(&mut self, leader: &Leader, victim: &Victim, change: Change) {
         let Some(job) = leader.jobs.get(&victim.task.job) else {
             return;
         };
-        self.shift_task(leader, job, &victim.need, victim.at, change);
-        let candidate = &mut self.candidates[victim.at];
+        self.adjust_task(leader, job, &victim.need, victim.candidate_index, change);
+        let candidate = &mut self.candidates[victim.candidate_index];
         match change {
             Change::Remove => candidate.preemptible -= victim.need,
             Change::Add => candidate.preemptible += victim.need,
@@ -89,63 +89,64 @@
         &mut self,
         leader: &Leader,
         job: &Job,
-        at: usize,
+        candidate_index: usize,
     ) -> FetchCounted {
-        self.shift_task(leader, job, &job.need, at, Change::Add);
+        self.adjust_task(leader, job, &job.need, candidate_index, Change::Add);
         *self.placed.entry(job.spec.id.clone()).or_default() += 1;
         match self.image(&job.spec.image) {
             Some(image) => {
-                self.candidates[at].fetching_images.push(image);
+                self.candidates[candidate_index].fetching_images.push(image);
                 FetchCounted::Yes
             }
             None => FetchCounted::No,
         }
     }
 
-    /// Takes a simulated placement back, the last one on its machine.
+    /// Reverts a simulated placement, which must be the last one on its machine.
     pub(in crate::scheduling) fn withdraw(
         &mut self,
         leader: &Leader,
         job: &Job,
-        at: usize,
+        candidate_index: usize,
         fetch: FetchCounted,
     ) {
-        self.shift_task(leader, job, &job.need, at, Change::Remove);
+        self.adjust_task(leader, job, &job.need, candidate_index, Change::Remove);
         let placed = self.placed.entry(job.spec.id.clone()).or_default();
         *placed = placed.saturating_sub(1);
         if fetch == FetchCounted::Yes {
-            self.candidates[at].fetching_images.pop();
+            self.candidates[candidate_index].fetching_images.pop();
         }
     }
 
-    /// Counts a task of a job on a machine more or less: for its team, the machine's room, its replicas and zone.
-    fn shift_task(
+    /// Adds or removes a task of a job on a machine: in its team's usage, the machine's free resources and replicas,
+    /// and the job's tasks by zone.
+    fn adjust_task(
         &mut self,
         leader: &Leader,
         job: &Job,
         need: &Resources,
-        at: usize,
+        candidate_index: usize,
         change: Change,
     ) {
         let sign = change.sign();
         let charged = amounts(need).map(|amount| amount * f64::from(sign));
         self.quota.charge(leader, job, &charged);
-        let candidate = &mut self.candidates[at];
+        let candidate = &mut self.candidates[candidate_index];
         match change {
             Change::Add => candidate.free -= *need,
             Change::Remove => candidate.free += *need,
         }
         if job.spec.kind == Kind::Service {
-            candidate.shift_replicas(&job.spec.id, sign);
+            candidate.adjust_replicas(&job.spec.id, sign);
         }
         let zone = candidate.zone_index;
         if has_zone_rules(&job.spec) {
-            self.shift_zone_count(&job.spec.id, zone, sign);
+            self.adjust_zone_count(&job.spec.id, zone, sign);
         }
     }
 
-    /// Counts tasks of a job with rules for zones in a zone more or less.
-    pub(super) fn shift_zone_count(&mut self, job: &JobId, zone: usize, change: i32) {
+    /// Changes the number of tasks of a job with zone rules in a zone by `change`.
+    pub(super) fn adjust_zone_count(&mut self, job: &JobId, zone: usize, change: i32) {
         let zones = self.tasks_by_zone.entry(job.clone()).or_default();
         if zones.len() <= zone {
             zones.resize(zone + 1, 0);
--- a/crates/core/src/scheduling/snapshot/simulation/tests.rs
+++ b/crates/core/src/scheduling/snapshot/simulation/tests.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::MachineId;
 
-/// A fleet of eight machines in two zones, with a few jobs of whole CPUs on them.
+/// Returns a leader with eight machines in two zones and a few jobs of one whole CPU each on them.
 fn fleet(rng: &mut StdRng) -> Leader {
     let mut leader = leader();
     let machines: Vec<MachineId> = (0..8)
@@ -22,7 +22,7 @@
     leader
 }
 
-/// Everything that an action sees of a snapshot.
+/// Returns every part of a snapshot that an action can see.
 fn visible_state(leader: &Leader, snapshot: &Snapshot) -> String {
     let standings: Vec<String> = (0..leader.policy.teams.nodes.len())
         .map(|node| format!("{:?}", snapshot.team_usage(node)))
@@ -62,9 +62,11 @@
         let mut snapshot = Snapshot::take(&leader, NOW);
         let before = visible_state(&leader, &snapshot);
         let victims: Vec<Victim> = (snapshot.candidates.iter().enumerate())
-            .flat_map(|(at, candidate)| {
+            .flat_map(|(candidate_index, candidate)| {
                 let tasks = &leader.fleet.machines[&candidate.id].tasks;
-                tasks.iter().map(move |placed| Victim::new(at, placed))
+                tasks
+                    .iter()
+                    .map(move |placed| Victim::new(candidate_index, placed))
             })
             .filter(|_| rng.random_bool(0.5))
             .collect();
@@ -74,8 +76,8 @@
         }
         let mut statement = Statement::default();
         for index in 0..waiting.spec.tasks {
-            let at = rng.random_range(0..snapshot.candidates.len());
-            statement.place(&leader, &mut snapshot, &waiting, index, at);
+            let candidate_index = rng.random_range(0..snapshot.candidates.len());
+            statement.place(&leader, &mut snapshot, &waiting, index, candidate_index);
         }
         assert_ne!(visible_state(&leader, &snapshot), before);
         statement.discard(&leader, &mut snapshot, &waiting);
--- a/crates/core/src/scheduling/statement.rs
+++ b/crates/core/src/scheduling/statement.rs
@@ -1,4 +1,5 @@
-//! Statements: logs of simulated placements, kept whole or dropped whole (article: "Simulate first, commit later").
+//! Statements: logs of simulated placements that are committed or discarded as a whole (article: "Simulate first,
+//! commit later").
 
 use super::snapshot::simulation::FetchCounted;
 use super::snapshot::Snapshot;
@@ -6,20 +7,20 @@
 use crate::leader::Leader;
 use rudderreel_wire::ids::{MachineId, TaskId};
 
-/// A task and the machine that it is to go on.
+/// A task and the machine that it is placed on.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// The task.
+    /// Placed task.
     pub task: TaskId,
-    /// The machine.
+    /// Machine that the task is placed on.
     pub machine: MachineId,
 }
 
-/// A placement that the snapshot already shows.
+/// A placement that is already simulated in the snapshot.
 struct LogEntry {
     placement: Placement,
-    /// The machine's place among the candidates.
-    at: usize,
+    /// Index of the machine in [`Snapshot::candidates`].
+    candidate_index: usize,
     fetch: FetchCounted,
 }
 
@@ -30,38 +31,38 @@
 }
 
 impl Statement {
-    /// Places a task on a machine of the snapshot.
+    /// Simulates the placement of a task on a candidate machine and logs it.
     pub fn place(
         &mut self,
         leader: &Leader,
         snapshot: &mut Snapshot,
         job: &Job,
         index: u32,
-        at: usize,
+        candidate_index: usize,
     ) {
-        let fetch = snapshot.place(leader, job, at);
+        let fetch = snapshot.place(leader, job, candidate_index);
         let placement = Placement {
             task: job.spec.id.task(index),
-            machine: snapshot.candidates[at].id.clone(),
+            machine: snapshot.candidates[candidate_index].id.clone(),
         };
         self.log.push(LogEntry {
             placement,
-            at,
+            candidate_index,
             fetch,
         });
     }
 
-    /// How many tasks were placed.
+    /// Returns the number of tasks placed.
     pub fn len(&self) -> usize {
         self.log.len()
     }
 
-    /// Keeps everything.
+    /// Keeps all placements and returns them.
     pub fn commit(self) -> Vec<Placement> {
         self.log.into_iter().map(|entry| entry.placement).collect()
     }
 
-    /// Keeps everything if it is so much, and otherwise takes everything back.
+    /// Keeps all placements and returns them if there are exactly `tasks` of them; otherwise discards them all.
     pub fn commit_if_whole(
         self,
         leader: &Leader,
@@ -76,10 +77,10 @@
         None
     }
 
-    /// Takes everything back.
+    /// Reverts all placements in the snapshot, the last one first.
     pub fn discard(self, leader: &Leader, snapshot: &mut Snapshot, job: &Job) {
         for entry in self.log.into_iter().rev() {
-            snapshot.withdraw(leader, job, entry.at, entry.fetch);
+            snapshot.withdraw(leader, job, entry.candidate_index, entry.fetch);
         }
     }
 }
