--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -127,7 +127,7 @@
             let limit = &self.teams.nodes[node].limit;
             (need.iter().zip(limit)).all(|(need, limit)| *need <= *limit + LIMIT_TOLERANCE)
         };
-        if !self.teams.chain(team).all(is_within_limit) {
+        if !self.teams.path_to_root(team).all(is_within_limit) {
             return Err(NeverRuns::OverLimit);
         }
         Ok(())
--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -145,7 +145,7 @@
         let Some(leaf) = teams.find(&job.spec.team) else {
             return false;
         };
-        teams.chain(leaf).all(|node| {
+        teams.path_to_root(leaf).all(|node| {
             let limit = &teams.nodes[node].limit;
             if limit.iter().all(|l| l.is_infinite()) {
                 return true;
--- a/crates/core/src/dispatch/team_usage.rs
+++ b/crates/core/src/dispatch/team_usage.rs
@@ -22,7 +22,7 @@
             for job in (leader.jobs.values()).filter(|job| !job.placements.is_empty()) {
                 let used = job.need.times(job.placement_count());
                 let leaf = teams.find(&job.spec.team);
-                for node in leaf.into_iter().flat_map(|leaf| teams.chain(leaf)) {
+                for node in leaf.into_iter().flat_map(|leaf| teams.path_to_root(leaf)) {
                     sums[node] += used;
                 }
             }
@@ -45,7 +45,11 @@
     }
 
     fn is_below(&self, job: &Job, node: usize) -> bool {
-        (self.policy.teams.find(&job.spec.team))
-            .is_some_and(|leaf| self.policy.teams.chain(leaf).any(|above| above == node))
+        (self.policy.teams.find(&job.spec.team)).is_some_and(|leaf| {
+            self.policy
+                .teams
+                .path_to_root(leaf)
+                .any(|above| above == node)
+        })
     }
 }
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -38,7 +38,7 @@
 
     /// Adds to what the team of a job, which is this node of the tree, and all nodes above it use.
     fn charge_team(&mut self, leader: &Leader, team: usize, job: &Job, need: &Amounts) {
-        for node in leader.policy.teams.chain(team) {
+        for node in leader.policy.teams.path_to_root(team) {
             add_amounts(&mut self.used[node], need);
             if !job.is_preemptible() {
                 add_amounts(&mut self.non_preemptible[node], need);
@@ -57,7 +57,7 @@
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
         };
-        leader.policy.teams.chain(team).all(|node| {
+        leader.policy.teams.path_to_root(team).all(|node| {
             let settings = &leader.policy.teams.nodes[node];
             let within_quota =
                 job.is_preemptible() || fits(&self.non_preemptible[node], &settings.quota);
@@ -184,7 +184,7 @@
         };
         self.usage.charge_team(leader, team, job, need);
         let counted = self.counted_for_shares(need);
-        for node in leader.policy.teams.chain(team) {
+        for node in leader.policy.teams.path_to_root(team) {
             add_amounts(&mut self.counted[node], &counted);
         }
     }
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -213,7 +213,7 @@
     }
 
     /// A node and all above it.
-    pub fn chain(&self, node: usize) -> impl Iterator<Item = usize> + '_ {
+    pub fn path_to_root(&self, node: usize) -> impl Iterator<Item = usize> + '_ {
         std::iter::successors(Some(node), |&node| self.nodes[node].parent)
     }
 }
