--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -8,7 +8,7 @@
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::scheduling::actions;
-use crate::teams::team_tree::{amounts, KINDS};
+use crate::teams::team_tree::{amounts, RESOURCE_KINDS};
 use crate::units::Time;
 use rudderreel_wire::ids::Zone;
 
@@ -157,7 +157,7 @@
                     || used == self.usage_on_machines(node)
             );
             let used = amounts(&used);
-            (0..KINDS).all(|kind| used[kind] <= limit[kind] + LIMIT_TOLERANCE)
+            (0..RESOURCE_KINDS).all(|kind| used[kind] <= limit[kind] + LIMIT_TOLERANCE)
         })
     }
 }
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -11,7 +11,9 @@
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::teams::fair_share::{fair_shares, saturation};
-use crate::teams::team_tree::{add_amounts, amounts, Amounts, GPUS, KINDS, MEMORY, NO_AMOUNTS};
+use crate::teams::team_tree::{
+    add_amounts, amounts, Amounts, GPUS, MEMORY, NO_AMOUNTS, RESOURCE_KINDS,
+};
 use crate::units::Resources;
 
 /// Sums of amounts are compared with limits up to this.
@@ -55,7 +57,8 @@
     /// The same if the team's node of the tree is known.
     fn team_within_limits(&self, leader: &Leader, team: usize, job: &Job, need: &Amounts) -> bool {
         let fits = |used: &Amounts, cap: &Amounts| {
-            (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
+            (0..RESOURCE_KINDS)
+                .all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
         };
         leader.policy.teams.path_to_root(team).all(|node| {
             let settings = &leader.policy.teams.nodes[node];
@@ -274,7 +277,7 @@
     pub fn stays_within_share(&self, team: usize, need: &Resources, multiplier: f64) -> bool {
         let need = self.counted(need);
         let (used, share) = (&self.used[team], &self.fair_share[team]);
-        (0..KINDS).all(|k| {
+        (0..RESOURCE_KINDS).all(|k| {
             need[k] <= 0.0 || (used[k] + need[k]) * multiplier <= share[k] + SHARE_TOLERANCE
         })
     }
@@ -283,7 +286,7 @@
     /// the platform's settings, so it is not reclaimed.
     pub fn stays_at_share_without(&self, team: usize, given: &Amounts) -> bool {
         let (used, share) = (&self.used[team], &self.fair_share[team]);
-        (0..KINDS)
+        (0..RESOURCE_KINDS)
             .filter(|&k| k != MEMORY && given[k] > 0.0)
             .all(|k| used[k] - given[k] >= share[k] - SHARE_TOLERANCE)
     }
--- a/crates/core/src/teams/fair_share.rs
+++ b/crates/core/src/teams/fair_share.rs
@@ -7,7 +7,7 @@
 //! guaranteed to it: beside teams that have a guarantee it would otherwise claim all it requests in phase one. Once
 //! guarantees are met it gets what such work takes, and then its part of what is left, by priority and weight.
 
-use crate::teams::team_tree::{Amounts, TeamTree, KINDS, NO_AMOUNTS};
+use crate::teams::team_tree::{Amounts, TeamTree, NO_AMOUNTS, RESOURCE_KINDS};
 use std::cmp::Reverse;
 
 /// Below this, an amount counts as nothing.
@@ -21,7 +21,7 @@
     non_preemptible: &[Amounts],
 ) -> Vec<Amounts> {
     let mut shares = vec![NO_AMOUNTS; tree.nodes.len()];
-    for kind in 0..KINDS {
+    for kind in 0..RESOURCE_KINDS {
         let division = Division {
             tree,
             kind,
@@ -183,7 +183,7 @@
             allocated[kind] / share[kind]
         }
     };
-    (0..KINDS).map(ratio).fold(0.0, f64::max)
+    (0..RESOURCE_KINDS).map(ratio).fold(0.0, f64::max)
 }
 
 #[cfg(test)]
--- a/crates/core/src/teams/fair_share/tests.rs
+++ b/crates/core/src/teams/fair_share/tests.rs
@@ -6,8 +6,8 @@
     TeamNode {
         name: format!("t{quota}").as_str().into(),
         parent,
-        quota: [quota; KINDS],
-        limit: [limit; KINDS],
+        quota: [quota; RESOURCE_KINDS],
+        limit: [limit; RESOURCE_KINDS],
         weight,
         priority,
     }
@@ -67,11 +67,11 @@
     ) {
         let mut tree = TeamTree::from_limits(&[]);
         tree.nodes.extend(teams.iter().map(|t| node(Some(0), t.0, t.1, t.2, t.4)));
-        let mut requested = vec![[0.0; KINDS]];
-        requested.extend(teams.iter().map(|t| [t.3; KINDS]));
+        let mut requested = vec![[0.0; RESOURCE_KINDS]];
+        requested.extend(teams.iter().map(|t| [t.3; RESOURCE_KINDS]));
         let total = f64::from(total);
-        let non_preemptible = vec![[0.0; KINDS]; tree.nodes.len()];
-        let shares = fair_shares(&tree, [total; KINDS], &requested, &non_preemptible);
+        let non_preemptible = vec![[0.0; RESOURCE_KINDS]; tree.nodes.len()];
+        let shares = fair_shares(&tree, [total; RESOURCE_KINDS], &requested, &non_preemptible);
         for (i, expected) in model(&teams, total).into_iter().enumerate() {
             let got = shares[i + 1][0];
             prop_assert!((got - expected).abs() < 0.05, "{i}: {got} but {expected}: {teams:?}");
@@ -87,13 +87,18 @@
     tree.nodes.push(node(Some(1), 0.0, 10.0, 3.0, 0));
     tree.nodes.push(node(Some(1), 0.0, 10.0, 1.0, 0));
     let want = [
-        [0.0; KINDS],
-        [0.0; KINDS],
-        [9.0; KINDS],
-        [9.0; KINDS],
-        [9.0; KINDS],
+        [0.0; RESOURCE_KINDS],
+        [0.0; RESOURCE_KINDS],
+        [9.0; RESOURCE_KINDS],
+        [9.0; RESOURCE_KINDS],
+        [9.0; RESOURCE_KINDS],
     ];
-    let shares = fair_shares(&tree, [12.0; KINDS], &want, &[[0.0; KINDS]; 5]);
+    let shares = fair_shares(
+        &tree,
+        [12.0; RESOURCE_KINDS],
+        &want,
+        &[[0.0; RESOURCE_KINDS]; 5],
+    );
     let of_cpus: Vec<f64> = shares.iter().map(|s| s[0]).collect();
     assert_eq!(of_cpus, vec![12.0, 8.0, 4.0, 6.0, 2.0]);
 }
@@ -107,9 +112,21 @@
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
     tree.nodes.push(node(Some(2), 8.0, none, 1.0, 0));
-    let want = |team: f64| [[0.0; KINDS], [90.0; KINDS], [0.0; KINDS], [team; KINDS]];
+    let want = |team: f64| {
+        [
+            [0.0; RESOURCE_KINDS],
+            [90.0; RESOURCE_KINDS],
+            [0.0; RESOURCE_KINDS],
+            [team; RESOURCE_KINDS],
+        ]
+    };
     let shares = |team| {
-        let got = fair_shares(&tree, [10.0; KINDS], &want(team), &[[0.0; KINDS]; 4]);
+        let got = fair_shares(
+            &tree,
+            [10.0; RESOURCE_KINDS],
+            &want(team),
+            &[[0.0; RESOURCE_KINDS]; 4],
+        );
         [got[1][0], got[2][0], got[3][0]]
     };
     assert_eq!(shares(8.0), [2.0, 8.0, 8.0]);
@@ -124,10 +141,18 @@
     let none = f64::INFINITY;
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
     tree.nodes.push(node(Some(0), none, none, 1.0, 0));
-    let want = [[0.0; KINDS], [90.0; KINDS], [90.0; KINDS]];
+    let want = [
+        [0.0; RESOURCE_KINDS],
+        [90.0; RESOURCE_KINDS],
+        [90.0; RESOURCE_KINDS],
+    ];
     let shares = |non_preemptible: f64| {
-        let non_preemptible = [[0.0; KINDS], [non_preemptible; KINDS], [0.0; KINDS]];
-        let got = fair_shares(&tree, [20.0; KINDS], &want, &non_preemptible);
+        let non_preemptible = [
+            [0.0; RESOURCE_KINDS],
+            [non_preemptible; RESOURCE_KINDS],
+            [0.0; RESOURCE_KINDS],
+        ];
+        let got = fair_shares(&tree, [20.0; RESOURCE_KINDS], &want, &non_preemptible);
         [got[1][0], got[2][0]]
     };
     assert_eq!(shares(0.0), [10.0, 10.0]);
@@ -141,7 +166,16 @@
     let mut tree = TeamTree::from_limits(&[]);
     tree.nodes.push(node(Some(0), 6.0, 10.0, 1.0, 0));
     tree.nodes.push(node(Some(0), 3.0, 10.0, 9.0, 5));
-    let want = [[0.0; KINDS], [8.0; KINDS], [8.0; KINDS]];
-    let shares = fair_shares(&tree, [6.0; KINDS], &want, &[[0.0; KINDS]; 3]);
+    let want = [
+        [0.0; RESOURCE_KINDS],
+        [8.0; RESOURCE_KINDS],
+        [8.0; RESOURCE_KINDS],
+    ];
+    let shares = fair_shares(
+        &tree,
+        [6.0; RESOURCE_KINDS],
+        &want,
+        &[[0.0; RESOURCE_KINDS]; 3],
+    );
     assert_eq!([shares[1][0], shares[2][0]], [4.0, 2.0]);
 }
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// Number of resources that shares are computed for.
-pub const KINDS: usize = 3;
+pub const RESOURCE_KINDS: usize = 3;
 /// The place of CPUs among [`Amounts`].
 pub const CPUS: usize = 0;
 /// The place of GPUs among [`Amounts`].
@@ -19,10 +19,10 @@
 pub const MEMORY: usize = 2;
 
 /// An amount of each resource, in whole units: CPUs, GPUs, GB of memory.
-pub type Amounts = [f64; KINDS];
+pub type Amounts = [f64; RESOURCE_KINDS];
 
 /// Nothing of any resource.
-pub const NO_AMOUNTS: Amounts = [0.0; KINDS];
+pub const NO_AMOUNTS: Amounts = [0.0; RESOURCE_KINDS];
 
 /// Thousandths in a whole unit.
 const THOUSANDTHS: f64 = 1000.0;
@@ -114,8 +114,8 @@
         let root = TeamNode {
             name: "".into(),
             parent: None,
-            quota: [f64::INFINITY; KINDS],
-            limit: [f64::INFINITY; KINDS],
+            quota: [f64::INFINITY; RESOURCE_KINDS],
+            limit: [f64::INFINITY; RESOURCE_KINDS],
             weight: 1.0,
             priority: 0,
         };
@@ -273,7 +273,7 @@
         let limit = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let has_no_quota = team.cpus <= 0.0 && team.gpus <= 0.0;
         let quota = if has_no_quota {
-            [f64::INFINITY; KINDS]
+            [f64::INFINITY; RESOURCE_KINDS]
         } else {
             [team.cpus, team.gpus, f64::INFINITY]
         };
