--- a/crates/core/src/jobs/failures.rs
+++ b/crates/core/src/jobs/failures.rs
@@ -35,7 +35,7 @@
     /// The latest last; each machine once.
     on: Vec<MachineFailure>,
     /// Attempts that failed since the last success.
-    tries: u32,
+    failed_attempts: u32,
     last_attempt: Option<Attempt>,
     proven: bool,
     suspected: bool,
@@ -51,8 +51,8 @@
     }
 
     /// Attempts that failed since the last success.
-    pub fn tries(&self) -> u32 {
-        self.tries
+    pub fn failed_attempts(&self) -> u32 {
+        self.failed_attempts
     }
 
     /// Whether anything of the job was ever completed, or ran for long: then it has no mistake.
@@ -91,9 +91,9 @@
     }
 
     /// Restores what an earlier leader recorded: it suspected the job if any tries are recorded.
-    pub fn restore(&mut self, tries: u32) {
-        self.suspected = tries > 0;
-        self.tries = tries;
+    pub fn restore(&mut self, failed_attempts: u32) {
+        self.suspected = failed_attempts > 0;
+        self.failed_attempts = failed_attempts;
     }
 
     /// Records a failure. Returns whether it is the first of its attempt.
@@ -109,7 +109,7 @@
         });
         let is_first_of_attempt = self.last_attempt != Some(attempt);
         self.last_attempt = Some(attempt);
-        self.tries += u32::from(is_first_of_attempt);
+        self.failed_attempts += u32::from(is_first_of_attempt);
         is_first_of_attempt
     }
 
@@ -118,7 +118,7 @@
         if !self.suspected {
             return RETRY_PAUSE;
         }
-        let doublings = self.tries.saturating_sub(1).min(MAX_DOUBLINGS);
+        let doublings = self.failed_attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         Span(SUSPECTED_RETRY_PAUSE.0 << doublings)
     }
 }
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -160,7 +160,7 @@
         let id = &job.spec.id;
         self.estimated_bytes += progress_bytes(job);
         if job.is_suspected() {
-            let tries = job.failures.tries();
+            let tries = job.failures.failed_attempts();
             self.record.suspected.push((id.clone(), tries));
         }
         let ranges = job.recorded_done.ranges().collect();
