--- a/crates/core/src/jobs/cascade.rs
+++ b/crates/core/src/jobs/cascade.rs
@@ -1,9 +1,9 @@
-//! Cascade cancellations: jobs that are cancelled because a job that they depend on is.
+//! Cascade cancellations: jobs that are cancelled because one of their dependencies is cancelled.
 //!
-//! They are cancelled from the commit of that one cancellation on (see `cache::dependencies`); their records make that
-//! visible to all. The writes may be repeated and come in any order, since each depends on the version of the job's
-//! record. A new leader finds what is left in its cache. Each record that is written shows the next jobs along the
-//! pipeline.
+//! Such a job counts as cancelled from the commit of its dependency's cancellation on (see `cache::dependencies`); its
+//! own record only makes that visible to all. The writes may be repeated and may happen in any order, since each is
+//! conditional on the version of the job's record. A new leader finds the remaining jobs in its cache. Each record that
+//! is written reveals the next jobs along the pipeline.
 
 use super::job_table::JobTable;
 use crate::cache::job_cache::JobCache;
@@ -16,19 +16,21 @@
 use rudderreel_wire::ids::{JobId, Version};
 use rudderreel_wire::state::Transaction;
 
-/// Jobs that are looked at in one go: the rest follows with the next.
+/// Maximum number of jobs handled in one pass; the next pass handles the rest.
 const MAX_JOBS_PER_PASS: usize = 64;
 
-/// A job whose record is to be written.
+/// A job that is to be recorded as cancelled.
 pub(crate) struct CascadeCancellation {
     id: JobId,
-    /// The version of the record that is replaced.
+    /// Version of the record that is replaced.
     version: Version,
+    /// The cancelled record to be written.
     record: JobRecord,
 }
 
 impl JobTable {
-    /// Jobs whose records are to be written and are not being written, the oldest first.
+    /// Returns the next jobs to be recorded as cancelled, without those whose records are already being written: at
+    /// most [`MAX_JOBS_PER_PASS`], sorted by record version, the oldest first.
     pub(crate) fn due_cascade_cancellations(
         &self,
         cache: &JobCache,
@@ -52,7 +54,7 @@
         due
     }
 
-    /// Begins to write the records of some jobs: the transaction, and the records that it writes.
+    /// Marks the jobs as being written; returns the transaction and the records that it writes.
     pub(crate) fn begin_cascade_commit(
         &mut self,
         cancellations: Vec<CascadeCancellation>,
@@ -75,7 +77,7 @@
         (transaction, records)
     }
 
-    /// A commit of cascade cancellations has ended. What it did not write is due again.
+    /// Records that a commit of cascade cancellations has ended. Jobs whose records it did not write are due again.
     pub(crate) fn cascade_commit_ended<'a>(&mut self, ids: impl Iterator<Item = &'a JobId>) {
         for id in ids {
             self.cascading.remove(id);
--- a/crates/core/src/jobs/effective_urgency.rs
+++ b/crates/core/src/jobs/effective_urgency.rs
@@ -1,8 +1,9 @@
-//! How urgent each job is, with what it inherits from the jobs that depend on it.
+//! Effective urgency: the priority and deadline of a job, including what it inherits from the jobs that depend on it.
 //!
-//! Users set priority and deadline on the last job of a pipeline. What that job needs inherits both, less the time that
-//! the jobs after it take. Only the changed edges are followed: a submission, a completion or a cancellation changes
-//! what comes before it, and of that only what is not as urgent already.
+//! Users set priority and deadline on the last job of a pipeline. The dependencies of that job inherit both, with the
+//! deadline reduced by the expected run time of the jobs that come after them. Updates are incremental: a submission, a
+//! completion or a cancellation changes only the dependencies of that job, and the update stops at jobs whose urgency
+//! does not change.
 
 use super::job::EffectiveUrgency;
 use super::job_table::JobTable;
@@ -13,7 +14,7 @@
 use std::collections::BTreeSet;
 
 impl JobTable {
-    /// Propagates priorities and deadlines to the jobs that come before, beginning with some.
+    /// Recomputes the urgency of the jobs in `start` and propagates changes to their dependencies.
     pub(crate) fn inherit_urgency(
         &mut self,
         graph: &DependencyGraph,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The urgency of a job, for its own sake and for that of the active jobs that need it.
+    /// Computes the urgency of a job from its own and that of the active jobs that depend on it.
     fn effective_urgency(
         &self,
         graph: &DependencyGraph,
@@ -45,17 +46,17 @@
         let mut urgency = self.get(id)?.own_urgency();
         let dependents = graph.dependents_of(id).filter_map(|d| self.get(d));
         for dependent in dependents.filter(|d| d.is_active()) {
-            let after = dependent.expected_span(catalog);
+            let span = dependent.expected_span(catalog);
             urgency.priority = urgency.priority.max(dependent.urgency.priority);
-            let deadline = before(dependent.urgency.deadline, after);
+            let deadline = earlier_by(dependent.urgency.deadline, span);
             urgency.deadline = earliest(urgency.deadline, deadline);
         }
         Some(urgency)
     }
 }
 
-fn before(moment: Option<Wall>, span: Span) -> Option<Wall> {
-    moment.map(|wall| Wall(wall.0.saturating_sub(span.0)))
+fn earlier_by(deadline: Option<Wall>, span: Span) -> Option<Wall> {
+    deadline.map(|wall| Wall(wall.0.saturating_sub(span.0)))
 }
 
 fn earliest(a: Option<Wall>, b: Option<Wall>) -> Option<Wall> {
--- a/crates/core/src/jobs/effective_urgency/tests.rs
+++ b/crates/core/src/jobs/effective_urgency/tests.rs
@@ -17,7 +17,7 @@
     spec
 }
 
-/// A leader and its cache, which are told of jobs as the node does it.
+/// A leader and its job cache, which receive job records in the same way as from the node.
 struct Pipeline {
     leader: Leader,
     job_cache: JobCache,
@@ -29,7 +29,7 @@
         Self { leader, job_cache }
     }
 
-    fn learn(&mut self, n: u32, version: u64, record: JobRecord) {
+    fn apply_record(&mut self, n: u32, version: u64, record: JobRecord) {
         self.job_cache
             .update_job(id(n), Version(version), record.clone());
         self.leader.update_job(&id(n), Version(version), &record);
@@ -39,7 +39,7 @@
 
     fn submit(&mut self, spec: JobSpec) {
         let n = spec.id.as_str()[3..].parse().expect("a number");
-        self.learn(n, 1, JobRecord::queued(&spec, NOW.wall));
+        self.apply_record(n, 1, JobRecord::queued(&spec, NOW.wall));
     }
 
     fn urgency(&self, n: u32) -> EffectiveUrgency {
@@ -47,8 +47,8 @@
     }
 }
 
-/// What one task takes here: 4 s by its owner, and 5 s to fetch its image.
-const EACH: Span = Span(9_000);
+/// Expected time of each job: 4 s by the owner's estimate, and 5 s to fetch the image.
+const EXPECTED_SPAN: Span = Span(9_000);
 
 #[test]
 fn priority_and_deadline_of_the_last_job_are_inherited() {
@@ -59,12 +59,12 @@
     assert_eq!(p.urgency(1).priority, Priority::Normal);
     p.submit(spec(4, "urgent", &[2, 3], Some(100.0)));
     let due = NOW.wall + Span(100_000);
-    for (n, after) in [(4, 0), (3, 1), (2, 1), (1, 2)] {
+    for (n, stages_after) in [(4, 0), (3, 1), (2, 1), (1, 2)] {
         assert_eq!(p.urgency(n).priority, Priority::High, "job {n}");
-        let finish_by = Wall(due.0 - after * EACH.0);
+        let finish_by = Wall(due.0 - stages_after * EXPECTED_SPAN.0);
         assert_eq!(p.urgency(n).deadline, Some(finish_by), "job {n}");
     }
-    // What is evictable, and what may exceed a quota, stays with a job's own priority.
+    // Whether a job can be evicted, and whether it may exceed a quota, depends on its own priority only.
     assert!(p.leader.jobs[&id(1)].is_preemptible());
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(p.urgency(1).priority, Priority::High);
     let record = JobRecord::queued(&spec(2, "urgent", &[1], Some(50.0)), NOW.wall);
     let limits = p.leader.store_limits;
-    p.learn(2, 2, record.cancelled(NOW.wall, None, &limits));
+    p.apply_record(2, 2, record.cancelled(NOW.wall, None, &limits));
     assert_eq!(p.urgency(1).priority, Priority::Low);
     assert_eq!(p.urgency(1).deadline, None);
 }
@@ -90,18 +90,19 @@
     let job = |p: &Pipeline| p.leader.jobs[&id(3)].clone();
     assert!(!job(&p).is_ready());
     assert_eq!(job(&p).startable_tasks(), 0);
-    p.learn(1, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(3_000)));
+    p.apply_record(1, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(3_000)));
     assert!(!job(&p).is_ready());
-    p.learn(2, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(2_000)));
+    p.apply_record(2, 2, JobRecord::done(1, NOW.wall, NOW.wall + Span(2_000)));
     assert!(job(&p).is_ready());
     assert_eq!(job(&p).startable_tasks(), 1);
-    // Its age begins when the last one was done.
+    // The waiting time begins when the last dependency is done.
     assert_eq!(job(&p).waiting_since(), NOW.wall + Span(3_000));
 }
 
-/// A long chain whose last job comes late is followed once; sharing does not multiply the cost.
+/// Guards against visiting shared ancestors once per path: the number of paths doubles with each stage of this graph.
+/// The last job is submitted late, and its urgency must propagate through the whole graph in bounded time.
 #[test]
-fn a_ladder_of_shared_ancestors_is_followed_in_bounded_time() {
+fn urgency_propagates_through_shared_ancestors_in_bounded_time() {
     let mut p = Pipeline::new();
     p.submit(spec(1, "low", &[], None));
     p.submit(spec(2, "low", &[], None));
--- a/crates/core/src/jobs/failures.rs
+++ b/crates/core/src/jobs/failures.rs
@@ -1,48 +1,50 @@
-//! Failures as evidence against a job (see `agents::fault_attribution`): on which machines it failed, how often it
-//! was tried in vain, and whether it is suspected of a mistake.
+//! Failures as evidence against a job (see `agents::fault_attribution`): on which machines it failed, how many attempts
+//! have failed since its last success, and whether it is suspected of a mistake.
 
 use super::job::Job;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::{Attempt, MachineId};
 use rudderreel_wire::job::Kind;
 
-/// Evidence of failures is kept for so long.
+/// Time for which evidence of failures is kept.
 pub const EVIDENCE_TTL: Span = Span(180_000);
-/// Machines that are remembered of a job, and jobs of a machine, at most.
+/// Maximum number of failed machines kept per job, and of failed jobs kept per machine.
 pub const MAX_EVIDENCE: usize = 8;
-/// Pauses and quarantines double with each further failure, so many times at most.
+/// Maximum number of times that a pause or quarantine is doubled; each further failure doubles it.
 pub const MAX_DOUBLINGS: u32 = 5;
-/// A job is not tried again on a machine where it failed for so long.
+/// Time after a failure during which the job is not tried again on the same machine.
 const AVOID_AFTER_FAILURE: Span = Span(20_000);
-/// Tasks of a suspected job that are tried at a time.
-const TASKS_ON_TRIAL: u32 = 1;
-/// The pause before another try of a job that is not suspected.
+/// Maximum number of tasks of a suspected job that are tried at the same time.
+const MAX_SUSPECTED_TASKS: u32 = 1;
+/// Pause before a job that is not suspected is tried again.
 const RETRY_PAUSE: Span = Span(300);
-/// The first pause of a suspected job. It doubles with each try that fails.
+/// First pause of a suspected job. It doubles with each further failed attempt.
 const SUSPECTED_RETRY_PAUSE: Span = Span(2_000);
 
-/// A machine that a job failed on.
+/// A machine on which a job failed.
 #[derive(Clone, Debug)]
 struct MachineFailure {
     machine: MachineId,
-    /// When it failed there last.
+    /// Time of the latest failure there.
     at: Time,
 }
 
-/// What a job's failures show of the job.
+/// Evidence that a job's failures give about the job.
 #[derive(Clone, Debug, Default)]
 pub struct Failures {
-    /// The latest last; each machine once.
-    on: Vec<MachineFailure>,
-    /// Attempts that failed since the last success.
+    /// Each failed machine once, the latest failure last.
+    machine_failures: Vec<MachineFailure>,
+    /// Number of attempts that failed since the last success.
     failed_attempts: u32,
+    /// Attempt of the latest recorded failure.
     last_attempt: Option<Attempt>,
+    /// Whether any task of the job was ever completed or ran for long.
     proven: bool,
     suspected: bool,
 }
 
 impl Failures {
-    /// Those of a job that has just succeeded.
+    /// Creates the evidence of a job that has just succeeded.
     pub fn cleared() -> Self {
         Self {
             proven: true,
@@ -50,60 +52,62 @@
         }
     }
 
-    /// Attempts that failed since the last success.
+    /// Returns the number of attempts that failed since the last success.
     pub fn failed_attempts(&self) -> u32 {
         self.failed_attempts
     }
 
-    /// Whether anything of the job was ever completed, or ran for long: then it has no mistake.
+    /// Returns whether any task of the job was ever completed or ran for long: then the job has no mistake.
     pub fn is_proven(&self) -> bool {
         self.proven
     }
 
-    /// Notes that something of the job was completed, or ran for long.
+    /// Records that a task of the job was completed or ran for long.
     pub fn mark_proven(&mut self) {
         self.proven = true;
     }
 
-    /// Whether the job is suspected of a mistake.
+    /// Returns whether the job is suspected of a mistake.
     pub fn is_suspected(&self) -> bool {
         self.suspected
     }
 
-    /// Suspects the job of a mistake.
+    /// Marks the job as suspected of a mistake.
     pub fn suspect(&mut self) {
         self.suspected = true;
     }
 
-    /// Machines that it failed on lately.
+    /// Iterates over the machines that are kept as evidence of failures.
     pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
-        self.on.iter().map(|failure| &failure.machine)
+        self.machine_failures.iter().map(|failure| &failure.machine)
     }
 
-    /// Whether it failed on a machine just now.
+    /// Returns whether the job failed on a machine so recently that it must not be tried there.
     pub fn avoids_machine(&self, machine: &MachineId, now: Time) -> bool {
-        (self.on.iter()).any(|f| f.machine == *machine && now - f.at < AVOID_AFTER_FAILURE)
+        (self.machine_failures.iter())
+            .any(|f| f.machine == *machine && now - f.at < AVOID_AFTER_FAILURE)
     }
 
-    /// Whether it failed anywhere just now, so that its tasks are not like others of their shape.
+    /// Returns whether the job avoids any machine after a recent failure, so that its tasks can't be treated like
+    /// others of the same shape.
     pub fn avoids_any_machine(&self, now: Time) -> bool {
-        (self.on.iter()).any(|failure| now - failure.at < AVOID_AFTER_FAILURE)
+        (self.machine_failures.iter()).any(|failure| now - failure.at < AVOID_AFTER_FAILURE)
     }
 
-    /// Restores what an earlier leader recorded: it suspected the job if any tries are recorded.
+    /// Restores what an earlier leader recorded: that leader suspected the job if any failed attempts are recorded.
     pub fn restore(&mut self, failed_attempts: u32) {
         self.suspected = failed_attempts > 0;
         self.failed_attempts = failed_attempts;
     }
 
-    /// Records a failure. Returns whether it is the first of its attempt.
+    /// Records a failure. Returns whether it is the first failure of its attempt.
     pub fn record(&mut self, machine: &MachineId, attempt: Attempt, now: Time) -> bool {
-        self.on
+        self.machine_failures
             .retain(|failure| failure.machine != *machine && now - failure.at < EVIDENCE_TTL);
-        if self.on.len() >= MAX_EVIDENCE {
-            self.on.remove(0);
+        if self.machine_failures.len() >= MAX_EVIDENCE {
+            self.machine_failures.remove(0);
         }
-        self.on.push(MachineFailure {
+        self.machine_failures.push(MachineFailure {
             machine: machine.clone(),
             at: now,
         });
@@ -113,7 +117,7 @@
         is_first_of_attempt
     }
 
-    /// The pause before the job is tried again.
+    /// Returns the pause before the job is tried again.
     pub fn retry_pause(&self) -> Span {
         if !self.suspected {
             return RETRY_PAUSE;
@@ -124,28 +128,28 @@
 }
 
 impl Job {
-    /// Whether it was probably submitted with a mistake.
+    /// Returns whether the job was probably submitted with a mistake.
     pub fn is_suspected(&self) -> bool {
         self.failures.is_suspected()
     }
 
-    /// A failure of it was recorded, which was the first of its attempt: it is tried again after a pause.
+    /// Delays the next start after a recorded failure that was the first of its attempt.
     pub fn pause_after_failure(&mut self, now: Time) {
         self.retry_at = now + self.failures.retry_pause();
     }
 
-    /// It has become suspected by a further failure of an attempt that was counted already.
+    /// Delays the next start after the job became suspected by a further failure of an attempt that is already counted.
     pub fn pause_as_suspected(&mut self, now: Time) {
         self.retry_at = self.retry_at.max(now + SUSPECTED_RETRY_PAUSE);
     }
 
-    /// How many of its `free` tasks may be started now, while `placed` may be somewhere. Of a suspected job one is
-    /// tried at a time; a gang can only be tried as a whole.
-    pub fn startable_of(&self, free: u32, placed: u32) -> u32 {
+    /// Returns how many of the job's `unplaced` tasks may be started now, while `placed` tasks may be on machines. One
+    /// task of a suspected job is tried at a time; a gang can only be tried as a whole.
+    pub fn startable_of(&self, unplaced: u32, placed: u32) -> u32 {
         if self.is_suspected() && self.spec.kind != Kind::Gang {
-            free.min(TASKS_ON_TRIAL.saturating_sub(placed))
+            unplaced.min(MAX_SUSPECTED_TASKS.saturating_sub(placed))
         } else {
-            free
+            unplaced
         }
     }
 }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -1,27 +1,27 @@
-//! A job as the leader sees it.
+//! The leader's state of one job.
 //!
 //! ```text
-//!            known ──► Active: waits for dependencies       (ready_since is none)
-//!                         │ the last one is done            update_readiness
+//!            known ──► Active: waits for dependencies       (ready_since is None)
+//!                         │ last dependency is done         update_readiness
 //!                         ▼
-//!                      Active: ready                        its tasks may be started
-//!                         │ the first task runs             has_started
+//!                      Active: ready                        tasks may be started
+//!                         │ first task runs                 has_started
 //!                         ▼
 //!                      Active: started ──────────┐
-//!                         │ all tasks done       │ its owner, or a cancelled dependency
+//!                         │ all tasks done       │ cancelled by its owner or with a dependency
 //!                         ▼                      │
-//!                      Active: completion is     │ (also from each state before)
+//!                      Active: completion is     │ (also from each earlier state)
 //!                         │ being committed      │
 //!              committed  ▼                      ▼
-//!                      Finished               Cancelled     what may be left of it is stopped
+//!                      Finished               Cancelled     remaining tasks are stopped
 //!                         └──────────┬───────────┘
 //!                                    ▼
-//!                     forgotten, once nothing of it may be on a machine
+//!                     removed once none of its tasks may be on a machine
 //! ```
 //!
 //! **Invariants.** Each task is done, or in `placements` while it may be on some machine, or unplaced. A task is placed
-//! again only after [`Job::unplace`]. Done and cancelled exclude one another: the store's transaction decides, and the
-//! first commit wins. `recorded_done` is the part of `done` that the placement log has, or is being sent.
+//! again only after [`Job::unplace`]. A job is never both done and cancelled: the store's transaction decides, and the
+//! first commit wins. `recorded_done` is the part of `done` that the placement log contains or is being sent.
 
 use crate::jobs::failures::Failures;
 use crate::store::records::SegmentId;
@@ -33,74 +33,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Whether a job's work goes on (see the module's page).
+/// The stage of a job's life cycle (see the module documentation).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStage {
-    /// It is neither done nor cancelled.
+    /// The job is neither done nor cancelled.
     Active,
-    /// It is cancelled, since this moment; what is left of it is being stopped.
+    /// The job was cancelled at this time; its remaining tasks are being stopped.
     Cancelled(Wall),
-    /// It is done, but some of its tasks may still be on machines and count for its team: a gang is done when the first
-    /// of its tasks says so.
+    /// The job is done, but some of its tasks may still be on machines and count for its team: a gang is done when the
+    /// first of its tasks reports completion.
     Finished,
 }
 
-/// The urgency of a job, for its own sake and for that of the jobs that need it.
+/// Urgency of a job, including what it inherits from the jobs that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EffectiveUrgency {
-    /// The highest priority among them.
+    /// The highest priority among the job and the jobs that depend on it.
     pub priority: Priority,
-    /// When it has to be done for all of them to meet their deadlines.
+    /// Latest completion time with which the job and all jobs that depend on it meet their deadlines.
     pub deadline: Option<Wall>,
 }
 
-/// A job as the leader sees it. Done jobs are kept only while tasks of them may be on machines.
+/// The leader's state of a job. A done job is kept only while any of its tasks may be on a machine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The submission.
+    /// The job as submitted.
     pub spec: Arc<JobSpec>,
-    /// The version of its record.
+    /// Version of the job's record in the store.
     pub version: Version,
-    /// When it was submitted.
+    /// Time of submission.
     pub submitted: Wall,
-    /// Jobs that it depends on and that are not done.
+    /// Direct dependencies that are not done.
     pub unmet_dependencies: BTreeSet<JobId>,
-    /// Since when all that it depends on is done; none while something is not.
+    /// Time since which all dependencies are done; `None` while any is not.
     pub ready_since: Option<Wall>,
-    /// Its priority and deadline, with what it inherits from the jobs that need it.
+    /// Priority and deadline, including what the job inherits from the jobs that depend on it.
     pub urgency: EffectiveUrgency,
-    /// Whether its work goes on.
+    /// Stage of the life cycle.
     pub stage: JobStage,
-    /// What one task takes.
+    /// Resources that one task needs.
     pub need: Resources,
-    /// Tasks that are done.
+    /// Indexes of the tasks that are done.
     pub done: TaskSet,
-    /// By task: the machines that it may be on. Everything that is not surely gone.
+    /// The machines and attempts, by task index, where each task may be: every placement that is not surely gone.
     pub placements: BTreeMap<u32, Vec<(MachineId, Attempt)>>,
-    /// No start before this moment, after failures.
+    /// Earliest time of the next start, after failures.
     pub retry_at: Time,
-    /// What its failures show.
+    /// Evidence from the job's failures.
     pub failures: Failures,
-    /// Tasks that are neither done nor anywhere.
+    /// Tasks that are neither done nor in `placements`.
     unplaced: TaskSet,
-    /// How many machines its tasks may be on, each counted for each task.
+    /// Number of entries in `placements`: a machine counts once for each task and attempt that may be on it.
     placement_count: u32,
-    /// Tasks that are done and recorded, or being recorded.
+    /// Done tasks whose completion is recorded in the placement log or being recorded.
     pub recorded_done: TaskSet,
-    /// The newest segment, which names all of its recorded progress.
+    /// The newest segment, which contains all of the job's recorded progress.
     pub segment: SegmentId,
     /// Whether `done` holds more than is recorded or being recorded.
     pub has_unrecorded_progress: bool,
-    /// Whether a commit of its completion is open.
+    /// Whether a commit of the job's completion is in flight.
     pub completion_open: bool,
-    /// Whether any of its tasks ever ran, as far as this leader knows.
+    /// Whether any of the job's tasks has ever run, as far as this leader knows.
     pub has_started: bool,
     /// The longest run time of a completed task, in seconds.
     pub longest_run_s: f64,
 }
 
 impl Job {
-    /// A job that has just become known.
+    /// Creates the state of a job that has just become known.
     pub fn new(spec: JobSpec, version: Version, submitted: Wall) -> Self {
         let ready = spec.dependencies.is_empty();
         Self {
@@ -127,37 +127,38 @@
         }
     }
 
-    /// Whether it is neither done nor cancelled.
+    /// Returns whether the job is neither done nor cancelled.
     pub fn is_active(&self) -> bool {
         self.stage == JobStage::Active
     }
 
-    /// Whether all that it depends on is done. Before that, none of its tasks is started or counted as waiting.
+    /// Returns whether all dependencies are done. Before that, no task of the job is started or counted as waiting.
     pub fn is_ready(&self) -> bool {
         self.ready_since.is_some()
     }
 
-    /// Since when it waits for capacity: the time that it waited for dependencies does not count.
+    /// Returns the time since which the job waits for capacity; time spent waiting for dependencies does not count.
     pub fn waiting_since(&self) -> Wall {
         self.ready_since.unwrap_or(self.submitted)
     }
 
-    /// Its urgency for its own sake.
+    /// Returns the job's own priority and deadline, without anything inherited.
     pub fn own_urgency(&self) -> EffectiveUrgency {
         own_urgency(&self.spec, self.submitted)
     }
 
-    /// How long it takes once it is ready, by its owner's estimate, with its image fetched first.
+    /// Returns the expected time from ready to done: fetching the image on the slowest machine type, then the owner's
+    /// estimate.
     pub fn expected_span(&self, catalog: &Catalog) -> Span {
         Span::secs(self.spec.estimate_s + catalog.slowest_fetch_s(self.spec.image_gb))
     }
 
-    /// Whether all its tasks are done.
+    /// Returns whether all tasks are done; a service is never complete.
     pub fn is_complete(&self) -> bool {
         self.spec.kind != Kind::Service && self.done.len() >= self.spec.tasks
     }
 
-    /// How many unplaced tasks may be started.
+    /// Returns how many unplaced tasks may be started.
     pub fn startable_tasks(&self) -> u32 {
         if !self.is_ready() {
             return 0;
@@ -173,8 +174,8 @@
         self.unplaced.remove(index);
     }
 
-    /// A task has completed after running for some time, as far as that is known. A gang is done when the first of
-    /// its tasks says so.
+    /// Records that a task has completed, with its run time if that is known. A gang is done when the first of its
+    /// tasks reports completion.
     pub fn task_completed(&mut self, index: u32, ran: Option<Span>) {
         self.has_started = true;
         self.has_unrecorded_progress = true;
@@ -186,13 +187,13 @@
         }
     }
 
-    /// The next tasks that may be started: at most `most`, without the first `skip` ones.
-    pub fn next_startable(&self, skip: usize, most: usize) -> Vec<u32> {
+    /// Returns the next tasks that may be started: at most `max`, without the first `skip`.
+    pub fn next_startable(&self, skip: usize, max: usize) -> Vec<u32> {
         let startable = (self.startable_tasks() as usize).saturating_sub(skip);
         self.unplaced
             .iter()
             .skip(skip)
-            .take(most.min(startable))
+            .take(max.min(startable))
             .collect()
     }
 
@@ -206,13 +207,13 @@
         }
     }
 
-    /// Whether a task may be on another machine than one, or in another attempt.
+    /// Returns whether a task may be on a machine other than `machine`, or in an attempt other than `attempt`.
     pub fn may_be_elsewhere(&self, index: u32, machine: &MachineId, attempt: Attempt) -> bool {
         (self.placements.get(&index))
             .is_some_and(|places| places.iter().any(|(m, a)| m != machine || *a != attempt))
     }
 
-    /// Records that a task is surely not on a machine any more.
+    /// Records that an attempt of a task is surely no longer on a machine.
     pub fn unplace(&mut self, index: u32, machine: &MachineId, attempt: Attempt) {
         let Some(places) = self.placements.get_mut(&index) else {
             return;
@@ -228,23 +229,23 @@
         }
     }
 
-    /// How many machines its tasks may be on, each counted for each task.
+    /// Returns how many placements may exist: a machine counts once for each task and attempt that may be on it.
     pub fn placement_count(&self) -> u32 {
         self.placement_count
     }
 
-    /// Whether its tasks may be evicted to make room. Production work is not, and in exchange runs only within its
-    /// team's quota.
+    /// Returns whether tasks of the job may be evicted to free capacity. Production work may not, and in exchange runs
+    /// only within its team's quota.
     pub fn is_preemptible(&self) -> bool {
         !is_non_preemptible(&self.spec)
     }
 
-    /// Whether everything that is done is recorded or being recorded.
+    /// Returns whether the completion of every done task is recorded or being recorded.
     pub fn is_all_recorded(&self) -> bool {
         self.recorded_done.len() == self.done.len()
     }
 
-    /// Restores the progress that a segment records: ranges of done tasks, both ends included.
+    /// Restores the progress that a segment records: ranges of done tasks, with both ends included.
     pub fn restore_progress(&mut self, segment: SegmentId, ranges: &[(u32, u32)]) {
         self.segment = self.segment.max(segment);
         self.has_started = true;
@@ -269,7 +270,7 @@
     }
 }
 
-/// Whether a job's tasks are never evicted to make room: those of production priority.
+/// Returns whether the job has production priority, so that its tasks are never evicted to free capacity.
 pub fn is_non_preemptible(spec: &JobSpec) -> bool {
     spec.priority == Priority::Production
 }
--- a/crates/core/src/jobs/job_table.rs
+++ b/crates/core/src/jobs/job_table.rs
@@ -1,5 +1,5 @@
-//! The jobs that a leader works on: all that are neither done nor cancelled, and those of which something may still be
-//! on a machine.
+//! The table of jobs that a leader works on: all that are neither done nor cancelled, and those whose tasks may still
+//! be on a machine.
 
 use super::job::Job;
 use rudderreel_wire::ids::JobId;
@@ -8,68 +8,68 @@
 #[cfg(test)]
 use std::ops::Index;
 
-/// The jobs, by id.
+/// The leader's jobs, by id.
 #[derive(Default)]
 pub struct JobTable {
     by_id: BTreeMap<JobId, Job>,
-    /// Jobs whose cancellation with a dependency is being committed.
+    /// Jobs whose cascade cancellation is being committed.
     pub(super) cascading: BTreeSet<JobId>,
 }
 
 impl JobTable {
-    /// A job.
+    /// Returns the job with this id.
     pub fn get(&self, id: &JobId) -> Option<&Job> {
         self.by_id.get(id)
     }
 
-    /// A job, to be changed.
+    /// Returns the job with this id for modification.
     pub fn get_mut(&mut self, id: &JobId) -> Option<&mut Job> {
         self.by_id.get_mut(id)
     }
 
-    /// Adds a job, or replaces it.
+    /// Adds a job, or replaces the one with the same id.
     pub fn insert(&mut self, id: JobId, job: Job) {
         self.by_id.insert(id, job);
     }
 
-    /// Removes a job of which nothing is left.
+    /// Removes a job that is done or cancelled and has no placements left.
     pub fn remove(&mut self, id: &JobId) {
         self.by_id.remove(id);
     }
 
-    /// Whether a job is there.
+    /// Returns whether the table contains a job.
     pub fn contains(&self, id: &JobId) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// How many there are.
+    /// Returns the number of jobs.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the table is empty.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
 
-    /// All jobs with their ids, in the order of these.
+    /// Iterates over all jobs with their ids, in the order of the ids.
     pub fn iter(&self) -> Iter<'_, JobId, Job> {
         self.by_id.iter()
     }
 
-    /// All jobs, in the order of their ids.
+    /// Iterates over all jobs in the order of their ids.
     pub fn values(&self) -> Values<'_, JobId, Job> {
         self.by_id.values()
     }
 
-    /// All jobs, to be changed, in the order of their ids.
+    /// Iterates over all jobs for modification, in the order of their ids.
     pub fn values_mut(&mut self) -> ValuesMut<'_, JobId, Job> {
         self.by_id.values_mut()
     }
 }
 
-/// For tests: it panics if there is no such job.
+/// Indexing for tests; panics if there is no such job.
 #[cfg(test)]
 impl Index<&JobId> for JobTable {
     type Output = Job;
--- a/crates/core/src/jobs/readiness.rs
+++ b/crates/core/src/jobs/readiness.rs
@@ -1,4 +1,4 @@
-//! Which jobs are ready: a job is once all jobs that it depends on are committed done.
+//! Readiness of jobs: a job is ready once all jobs that it depends on are committed as done.
 
 use super::job_table::JobTable;
 use crate::cache::dependencies::Readiness;
@@ -9,8 +9,9 @@
 use std::collections::BTreeSet;
 
 impl JobTable {
-    /// Updates readiness and urgency after some jobs' records have changed. Only what they touch is followed: the jobs
-    /// that depend on them, and for urgency those that they depend on. Returns whether any job became ready.
+    /// Updates readiness and urgency after some jobs' records have changed. Only affected jobs are visited: for
+    /// readiness the changed jobs and those that depend on them, for urgency the changed jobs and the jobs that they
+    /// depend on. Returns whether any job became ready.
     pub(crate) fn refresh_dependencies(
         &mut self,
         changed: &[JobId],
@@ -33,7 +34,7 @@
         any_became_ready
     }
 
-    /// The same for all jobs, after a failover.
+    /// Updates readiness and urgency of all jobs, after a failover.
     pub(crate) fn refresh_all_dependencies(
         &mut self,
         cache: &JobCache,
@@ -55,8 +56,9 @@
         self.update_readiness(id, readiness, now)
     }
 
-    /// Updates which dependencies of a job are not done; returns whether it has become ready. When the last one was
-    /// done need not be recorded; then the job counts as ready since this leader knows it.
+    /// Updates which dependencies of a job are not done; returns whether the job has become ready. The completion time
+    /// of the last dependency need not be recorded; if it is not, the job counts as ready since this leader learned of
+    /// it.
     pub(crate) fn update_readiness(&mut self, id: &JobId, readiness: Readiness, now: Now) -> bool {
         let Some(job) = self.get_mut(id) else {
             return false;
