--- a/crates/core/src/teams/fair_share.rs
+++ b/crates/core/src/teams/fair_share.rs
@@ -1,19 +1,23 @@
-//! Fair shares, top down (article: "How fair share is computed"): quotas first, then what is left by priority and weight.
+//! Computes fair shares top down (article: "How fair share is computed"): first the quotas, then the surplus by
+//! priority and weight.
 //!
-//! The article's phase one hands out `min(quota, requested)` and assumes that quotas are backed. Where they add up to
-//! more than there is, they are scaled down evenly here, so that the shares never guarantee room that does not exist.
+//! Phase one of the article gives each team `min(quota, requested)` and assumes that the quotas are backed by capacity.
+//! Where they add up to more than the total, they are scaled down evenly here, so that the shares never guarantee
+//! capacity that does not exist.
 //!
-//! A team without any quota may run work of priority 100 or above (its quota counts as unlimited there), but nothing is
-//! guaranteed to it: beside teams that have a guarantee it would otherwise claim all it requests in phase one. Once
-//! guarantees are met it gets what such work takes, and then its part of what is left, by priority and weight.
+//! A team without any quota may run work of priority 100 or above (for that check its quota counts as unlimited), but
+//! nothing is guaranteed to it: otherwise it would claim everything that it requests in phase one, next to teams with a
+//! guarantee. Once the guarantees are met, it gets what such work requests, and then its part of the surplus, by
+//! priority and weight.
 
 use crate::teams::team_tree::{Amounts, TeamTree, NO_AMOUNTS, RESOURCE_KINDS};
 use std::cmp::Reverse;
 
-/// Below this, an amount counts as nothing.
-const NOTHING: f64 = 1e-9;
+/// Amounts up to this count as zero.
+const EPSILON: f64 = 1e-9;
 
-/// Each node's fair share of `total`, given what the leaves request, and what of that can't be preempted.
+/// Returns each node's fair share of `total`, given the amounts that the leaves request and the part of those that
+/// can't be preempted.
 pub fn fair_shares(
     tree: &TeamTree,
     total: Amounts,
@@ -40,7 +44,8 @@
     shares
 }
 
-/// What each node requests of a resource: a leaf its own, a parent its children's, both capped by the limit.
+/// Returns what each node requests of a resource: a leaf its own request, a parent the sum of its children's, both
+/// capped by the node's limit.
 fn effective_requests(tree: &TeamTree, requested: &[Amounts], kind: usize) -> Vec<f64> {
     let mut requests: Vec<f64> = requested.iter().map(|amounts| amounts[kind]).collect();
     for node in (0..tree.nodes.len()).rev() {
@@ -52,18 +57,18 @@
     requests
 }
 
-/// The division of one resource.
+/// The division of one resource among the nodes.
 struct Division<'a> {
     tree: &'a TeamTree,
     kind: usize,
-    /// What each node requests, within its limit.
+    /// Amount that each node requests, capped by its limit.
     requests: Vec<f64>,
-    /// What leaves request that can't be preempted.
+    /// Part of the leaves' requests that can't be preempted.
     non_preemptible: &'a [Amounts],
 }
 
 impl Division<'_> {
-    /// Divides an amount among siblings.
+    /// Divides an amount among siblings; returns their shares.
     fn divide(&self, children: &[usize], amount: f64) -> Vec<f64> {
         let mut given: Vec<f64> = (children.iter())
             .map(|&child| self.guaranteed(child))
@@ -91,7 +96,8 @@
         given
     }
 
-    /// What is guaranteed to a node of what it requests: its quota. One without has what is guaranteed below it.
+    /// Returns the guaranteed part of a node's request: up to its quota, or up to the sum of its children's guarantees
+    /// if it has no quota.
     fn guaranteed(&self, node: usize) -> f64 {
         let quota = self.tree.nodes[node].quota[self.kind];
         let guarantee = if quota.is_finite() {
@@ -103,7 +109,8 @@
         guarantee.min(self.requests[node])
     }
 
-    /// Gives siblings what they request that only an unlimited quota lets run; returns how much.
+    /// Gives siblings the amounts that they request for non-preemptible work under an unlimited quota, scaled down
+    /// evenly to `left`; returns the sum of the amounts given.
     fn give_non_preemptible_without_quota(
         &self,
         children: &[usize],
@@ -114,7 +121,7 @@
             .map(|&child| (self.non_preemptible_without_quota(child)).min(self.requests[child]))
             .collect();
         let total: f64 = requests.iter().sum();
-        if total <= NOTHING {
+        if total <= EPSILON {
             return 0.0;
         }
         let scale = (left / total).min(1.0);
@@ -124,7 +131,7 @@
         total * scale
     }
 
-    /// What a node requests that only an unlimited quota lets run.
+    /// Returns the amount that a node requests for non-preemptible work that only an unlimited quota allows to run.
     fn non_preemptible_without_quota(&self, node: usize) -> f64 {
         let children = self.tree.children(node);
         if self.tree.nodes[node].quota[self.kind].is_finite() {
@@ -138,8 +145,8 @@
         }
     }
 
-    /// Gives what is left to siblings of one priority, by weight, until it is used up or none requests more. Returns
-    /// what is still left.
+    /// Gives the surplus to siblings of one priority, by weight, until it is used up or none of them requests more.
+    /// Returns what is still left.
     fn give_surplus(
         &self,
         children: &[usize],
@@ -148,21 +155,21 @@
         priority: i32,
     ) -> f64 {
         loop {
-            let open: Vec<usize> = (0..children.len())
+            let unsatisfied: Vec<usize> = (0..children.len())
                 .filter(|&position| {
                     let node = &self.tree.nodes[children[position]];
                     let lacking = self.requests[children[position]] - given[position];
-                    node.priority == priority && node.weight > 0.0 && lacking > NOTHING
+                    node.priority == priority && node.weight > 0.0 && lacking > EPSILON
                 })
                 .collect();
-            if open.is_empty() || left <= NOTHING {
+            if unsatisfied.is_empty() || left <= EPSILON {
                 return left;
             }
             let weight = |position: usize| self.tree.nodes[children[position]].weight;
-            let total_weight: f64 = open.iter().map(|&position| weight(position)).sum();
-            let round = left;
-            for position in open {
-                let part = round * weight(position) / total_weight;
+            let total_weight: f64 = unsatisfied.iter().map(|&position| weight(position)).sum();
+            let round_total = left;
+            for position in unsatisfied {
+                let part = round_total * weight(position) / total_weight;
                 let lacking = self.requests[children[position]] - given[position];
                 let share = part.min(lacking);
                 given[position] += share;
@@ -172,12 +179,12 @@
     }
 }
 
-/// Allocated amounts over the fair share, for the resource where that is highest.
+/// Returns the ratio of allocated amount to fair share, for the resource where it is highest.
 pub fn saturation(allocated: &Amounts, share: &Amounts) -> f64 {
     let ratio = |kind: usize| {
-        if allocated[kind] <= NOTHING {
+        if allocated[kind] <= EPSILON {
             0.0
-        } else if share[kind] <= NOTHING {
+        } else if share[kind] <= EPSILON {
             f64::INFINITY
         } else {
             allocated[kind] / share[kind]
--- a/crates/core/src/teams/fair_share/tests.rs
+++ b/crates/core/src/teams/fair_share/tests.rs
@@ -13,9 +13,9 @@
     }
 }
 
-/// The slow plain model: hands out a small part at a time, to the sibling that has least of what is guaranteed to it,
-/// first against quotas and then by priority and weight.
-fn model(teams: &[(f64, f64, f64, f64, i32)], total: f64) -> Vec<f64> {
+/// Slow reference model: gives out one small part at a time. First it goes to the sibling with the least of its
+/// guarantee; once the guarantees are met, by priority and weight.
+fn reference_shares(teams: &[(f64, f64, f64, f64, i32)], total: f64) -> Vec<f64> {
     const PART: f64 = 0.005;
     let mut given = vec![0.0; teams.len()];
     let mut left = total;
@@ -50,8 +50,7 @@
 }
 
 fn team() -> impl Strategy<Value = (f64, f64, f64, f64, i32)> {
-    // Quota, limit, weight, request, priority.
-    // A quota of 6 stands for none.
+    // The values are quota, limit, weight, request and priority. A quota of 6 stands for no quota.
     let quota = |q: u32| if q < 6 { f64::from(q) } else { f64::INFINITY };
     (0..7u32, 4..12u32, 1..4u32, 0..12u32, 0..2i32)
         .prop_map(move |(q, l, w, r, p)| (quota(q), f64::from(l), f64::from(w), f64::from(r), p))
@@ -61,7 +60,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(120) })]
 
     #[test]
-    fn shares_agree_with_the_plain_model(
+    fn shares_agree_with_the_reference_model(
         teams in proptest::collection::vec(team(), 1..6),
         total in 0..30u32,
     ) {
@@ -72,7 +71,7 @@
         let total = f64::from(total);
         let non_preemptible = vec![[0.0; RESOURCE_KINDS]; tree.nodes.len()];
         let shares = fair_shares(&tree, [total; RESOURCE_KINDS], &requested, &non_preemptible);
-        for (i, expected) in model(&teams, total).into_iter().enumerate() {
+        for (i, expected) in reference_shares(&teams, total).into_iter().enumerate() {
             let got = shares[i + 1][0];
             prop_assert!((got - expected).abs() < 0.05, "{i}: {got} but {expected}: {teams:?}");
         }
@@ -103,8 +102,8 @@
     assert_eq!(of_cpus, vec![12.0, 8.0, 4.0, 6.0, 2.0]);
 }
 
-/// A team without a quota that requested much claimed most of the room in phase one, and teams within their guarantees
-/// waited. In a group without a quota of its own, guarantees still hold.
+/// Guards against a team without a quota claiming most of the capacity in phase one by a large request, so that teams
+/// within their guarantees wait. Guarantees also hold in a group that has no quota of its own.
 #[test]
 fn nothing_is_guaranteed_to_a_team_without_a_quota() {
     let mut tree = TeamTree::from_limits(&[]);
@@ -133,8 +132,8 @@
     assert_eq!(shares(2.0), [8.0, 2.0, 2.0]);
 }
 
-/// Of two teams without a quota one ran replicas on half of the room: its other work had nothing left of its share, and
-/// waited behind all that the other borrowed.
+/// Of two teams without a quota, one runs replicas on half of the capacity. Without this rule the replicas use up its
+/// share, and its other work waits behind everything that the other team borrows.
 #[test]
 fn non_preemptible_work_without_a_quota_comes_before_the_surplus() {
     let mut tree = TeamTree::from_limits(&[]);
@@ -160,7 +159,7 @@
     assert_eq!(shares(30.0), [20.0, 0.0]);
 }
 
-/// Where the cloud can't deliver, quotas guarantee room that does not exist.
+/// When the cloud can't deliver machines, the quotas add up to more capacity than exists.
 #[test]
 fn quotas_that_are_not_backed_are_scaled_down_evenly() {
     let mut tree = TeamTree::from_limits(&[]);
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -1,7 +1,8 @@
-//! The tree of teams: each node has, per resource, a quota and a limit, and a weight and a priority.
+//! The tree of teams: each node has a quota and a limit per resource, a weight and a priority.
 //!
-//! Invariants: node 0 is the root, and parents come before their children. Leaves are the platform's teams; nodes between
-//! them and the root are the operators' groups. A limit of the platform is never exceeded, whatever operators set.
+//! Invariants: node 0 is the root, and parents come before their children. The leaves are the platform's teams; nodes
+//! between them and the root are the operators' groups. A limit of the platform is never exceeded, whatever operators
+//! set.
 
 use crate::units::Resources;
 use rudderreel_wire::admin::TeamSettings;
@@ -11,105 +12,106 @@
 
 /// Number of resources that shares are computed for.
 pub const RESOURCE_KINDS: usize = 3;
-/// The place of CPUs among [`Amounts`].
+/// Index of CPUs in [`Amounts`].
 pub const CPUS: usize = 0;
-/// The place of GPUs among [`Amounts`].
+/// Index of GPUs in [`Amounts`].
 pub const GPUS: usize = 1;
-/// The place of memory among [`Amounts`].
+/// Index of memory in [`Amounts`].
 pub const MEMORY: usize = 2;
 
 /// An amount of each resource, in whole units: CPUs, GPUs, GB of memory.
 pub type Amounts = [f64; RESOURCE_KINDS];
 
-/// Nothing of any resource.
+/// Zero of each resource.
 pub const NO_AMOUNTS: Amounts = [0.0; RESOURCE_KINDS];
 
-/// Thousandths in a whole unit.
+/// Number of thousandths, the unit of [`Resources`], in a whole unit.
 const THOUSANDTHS: f64 = 1000.0;
 
-/// Resources as amounts.
+/// Converts resources to amounts.
 pub fn amounts(resources: &Resources) -> Amounts {
     [resources.cpus, resources.gpus, resources.memory].map(|amount| amount as f64 / THOUSANDTHS)
 }
 
-/// Adds amounts.
-pub fn add_amounts(sum: &mut Amounts, more: &Amounts) {
-    for (sum, amount) in sum.iter_mut().zip(more) {
+/// Adds `added` to `sum`, resource by resource.
+pub fn add_amounts(sum: &mut Amounts, added: &Amounts) {
+    for (sum, amount) in sum.iter_mut().zip(added) {
         *sum += amount;
     }
 }
 
-/// A node of the tree.
+/// A node of the tree: the root, a team or a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamNode {
-    /// Its name.
+    /// Name of the team or group; empty for the root.
     pub name: Team,
-    /// The node above it; none for the root.
+    /// Index of the parent node; `None` for the root.
     pub parent: Option<usize>,
-    /// What is guaranteed to it. Infinite if unlimited.
+    /// Guaranteed amount of each resource; infinite if unlimited.
     pub quota: Amounts,
-    /// Never exceeded, borrowed room included. Infinite if there is none.
+    /// Maximum amount of each resource, including what is borrowed above the quota; infinite if there is no limit.
     pub limit: Amounts,
-    /// Its part of what exceeds the quotas, against siblings of the same priority.
+    /// Share of the surplus above the quotas, relative to siblings of the same priority.
     pub weight: f64,
-    /// Who gets what exceeds the quotas first.
+    /// Order among siblings in which the surplus above the quotas is given out, the highest priority first.
     pub priority: i32,
 }
 
-/// The tree; node 0 is the root, and parents come before their children.
+/// The tree of teams and groups; node 0 is the root, and parents come before their children.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TeamTree {
-    /// The nodes.
+    /// The nodes, with the root first and parents before their children.
     pub nodes: Vec<TeamNode>,
+    /// Index of each node except the root, by name.
     index: BTreeMap<Team, usize>,
 }
 
-/// The largest number that operators may set.
+/// Largest value of a numeric setting.
 const MAX_SETTING: f64 = 1e9;
 
-/// What is wrong with the operators' settings of a team or group.
+/// An invalid operator setting of a team or group.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TeamSettingsError {
-    /// A group has no name.
-    #[error("teams: a group's name must not be empty")]
+    /// The name of a group is empty.
+    #[error("teams: name of a group must not be empty")]
     EmptyName,
-    /// A number is negative, too large, or none.
+    /// A number is negative, too large, or not a number.
     #[error("teams.{team}.{field}: must be a number from 0 to 1e9")]
     OutOfRange {
         /// The team or group.
         team: Team,
-        /// The setting.
+        /// Name of the setting.
         field: &'static str,
     },
-    /// A limit exceeds the platform's.
-    #[error("teams.{team}.{field}: is more than the platform allows")]
+    /// A limit exceeds the platform's limit for the team.
+    #[error("teams.{team}.{field}: limit must not exceed the platform's limit for the team")]
     ExceedsPlatform {
         /// The team.
         team: Team,
-        /// The setting.
+        /// Name of the setting.
         field: &'static str,
     },
-    /// The parent does not exist, or is below the node itself.
-    #[error("teams.{team}.parent: is not a group, or goes round in a circle")]
-    NoParent {
+    /// The parent or one of its ancestors does not exist, or the parents form a cycle.
+    #[error("teams.{team}.parent: parent or one of its ancestors does not exist, or the parents form a cycle")]
+    UnresolvedParent {
         /// The team or group.
         team: Team,
     },
-    /// The parent is a team.
-    #[error("teams.{team}.parent: {parent} is a team, not a group")]
+    /// The parent is one of the platform's teams.
+    #[error("teams.{team}.parent: parent must be a group, but {parent} is a team of the platform")]
     ParentIsTeam {
         /// The team or group.
         team: Team,
-        /// Its parent.
+        /// The parent that was set.
         parent: Team,
     },
 }
 
 impl TeamTree {
-    /// The platform's teams, all below one root.
+    /// Creates the tree of the platform's teams, all directly below the root.
     ///
-    /// A team with no quota at all is given an unlimited one: its work at priority 100 or above may run only within
-    /// quota, and otherwise never could.
+    /// A team with neither a CPU nor a GPU quota gets an unlimited quota: its work at priority 100 or above may run
+    /// only within quota, and could otherwise never run.
     pub fn from_limits(teams: &[TeamLimits]) -> Self {
         let root = TeamNode {
             name: "".into(),
@@ -127,8 +129,9 @@
         Self { nodes, index }
     }
 
-    /// The platform's tree with the operators' settings laid over it: groups, parents, quotas, weights, priorities, and
-    /// limits that may be tightened but not exceeded. Fails with the first setting that is not possible.
+    /// Returns this tree of the platform's teams with the operators' settings applied: groups, parents, quotas,
+    /// weights, priorities, and limits, which may be lowered but not raised above the platform's. Fails with the first
+    /// invalid setting.
     pub fn with_settings(
         &self,
         settings: &BTreeMap<Team, TeamSettings>,
@@ -149,13 +152,13 @@
             node.apply(&own)?;
             parents.insert(node.name.clone(), own.parent);
         }
-        let tree = self.arrange(nodes, &parents)?;
+        let tree = self.order_topologically(nodes, &parents)?;
         self.check_parents(&tree)?;
         Ok(tree)
     }
 
-    /// Puts parents before their children.
-    fn arrange(
+    /// Builds the tree with parents before their children.
+    fn order_topologically(
         &self,
         mut rest: Vec<TeamNode>,
         parents: &BTreeMap<Team, Option<Team>>,
@@ -175,7 +178,7 @@
                 nodes.push(node);
             }
             if rest.len() == count_before {
-                return Err(TeamSettingsError::NoParent {
+                return Err(TeamSettingsError::UnresolvedParent {
                     team: rest[0].name.clone(),
                 });
             }
@@ -183,7 +186,7 @@
         Ok(Self { nodes, index })
     }
 
-    /// Only groups may be parents in a tree with operators' settings, not the platform's teams.
+    /// Checks that only the root and groups are parents, not the platform's teams.
     fn check_parents(&self, tree: &Self) -> Result<(), TeamSettingsError> {
         for node in tree.nodes.iter().skip(1) {
             let parent = node.parent.filter(|parent| *parent != 0);
@@ -200,26 +203,26 @@
         Ok(())
     }
 
-    /// The node of a team.
+    /// Returns the node of a team or group.
     pub fn find(&self, team: &Team) -> Option<usize> {
         self.index.get(team).copied()
     }
 
-    /// The nodes directly below one.
+    /// Returns the direct children of a node.
     pub fn children(&self, node: usize) -> Vec<usize> {
         (1..self.nodes.len())
             .filter(|&child| self.nodes[child].parent == Some(node))
             .collect()
     }
 
-    /// A node and all above it.
+    /// Iterates over a node and its ancestors up to the root.
     pub fn path_to_root(&self, node: usize) -> impl Iterator<Item = usize> + '_ {
         std::iter::successors(Some(node), |&node| self.nodes[node].parent)
     }
 }
 
 impl TeamNode {
-    /// Applies operators' settings.
+    /// Applies the operators' settings of this team or group.
     fn apply(&mut self, own: &TeamSettings) -> Result<(), TeamSettingsError> {
         self.check_ranges(own)?;
         for (kind, field, value) in [
@@ -245,6 +248,7 @@
         Ok(())
     }
 
+    /// Checks that each numeric setting is in its range.
     fn check_ranges(&self, own: &TeamSettings) -> Result<(), TeamSettingsError> {
         let numbers = [
             ("quota_cpus", own.quota_cpus),
@@ -253,11 +257,11 @@
             ("limit_gpus", own.limit_gpus),
             ("weight", own.weight),
         ];
-        let is_bad = |value: f64| !(0.0..=MAX_SETTING).contains(&value);
-        let bad = numbers
+        let is_out_of_range = |value: f64| !(0.0..=MAX_SETTING).contains(&value);
+        let out_of_range = numbers
             .into_iter()
-            .find(|(_, value)| value.is_some_and(is_bad));
-        match bad {
+            .find(|(_, value)| value.is_some_and(is_out_of_range));
+        match out_of_range {
             Some((field, _)) => Err(TeamSettingsError::OutOfRange {
                 team: self.name.clone(),
                 field,
@@ -268,7 +272,8 @@
 }
 
 impl From<&TeamLimits> for TeamNode {
-    /// A team of the platform, below the root. A limit of 0 is none; without any quota the quota is unlimited.
+    /// Creates the node of a platform team below the root. A limit of 0 means no limit; with neither a CPU nor a GPU
+    /// quota the quota is unlimited.
     fn from(team: &TeamLimits) -> Self {
         let limit = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let has_no_quota = team.cpus <= 0.0 && team.gpus <= 0.0;
--- a/crates/core/src/teams/team_tree/tests.rs
+++ b/crates/core/src/teams/team_tree/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn operators_settings_are_laid_over_those_of_the_platform() {
+fn operator_settings_override_platform_settings() {
     let text = r#"{"all":{"quota_cpus":6,"priority":2},
         "red":{"parent":"all","limit_cpus":7.5,"weight":3}}"#;
     let tree = platform().with_settings(&settings(text)).expect("a tree");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn impossible_setting_is_refused_with_its_name() {
+fn invalid_setting_is_rejected_with_its_name() {
     let cases = [
         (r#"{"red":{"limit_cpus":11}}"#, "teams.red.limit_cpus"),
         (r#"{"red":{"weight":-1}}"#, "teams.red.weight"),
@@ -50,7 +50,8 @@
     }
 }
 
-/// Otherwise its work at priority 100 or above, which runs only within quota, never could.
+/// Work at priority 100 or above runs only within quota: without an unlimited quota, that of such a team could never
+/// run.
 #[test]
 fn team_without_any_quota_has_an_unlimited_one() {
     let none = TeamLimits {
