--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -1,4 +1,4 @@
-//! The queue of calls to the cloud: within its rate limit, and only a few open at a time.
+//! The queue of calls to the cloud, which limits the rate of calls and the number of open, that is unanswered, calls.
 
 use crate::io::{CallId, CloudCall, Output};
 use crate::units::{Span, Time};
@@ -6,16 +6,16 @@
 use rudderreel_wire::ids::MachineId;
 use std::collections::{HashMap, VecDeque};
 
-/// The part of the calls to the cloud that reading the machine list may take.
+/// Maximum fraction of the calls to the cloud that reading the machine list may use.
 const LIST_FRACTION: f64 = 0.25;
-/// Calls that may be open at a time.
+/// Maximum number of calls that are open at the same time.
 const MAX_OPEN_CALLS: usize = 3;
-/// Bursts worth so many seconds of calls are allowed.
+/// Maximum size of a burst, as seconds of calls at the rate limit.
 const BURST_S: f64 = 2.0;
-/// One call of a burst is left for what the cloud counts otherwise.
+/// Number of calls of a burst that are kept in reserve, because the cloud may count calls differently.
 const BURST_MARGIN: f64 = 1.0;
 
-/// What a call to the cloud is for.
+/// A call to the cloud that is queued or open.
 #[derive(Clone, Debug)]
 pub enum PendingCloudCall {
     /// Read the machine types.
@@ -24,12 +24,12 @@
     ScaleOut(Rent),
     /// Return machines.
     ScaleIn(Vec<MachineId>),
-    /// Read a page of the machine list, after a machine.
+    /// Read the page of the machine list that follows this machine; the first page if there is none.
     List(Option<MachineId>),
 }
 
 impl PendingCloudCall {
-    /// The call to be sent.
+    /// Returns the call to be sent.
     fn to_call(&self) -> CloudCall {
         match self {
             Self::Catalog => CloudCall::Catalog,
@@ -42,26 +42,31 @@
     }
 }
 
-/// Calls to the cloud, within its rate limit.
+/// Queued and open calls to the cloud.
 pub struct CloudCalls {
+    /// Number of the last call that was sent.
     last_id: u64,
+    /// Rate limit of the cloud.
     calls_per_s: f64,
-    /// Calls that may be made now (token bucket).
+    /// Number of calls that may be made now (token bucket).
     tokens: f64,
     tokens_counted_at: Time,
+    /// Calls that have not been sent.
     queue: VecDeque<PendingCloudCall>,
+    /// Calls that have been sent and not been answered.
     open: HashMap<CallId, PendingCloudCall>,
+    /// No calls are sent before this time.
     paused_until: Time,
-    /// When the machine list is to be read next.
+    /// Time of the next reading of the machine list.
     pub(crate) next_list: Time,
-    /// When the machine types are to be read next.
+    /// Time of the next reading of the machine types.
     pub(crate) next_catalog: Time,
-    /// When idle machines may be returned next.
+    /// Earliest time of the next return of idle machines.
     pub(crate) next_return: Time,
 }
 
 impl CloudCalls {
-    /// A queue that makes so many calls a second at most.
+    /// Creates an empty queue that makes at most `calls_per_s` calls a second after a burst.
     pub fn new(calls_per_s: f64) -> Self {
         Self {
             last_id: 0,
@@ -82,30 +87,30 @@
         self.queue.push_back(call);
     }
 
-    /// Takes out what an answered call was for; none if that has been forgotten.
+    /// Removes and returns an open call that has been answered; `None` if it was discarded.
     pub fn take_answered(&mut self, id: CallId) -> Option<PendingCloudCall> {
         self.open.remove(&id)
     }
 
-    /// Forgets all calls, and reads the catalog and the machine list as soon as possible.
+    /// Discards all calls, and schedules reading the catalog and the machine list for now.
     pub(crate) fn restart(&mut self, now: Time) {
         self.clear();
         self.next_catalog = now;
         self.next_list = now;
     }
 
-    /// Forgets all calls, those included that have gone out.
+    /// Discards all calls, including those that have been sent.
     pub fn clear(&mut self) {
         self.queue.clear();
         self.open.clear();
     }
 
-    /// Makes no calls before a moment, after a refusal.
+    /// Sends no calls before `until`, after the cloud has refused a call. An earlier pause is never shortened.
     pub(crate) fn pause_until(&mut self, until: Time) {
         self.paused_until = self.paused_until.max(until);
     }
 
-    /// Sends queued calls, as far as the rate limit allows.
+    /// Sends queued calls, as far as the rate limit, the limit on open calls and a pause allow.
     pub(crate) fn send_queued(&mut self, now: Time, out: &mut Vec<Output>) {
         self.refill_tokens(now);
         while self.tokens >= 1.0 && now >= self.paused_until && self.open.len() < MAX_OPEN_CALLS {
@@ -127,15 +132,16 @@
         self.tokens_counted_at = now;
     }
 
-    /// In what time a fleet of a size may be listed once, so that its pages take their part of the calls.
+    /// Returns the shortest interval at which a fleet of this many machines may be listed, such that reading its pages
+    /// uses at most [`LIST_FRACTION`] of the calls.
     pub(crate) fn listing_span(&self, machines: usize) -> Span {
         let pages = machines.div_ceil(MACHINES_PER_PAGE).max(1);
         Span::secs(pages as f64 / (self.calls_per_s * LIST_FRACTION))
     }
 
-    /// Whether a call like this is queued or open.
-    pub(crate) fn has_pending(&self, is_wanted: impl Fn(&PendingCloudCall) -> bool) -> bool {
-        self.open.values().any(&is_wanted) || self.queue.iter().any(is_wanted)
+    /// Returns whether any queued or open call satisfies `predicate`.
+    pub(crate) fn has_pending(&self, predicate: impl Fn(&PendingCloudCall) -> bool) -> bool {
+        self.open.values().any(&predicate) || self.queue.iter().any(predicate)
     }
 }
 
--- a/crates/core/src/cloud/calls/tests.rs
+++ b/crates/core/src/cloud/calls/tests.rs
@@ -6,7 +6,7 @@
     cloud
 }
 
-/// Sends calls at a moment and answers them at once; returns how many.
+/// Sends queued calls at time `now` and answers them at once; returns their number.
 fn send_and_answer(cloud: &mut CloudCalls, now: Time) -> usize {
     let mut out = Vec::new();
     cloud.send_queued(now, &mut out);
@@ -25,9 +25,9 @@
     while now < Time(10_000) {
         sent += send_and_answer(&mut cloud, now);
         now = now + Span(100);
-        // A burst is worth two seconds, less one call.
-        let most = 7.0 + (now - Time(0)).as_secs() * 4.0;
-        assert!(sent as f64 <= most, "{sent} calls by {now:?}");
+        // A burst has as many calls as two seconds at the rate limit, less one.
+        let max_sent = 7.0 + (now - Time(0)).as_secs() * 4.0;
+        assert!(sent as f64 <= max_sent, "{sent} calls by {now:?}");
     }
     assert!(sent >= 40, "{sent} calls in ten seconds");
 }
--- a/crates/core/src/cloud/mod.rs
+++ b/crates/core/src/cloud/mod.rs
@@ -1,5 +1,5 @@
-//! Calls to the cloud within its rate limit ([`calls`]), and the scale-out requests that a leader has made
-//! ([`scale_out_requests`]). Which machines are wanted is decided in `capacity`.
+//! The leader's communication with the cloud: a queue of calls within the rate limit ([`calls`]) and the open scale-out
+//! requests ([`scale_out_requests`]). `capacity` decides which machines are wanted.
 
 pub mod calls;
 pub mod scale_out_requests;
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -1,7 +1,7 @@
-//! Requests to the cloud for more machines, and which offers it has refused.
+//! Requests to the cloud for more machines, and the offers that the cloud has refused.
 //!
-//! A request has a name that is never given out twice. The cloud carries out a request of one name once, so a request
-//! whose answer was lost is repeated under its name until the cloud has answered it.
+//! The id of a request is never reused. The cloud carries out a request with a given id only once, so a request whose
+//! answer was lost is repeated with its id until the cloud has answered it.
 
 use crate::fleet::Machine;
 use crate::units::{Span, Time};
@@ -11,22 +11,22 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// An offer that was refused is not asked for again for so long, and twice as long with each further refusal.
+/// Time after a refusal during which the offer is not requested again. It doubles with each further refusal.
 const REFUSAL_BACKOFF: Span = Span(4_000);
-/// The backoff doubles so many times at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// No new requests are made while more than so many are open: meanwhile what is wanted adds up. One by one, small
-/// requests for each job that arrives would hold up the large ones.
+/// No new requests are made while more than this number are open, so that wanted machines accumulate into larger
+/// requests. Otherwise small requests, one for each job that arrives, would delay the large ones.
 const MAX_OPEN_BEFORE_NEW: usize = 1;
 
-/// A kind of machine on offer.
+/// A kind of machine that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceOffer {
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: TypeName,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: Zone,
-    /// Whether it is a spot instance, which the cloud may reclaim.
+    /// Whether the machines are spot instances, which the cloud may reclaim.
     pub spot: bool,
 }
 
@@ -61,41 +61,42 @@
     }
 }
 
-/// How many machines of an offer are wanted.
+/// The machines of an offer that are wanted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WantedMachines {
-    /// Whether work that can't be preempted wants any.
+    /// Whether any of the machines is wanted for work that can't be preempted.
     pub is_urgent: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// An offer that the cloud refused.
+/// The latest refusal of an offer by the cloud.
 #[derive(Clone, Copy, Default)]
 struct Refusal {
-    /// Until when it is not asked for.
+    /// The offer is not requested before this time.
     until: Time,
-    /// How often it was refused in a row, up to a bound.
+    /// Number of refusals in a row, at most [`MAX_BACKOFF_DOUBLINGS`].
     doublings: u32,
 }
 
-/// Scale-out requests of a leader.
+/// Open scale-out requests of a leader, and the offers that were refused.
 #[derive(Default)]
 pub struct ScaleOutRequests {
-    /// Requests that wait to go out, are out, or must be repeated.
+    /// Requests that are queued, sent, or to be repeated.
     open: Vec<Rent>,
     refused: BTreeMap<InstanceOffer, Refusal>,
-    named: u64,
+    /// Number of the last request.
+    last_number: u64,
 }
 
 impl ScaleOutRequests {
-    /// Requests that wait to go out, are out, or must be repeated.
+    /// Returns the requests that are queued, sent, or to be repeated.
     pub fn open_requests(&self) -> &[Rent] {
         &self.open
     }
 
-    /// Opens requests for wanted machines: for urgent ones first, then for the largest number, and only so many that
-    /// at most `max_open` are open. What is not requested now is counted again in the next cycle.
+    /// Opens requests for wanted machines, until `max_open` requests are open: urgent offers first, then those with the
+    /// most machines. Machines that are not requested now are counted again in the next cycle.
     pub fn request(
         &mut self,
         wanted: BTreeMap<InstanceOffer, WantedMachines>,
@@ -108,17 +109,17 @@
         let mut wanted: Vec<(InstanceOffer, WantedMachines)> = wanted.into_iter().collect();
         wanted.sort_by_key(|(_, machines)| (!machines.is_urgent, Reverse(machines.count)));
         for (offer, machines) in wanted {
-            let mut left = machines.count;
-            while left > 0 && self.open.len() < max_open {
-                let part = left.min(MACHINES_PER_RENTAL);
-                left -= part;
-                self.open_request(&offer, part, epoch);
+            let mut remaining = machines.count;
+            while remaining > 0 && self.open.len() < max_open {
+                let count = remaining.min(MACHINES_PER_RENTAL);
+                remaining -= count;
+                self.open_request(&offer, count, epoch);
             }
         }
     }
 
     fn open_request(&mut self, offer: &InstanceOffer, count: u32, epoch: Epoch) {
-        let request = self.next_name(epoch);
+        let request = self.next_request_id(epoch);
         log::info!("scale-out requested request={request} count={count} {offer}");
         self.open.push(Rent {
             request,
@@ -129,14 +130,14 @@
         });
     }
 
-    /// The name of a new request. It is never given out twice, since no epoch is.
-    fn next_name(&mut self, epoch: Epoch) -> String {
-        self.named += 1;
-        format!("{epoch}-{}", self.named)
+    /// Returns the id of a new request. It is never reused, since no epoch is.
+    fn next_request_id(&mut self, epoch: Epoch) -> String {
+        self.last_number += 1;
+        format!("{epoch}-{}", self.last_number)
     }
 
-    /// Notes that the cloud has answered a request with so many machines. If these are fewer than were asked for, it
-    /// has no more of them.
+    /// Records that the cloud has answered a request with this many machines. If they are fewer than were requested,
+    /// the cloud has no more of them, and the offer counts as refused.
     pub fn fulfil(&mut self, request: &Rent, machines: usize, now: Time) {
         if (machines as u32) < request.count {
             self.refuse(request, now);
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Notes that the cloud has refused a request, or the rest of it.
+    /// Records that the cloud has refused a request, or the rest of it.
     pub fn refuse(&mut self, request: &Rent, now: Time) {
         self.close(request);
         let refusal = self
@@ -161,12 +162,12 @@
         self.open.retain(|open| open.request != request.request);
     }
 
-    /// Whether an offer may be asked for.
+    /// Returns whether an offer may be requested, that is, whether its backoff after a refusal is over.
     pub fn may_request(&self, offer: &InstanceOffer, now: Time) -> bool {
         (self.refused.get(offer)).is_none_or(|refusal| now >= refusal.until)
     }
 
-    /// Notes that a machine was returned, so that another like it can be had again.
+    /// Ends the backoff of an offer: one of its machines was returned, so another one may be available.
     pub fn forget_refusal(&mut self, offer: &InstanceOffer) {
         self.refused.remove(offer);
     }
--- a/crates/core/src/cloud/scale_out_requests/tests.rs
+++ b/crates/core/src/cloud/scale_out_requests/tests.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Requests for machines of one offer, all of which are open.
+/// Creates open requests for machines of one offer.
 fn with_request(offer: &InstanceOffer, count: u32) -> ScaleOutRequests {
     let mut requests = ScaleOutRequests::default();
     requests.request(BTreeMap::from([(offer.clone(), wanted(count))]), 5, EPOCH);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn urgent_machines_are_requested_first_and_then_the_most() {
+fn urgent_offers_are_requested_first_and_then_those_with_the_most_machines() {
     let mut requests = ScaleOutRequests::default();
     let urgent = WantedMachines {
         is_urgent: true,
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn request_names_are_never_given_out_twice() {
-    let mut names = std::collections::BTreeSet::new();
+fn request_ids_are_never_reused() {
+    let mut ids = std::collections::BTreeSet::new();
     let mut requests = ScaleOutRequests::default();
     for round in 0..20 {
         requests.request(BTreeMap::from([(offer("a"), wanted(1))]), 5, EPOCH);
         let request = requests.open_requests()[0].clone();
-        assert!(names.insert(request.request.clone()), "round {round}");
+        assert!(ids.insert(request.request.clone()), "round {round}");
         requests.fulfil(&request, 1, NOW);
     }
 }
