--- a/crates/core/src/capacity/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -1,19 +1,19 @@
-//! Jobs that will be ready by the time a machine could be up.
+//! Predicts which jobs will be ready by the time a machine could be up.
 //!
-//! A machine takes about as long to boot as a stage of a pipeline takes to run. So room for a job is planned while what
-//! it depends on still runs, but not before all of that runs: until then nothing is known of when it ends, and a machine
-//! that waits for it would cost money for nothing.
+//! A machine takes about as long to boot as a stage of a pipeline takes to run. Room for a job is therefore planned
+//! while its dependencies still run, but not before all of their tasks run: until then it is unknown when they end, and
+//! a machine that waits for them would cost money without being used.
 
 use crate::fleet::PlacedTask;
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 
-/// What has run longer than its owner's estimate is expected to run for this part of that time more.
+/// A task that has run longer than its owner's estimate is expected to run for this fraction of its run time more.
 const OVERRUN_FRACTION: f64 = 0.3;
 
 impl Leader {
-    /// Jobs that wait for others, and will probably be ready within a span.
+    /// Returns jobs that wait for dependencies and will probably be ready within a time span.
     pub fn nearly_ready(&self, within: Span, now: Now) -> impl Iterator<Item = &Job> {
         let is_ready_soon = move |job: &&Job| {
             let ready_in = self.expected_ready_in(job, now.time);
@@ -24,7 +24,8 @@
             .filter(is_ready_soon)
     }
 
-    /// In what time all that a job depends on will probably be done; none if some of that has yet to be started.
+    /// Returns the time until all dependencies of a job will probably be done; `None` if that can't be predicted for
+    /// one of them, because a task has yet to be started or is not on its machine.
     fn expected_ready_in(&self, job: &Job, now: Time) -> Option<Span> {
         let spans = job.unmet_dependencies.iter().map(|id| {
             let dependency = self.jobs.get(id)?;
@@ -33,7 +34,8 @@
         spans.collect::<Option<Vec<Span>>>()?.into_iter().max()
     }
 
-    /// In what time a job will probably be done; none if a task has yet to be started, or is not where it should be.
+    /// Returns the time until a job will probably be done; `None` if the job is not ready, a task has yet to be
+    /// started, or a placed task is not on its machine.
     fn expected_done_in(&self, job: &Job, now: Time) -> Option<Span> {
         if !job.is_ready() || job.startable_tasks() > 0 {
             return None;
@@ -52,7 +54,7 @@
     }
 }
 
-/// In what time a task will probably end.
+/// Returns the time until a task will probably end.
 fn expected_end_in(job: &Job, placed: &PlacedTask, now: Time) -> Span {
     let ran_s = (placed.running_since).map_or(0.0, |since| (now - since).as_secs());
     let remaining_s = job.spec.estimate_s - ran_s;
--- a/crates/core/src/capacity/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::testing::{job, job_of, leader, run, up, NOW};
 
-/// A leader whose job 2 depends on job 1, of two tasks with an estimate of 4 s. Some of these have yet to be started, the
-/// others have run for so long.
+/// Creates a leader whose job 2 depends on job 1, which has two tasks with an estimate of 4 s: `unstarted` tasks have
+/// yet to be started, the others have run for `ran`.
 fn with_dependent_job(unstarted: u32, ran: Span) -> Leader {
     let mut leader = leader();
     let machine = up(&mut leader, "vm-1", "a");
--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -1,4 +1,4 @@
-//! Packing tasks into machines. Like tasks are packed as a class, and machines that are alike are one bin.
+//! Packs tasks into machines. The tasks of a job are identical and packed by number; identical machines form one bin.
 
 use crate::cloud::scale_out_requests::InstanceOffer;
 use crate::jobs::job::Job;
@@ -10,47 +10,48 @@
 use rudderreel_wire::job::Kind;
 use std::collections::BTreeMap;
 
-/// One in so many of the machines that are coming is counted on for work that can't wait: half of them take longer to
-/// boot than the usual, and some never come up.
-const DEPENDABLE_PART: i64 = 2;
+/// Non-preemptible work counts on the CPUs and memory of an upcoming machine divided by this: half of these machines
+/// take longer to boot than usual, and some never come up.
+const NON_PREEMPTIBLE_DIVISOR: i64 = 2;
 
-/// How many of a job's tasks are, or are planned, in each zone.
+/// Number of a job's tasks that are, or are planned, in each zone.
 #[derive(Default)]
 pub(super) struct TasksByZone(BTreeMap<Zone, u32>);
 
 impl TasksByZone {
-    /// Tasks in a zone.
+    /// Returns the number of tasks in a zone.
     pub(super) fn in_zone(&self, zone: &Zone) -> u32 {
         self.0.get(zone).copied().unwrap_or(0)
     }
 
-    /// Adds tasks in a zone.
+    /// Adds tasks to a zone.
     pub(super) fn add(&mut self, zone: &Zone, tasks: u32) {
         *self.0.entry(zone.clone()).or_default() += tasks;
     }
 }
 
-/// Machines that are alike, with the same room left on each.
+/// Identical machines with the same resources free on each.
 pub(super) struct Bin {
     offer: InstanceOffer,
     has_gpus: bool,
-    /// What is left on each.
+    /// Resources free on each machine.
     free: Resources,
-    /// What is left on each for work that can't wait.
-    dependable: Resources,
+    /// Resources free on each machine for non-preemptible work.
+    non_preemptible_free: Resources,
+    /// Number of machines.
     machines: u32,
 }
 
 impl Bin {
-    /// Machines of an offer that are coming, or are to be requested.
-    pub(super) fn coming(leader: &Leader, offer: InstanceOffer, machines: u32) -> Self {
+    /// Creates a bin of machines of an offer that are upcoming or to be requested.
+    pub(super) fn upcoming(leader: &Leader, offer: InstanceOffer, machines: u32) -> Self {
         let capacity = leader.policy.capacity_of(&offer.machine_type);
         Self {
             has_gpus: capacity.gpus > 0,
-            dependable: Resources {
-                cpus: capacity.cpus / DEPENDABLE_PART,
+            non_preemptible_free: Resources {
+                cpus: capacity.cpus / NON_PREEMPTIBLE_DIVISOR,
                 gpus: capacity.gpus,
-                memory: capacity.memory / DEPENDABLE_PART,
+                memory: capacity.memory / NON_PREEMPTIBLE_DIVISOR,
             },
             free: capacity,
             offer,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// A machine that is up, with what is free on it.
+    /// Creates a bin of one candidate machine, with its free resources.
     pub(super) fn up(candidate: &CandidateMachine) -> Self {
         Self {
             offer: InstanceOffer {
@@ -68,48 +69,49 @@
             },
             has_gpus: candidate.capacity.gpus > 0,
             free: candidate.free,
-            dependable: candidate.free,
+            non_preemptible_free: candidate.free,
             machines: 1,
         }
     }
 
-    /// How many tasks of a job one of the machines takes.
+    /// Returns how many tasks of a job fit on each machine.
     pub(super) fn tasks_per_machine(&self, job: &Job) -> u32 {
         let tasks = self.free.count(&job.need);
         if job.is_preemptible() {
             return tasks;
         }
-        // A task that takes most of a machine has it all the same.
-        let is_empty = self.dependable.cpus == self.free.cpus / DEPENDABLE_PART;
+        // An empty machine takes one task even if that needs more than the reduced resources.
+        let is_empty = self.non_preemptible_free.cpus == self.free.cpus / NON_PREEMPTIBLE_DIVISOR;
         let at_least = u32::from(tasks > 0 && is_empty);
-        tasks.min(self.dependable.count(&job.need).max(at_least))
+        tasks.min(self.non_preemptible_free.count(&job.need).max(at_least))
     }
 
-    /// Whether a job may use machines of this kind.
+    /// Returns whether the job's node affinity allows these machines.
     fn is_allowed(&self, job: &Job) -> bool {
         let offer = &self.offer;
         satisfies_node_affinity(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether work that could run without GPUs would hold them back.
+    /// Returns whether a job that could run without GPUs would block GPUs of these machines: free GPUs, or any GPUs if
+    /// the job is a service.
     fn would_waste_gpus(&self, job: &Job) -> bool {
         self.free.gpus > 0 || (job.spec.kind == Kind::Service && self.has_gpus)
     }
 
-    /// Takes machines out, with so many tasks of a job on each.
-    fn split_off(&mut self, job: &Job, machines: u32, tasks_on_each: u32) -> Self {
+    /// Splits machines off into a new bin, with `tasks_per_machine` tasks of a job planned on each.
+    fn split_off(&mut self, job: &Job, machines: u32, tasks_per_machine: u32) -> Self {
         self.machines -= machines;
         Self {
             offer: self.offer.clone(),
             has_gpus: self.has_gpus,
-            free: self.free - job.need.times(tasks_on_each),
-            dependable: self.dependable - job.need.times(tasks_on_each),
+            free: self.free - job.need.times(tasks_per_machine),
+            non_preemptible_free: self.non_preemptible_free - job.need.times(tasks_per_machine),
             machines,
         }
     }
 }
 
-/// Bins in the order in which they are filled.
+/// Bins, in the order in which they are filled.
 pub(super) struct Bins(Vec<Bin>);
 
 impl FromIterator<Bin> for Bins {
@@ -119,19 +121,19 @@
 }
 
 impl Bins {
-    /// Adds a bin, which is filled last.
+    /// Adds a bin at the end, to be filled last.
     pub(super) fn push(&mut self, bin: Bin) {
         self.0.push(bin);
     }
 
-    /// Machines in a zone.
+    /// Returns the number of machines in a zone.
     pub(super) fn machines_in(&self, zone: &Zone) -> u32 {
         (self.0.iter().filter(|bin| bin.offer.zone == *zone))
             .map(|bin| bin.machines)
             .sum()
     }
 
-    /// Tasks of a job that fit into the bins of a zone.
+    /// Returns how many tasks of a job fit into the bins of a zone.
     pub(super) fn room_in(&self, job: &Job, zone: &Zone) -> u32 {
         (self.0.iter())
             .filter(|bin| bin.offer.zone == *zone && bin.is_allowed(job))
@@ -139,17 +141,18 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// Packs at most so many tasks of a job into bins, of one zone only if that is given; returns how many.
+    /// Packs at most `max` tasks of a job into the bins, or only into those of `only_zone` if it is given; returns the
+    /// number of tasks packed.
     pub(super) fn pack(
         &mut self,
         leader: &Leader,
         job: &Job,
-        most: u32,
+        max: u32,
         zones: &mut TasksByZone,
         only_zone: Option<&Zone>,
     ) -> u32 {
         let avoids_gpus = should_avoid_gpus(leader, job);
-        let mut left = most;
+        let mut left = max;
         let mut partly_filled = Vec::new();
         for bin in &mut self.0 {
             let zone = &bin.offer.zone;
@@ -167,9 +170,9 @@
             }
             zones.add(zone, room);
             left -= room;
-            let (full, rest) = (room / tasks_per_machine, room % tasks_per_machine);
-            if full > 0 {
-                partly_filled.push(bin.split_off(job, full, tasks_per_machine));
+            let (full_machines, rest) = (room / tasks_per_machine, room % tasks_per_machine);
+            if full_machines > 0 {
+                partly_filled.push(bin.split_off(job, full_machines, tasks_per_machine));
             }
             if rest > 0 {
                 partly_filled.push(bin.split_off(job, 1, rest));
@@ -177,7 +180,7 @@
         }
         self.0.retain(|bin| bin.machines > 0);
         self.0.extend(partly_filled);
-        most - left
+        max - left
     }
 }
 
--- a/crates/core/src/capacity/bin_packing/tests.rs
+++ b/crates/core/src/capacity/bin_packing/tests.rs
@@ -9,15 +9,15 @@
     }
 }
 
-/// Coming machines of four CPUs: so many in each of two zones.
-fn coming(leader: &Leader, in_a: u32, in_b: u32) -> Bins {
+/// Creates upcoming machines of four CPUs: `in_a` in zone a and `in_b` in zone b.
+fn upcoming(leader: &Leader, in_a: u32, in_b: u32) -> Bins {
     [("a", in_a), ("b", in_b)]
         .into_iter()
-        .map(|(zone, machines)| Bin::coming(leader, offer(zone), machines))
+        .map(|(zone, machines)| Bin::upcoming(leader, offer(zone), machines))
         .collect()
 }
 
-/// Machines of all bins by what is free on them, in CPUs.
+/// Returns the number of machines in all bins by their free CPUs.
 fn machines_by_free_cpus(bins: &Bins) -> BTreeMap<i64, u32> {
     let mut machines = BTreeMap::new();
     for bin in &bins.0 {
@@ -30,7 +30,7 @@
 fn tasks_fill_machines_one_after_the_other() {
     let leader = leader();
     let job = job_of(1, "sweep", "red", "normal", 100, 1.0);
-    let mut bins = coming(&leader, 2, 1);
+    let mut bins = upcoming(&leader, 2, 1);
     let mut zones = TasksByZone::default();
     assert_eq!(bins.pack(&leader, &job, 6, &mut zones, None), 6);
     assert_eq!(
@@ -47,24 +47,24 @@
 }
 
 #[test]
-fn only_half_of_a_coming_machine_counts_for_work_that_cannot_wait() {
+fn only_half_of_an_upcoming_machine_counts_for_non_preemptible_work() {
     let leader = leader();
     let urgent = job_of(1, "standing", "red", "prod", 100, 1.0);
-    let mut bins = coming(&leader, 2, 0);
+    let mut bins = upcoming(&leader, 2, 0);
     let packed = bins.pack(&leader, &urgent, 100, &mut TasksByZone::default(), None);
     assert_eq!(packed, 4);
-    // A task that takes most of a machine has it all the same.
+    // A task that needs more than half of a machine still fits on an empty one.
     let large = job_of(2, "standing", "red", "prod", 100, 3.0);
-    let mut bins = coming(&leader, 2, 0);
+    let mut bins = upcoming(&leader, 2, 0);
     let packed = bins.pack(&leader, &large, 100, &mut TasksByZone::default(), None);
     assert_eq!(packed, 2);
 }
 
 #[test]
-fn packing_keeps_to_a_zone_and_to_rules_for_zones() {
+fn packing_respects_the_given_zone_and_zone_rules() {
     let leader = leader();
     let gang = job_of(1, "gang", "red", "normal", 100, 1.0);
-    let mut bins = coming(&leader, 1, 2);
+    let mut bins = upcoming(&leader, 1, 2);
     let only = Zone::from("b");
     let packed = bins.pack(
         &leader,
@@ -79,7 +79,7 @@
     spec.spread = true;
     spread.spec = std::sync::Arc::new(spec);
     let mut zones = TasksByZone::default();
-    let mut bins = coming(&leader, 2, 2);
+    let mut bins = upcoming(&leader, 2, 2);
     assert_eq!(bins.pack(&leader, &spread, 6, &mut zones, None), 6);
     assert_eq!(
         (zones.in_zone(&"a".into()), zones.in_zone(&"b".into())),
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -1,5 +1,5 @@
-//! Demand: which waiting tasks want room, and where it is planned for them. Room that is coming is used first; for
-//! the rest the cheapest offers of the cloud are wanted.
+//! Demand: which waiting tasks need room, and on which machines it is planned. Room on upcoming machines is used first;
+//! for the rest, new machines of the cheapest offers of the cloud are planned.
 
 use super::bin_packing::{Bin, Bins, TasksByZone};
 use crate::cloud::scale_out_requests::{InstanceOffer, WantedMachines};
@@ -13,15 +13,15 @@
 use rudderreel_wire::job::Kind;
 use std::collections::BTreeMap;
 
-/// The part that tasks may use of what is left of the time that users give a job, after a boot: estimates are often
-/// wrong by half.
+/// Fraction of the time left for a job after a boot that its tasks are planned to use: estimates are often wrong by
+/// half.
 const USABLE_TIME_FRACTION: f64 = 0.6;
-/// Estimates count as so long at least, in seconds.
+/// Minimum that is assumed for an estimate, in seconds.
 const MIN_ESTIMATE_S: f64 = 1.0;
 
 impl Leader {
-    /// Decides which machines to request for work that found no room. Returns the free machines that gangs which wait
-    /// for more count on, by their places among the candidates.
+    /// Requests machines for work that found no room. Returns the free machines that are claimed by gangs which wait
+    /// for more machines, as indices of the candidate machines.
     pub fn plan_capacity(&mut self, snapshot: &Snapshot, now: Now) -> Vec<usize> {
         let mut plan = CapacityPlan::new(self, snapshot, now);
         plan.cover_waiting_jobs();
@@ -32,9 +32,9 @@
         claimed
     }
 
-    /// How many tasks of a job should run at once. Of an array as many as get it done in the time that users give it,
-    /// with a machine's boot before it: a machine that is kept for one short task after the other costs less than one
-    /// for each.
+    /// Returns how many more tasks of a job should run at once. For an array, these are as many as finish it in the
+    /// time that users give it, after the boot of a machine: one machine that runs short tasks one after the other costs
+    /// less than one machine for each task.
     fn tasks_wanted_at_once(&self, job: &Job, now: Now) -> u32 {
         let startable = job.startable_tasks();
         let (Kind::Array, Some(left)) = (job.spec.kind, self.time_left(job, now)) else {
@@ -55,7 +55,7 @@
         at_once.saturating_sub(placed).min(startable)
     }
 
-    /// Time until a job should be done: by its deadline, or else by the users' objective for its class.
+    /// Returns the time until a job should be done, by its deadline, or else by the users' objective for its class.
     fn time_left(&self, job: &Job, now: Now) -> Option<Span> {
         let deadline = job.urgency.deadline.or_else(|| {
             let objective = *(self.policy.completion_objectives).get(&job.spec.class)?;
@@ -64,7 +64,7 @@
         deadline.map(|deadline| now.wall.until(deadline))
     }
 
-    /// How many tasks of a job with rules for zones may be in each zone.
+    /// Returns how many tasks of a job may already be in each zone; empty if the job has no zone rules.
     fn tasks_by_zone(&self, job: &Job) -> TasksByZone {
         let mut zones = TasksByZone::default();
         if has_zone_rules(&job.spec) {
@@ -78,25 +78,27 @@
     }
 }
 
-/// What is planned in a cycle.
+/// The capacity plan of one scheduling cycle.
 struct CapacityPlan<'a> {
     leader: &'a Leader,
     snapshot: &'a Snapshot,
     now: Now,
-    /// Machines that are coming, with what is planned on them.
-    coming: Bins,
+    /// Upcoming machines with the room that is left by the tasks planned on them.
+    upcoming: Bins,
     /// Machines to be requested.
     wanted: BTreeMap<InstanceOffer, WantedMachines>,
-    /// What teams use, with what is planned.
+    /// Resource usage of teams, including planned tasks.
     usage: QuotaUsage,
-    /// For each candidate machine: whether no gang that waits for more counts on it.
+    /// For each candidate machine, whether no gang that waits for more machines has claimed it.
     unclaimed: Vec<bool>,
 }
 
-/// The zone where a gang lacks least.
+/// A zone in which a gang could run, with the cost of the machines that it lacks there.
 struct GangZone {
     zone: Zone,
+    /// Price of new machines for the lacking tasks.
     cost: f64,
+    /// Number of tasks without room on free or upcoming machines of the zone.
     lacking_tasks: u32,
 }
 
@@ -106,14 +108,14 @@
             leader,
             snapshot,
             now,
-            coming: leader.coming_machines(now),
+            upcoming: leader.upcoming_machines(now),
             wanted: BTreeMap::new(),
             usage: snapshot.quota.usage().clone(),
             unclaimed: vec![true; snapshot.candidates.len()],
         }
     }
 
-    /// Plans room for jobs that wait, in the order of the queue.
+    /// Plans room for waiting jobs, in queue order.
     fn cover_waiting_jobs(&mut self) {
         let leader = self.leader;
         let mut jobs: Vec<&Job> = (leader.jobs.values())
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Plans room for arrays that will be ready by the time a machine could be up, beyond what is free.
+    /// Plans room for arrays that will be ready by the time a machine could be up, beyond the room on free machines.
     fn cover_anticipated_arrays(&mut self) {
         let leader = self.leader;
         let boot = Span::secs(leader.policy.catalog.slowest_boot_s());
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Plans room for tasks that need not be in one zone.
+    /// Plans room for tasks of a job that need not be in one zone.
     fn cover_tasks(&mut self, job: &Job) {
         let wanted = self.leader.tasks_wanted_at_once(job, self.now);
         let tasks = self.charge_within_limits(job, wanted);
@@ -157,20 +159,19 @@
         self.cover_with_coming_or_new(job, tasks, &mut zones);
     }
 
-    /// Packs tasks into machines that are coming, and then into new ones of the cheapest offers.
+    /// Packs tasks into upcoming machines, and then into new machines of the cheapest offers.
     fn cover_with_coming_or_new(&mut self, job: &Job, tasks: u32, zones: &mut TasksByZone) {
-        let mut left = tasks - (self.coming).pack(self.leader, job, tasks, zones, None);
+        let mut left = tasks - (self.upcoming).pack(self.leader, job, tasks, zones, None);
         while left > 0 {
-            let offer = (self.leader).cheapest_offer(job, &self.coming, zones, self.now.time);
+            let offer = (self.leader).cheapest_offer(job, &self.upcoming, zones, self.now.time);
             let Some(offer) = offer else {
                 return;
             };
-            left -= self.want_machines(job, left, offer, zones);
+            left -= self.plan_new_machines(job, left, offer, zones);
         }
     }
 
-    /// Plans room for a gang in one zone: what is lacking there is requested as a whole, in the zone where that costs
-    /// least.
+    /// Plans room for a gang in the zone where the machines that it lacks cost least; they are requested as a whole.
     fn cover_gang(&mut self, gang: &Job) {
         let tasks = gang.spec.tasks;
         if self.charge_within_limits(gang, tasks) < tasks {
@@ -181,20 +182,20 @@
         };
         let mut left = tasks - self.claim_free_machines(gang, &best.zone);
         let mut zones = TasksByZone::default();
-        left -= (self.coming).pack(self.leader, gang, left, &mut zones, Some(&best.zone));
+        left -= (self.upcoming).pack(self.leader, gang, left, &mut zones, Some(&best.zone));
         if left > 0 && best.lacking_tasks > 0 {
             let offer = (self.leader).cheapest_offer_in(gang, &best.zone, self.now.time);
             if let Some(priced) = offer {
-                self.want_machines(gang, left, priced.offer, &mut zones);
+                self.plan_new_machines(gang, left, priced.offer, &mut zones);
             }
         }
     }
 
-    /// The zone where what a gang lacks costs least.
+    /// Returns the zone where the machines that a gang lacks cost least.
     fn cheapest_zone(&self, gang: &Job) -> Option<GangZone> {
         let mut best: Option<GangZone> = None;
         for zone in self.leader.zones() {
-            let room = self.unclaimed_room_in(gang, &zone) + self.coming.room_in(gang, &zone);
+            let room = self.unclaimed_room_in(gang, &zone) + self.upcoming.room_in(gang, &zone);
             let lacking_tasks = gang.spec.tasks.saturating_sub(room);
             let offer = self.leader.cheapest_offer_in(gang, &zone, self.now.time);
             let price = match offer {
@@ -214,18 +215,19 @@
         best
     }
 
-    /// Wants machines of an offer for tasks of a job; returns for how many.
-    fn want_machines(
+    /// Plans new machines of an offer for tasks of a job, as far as its zone rules allow. Returns how many tasks
+    /// no longer need a plan: all of them if no task fits, otherwise those that were packed, and at least one.
+    fn plan_new_machines(
         &mut self,
         job: &Job,
         tasks: u32,
         offer: InstanceOffer,
         zones: &mut TasksByZone,
     ) -> u32 {
-        let in_zone_already = zones.in_zone(&offer.zone);
-        let zone_room = job.spec.zone_cap().saturating_sub(in_zone_already);
+        let already_in_zone = zones.in_zone(&offer.zone);
+        let zone_room = job.spec.zone_cap().saturating_sub(already_in_zone);
         let in_zone = tasks.min(zone_room);
-        let tasks_per_machine = Bin::coming(self.leader, offer.clone(), 1).tasks_per_machine(job);
+        let tasks_per_machine = Bin::upcoming(self.leader, offer.clone(), 1).tasks_per_machine(job);
         if in_zone == 0 || tasks_per_machine == 0 {
             return tasks;
         }
@@ -233,46 +235,48 @@
         let wanted = self.wanted.entry(offer.clone()).or_default();
         wanted.is_urgent |= !job.is_preemptible();
         wanted.count += machines;
-        self.coming.push(Bin::coming(self.leader, offer, machines));
-        (self.coming.pack(self.leader, job, in_zone, zones, None)).max(1)
+        self.upcoming
+            .push(Bin::upcoming(self.leader, offer, machines));
+        (self.upcoming.pack(self.leader, job, in_zone, zones, None)).max(1)
     }
 
-    /// How many more tasks of a job its team's limits allow, at most `most`; they are charged to the team.
-    fn charge_within_limits(&mut self, job: &Job, most: u32) -> u32 {
-        self.usage.charge_within_limits(self.leader, job, most)
+    /// Charges as many tasks of a job to its team as the team's limits allow, at most `max`; returns their number.
+    fn charge_within_limits(&mut self, job: &Job, max: u32) -> u32 {
+        self.usage.charge_within_limits(self.leader, job, max)
     }
 
-    /// Whether a gang may count on a free machine of a zone, which no other gang counts on.
-    fn is_claimable(&self, gang: &Job, at: usize, zone: &Zone) -> bool {
-        let candidate: &CandidateMachine = &self.snapshot.candidates[at];
-        self.unclaimed[at]
+    /// Returns whether a gang may claim a candidate machine: it is in the zone, no other gang has claimed it, and a
+    /// task of the gang fits on it.
+    fn is_claimable(&self, gang: &Job, index: usize, zone: &Zone) -> bool {
+        let candidate: &CandidateMachine = &self.snapshot.candidates[index];
+        self.unclaimed[index]
             && candidate.zone == *zone
             && fits(self.leader, self.snapshot, gang, candidate)
     }
 
-    /// Tasks of a gang that fit on claimable machines of a zone.
+    /// Returns how many tasks of a gang fit on claimable machines of a zone.
     fn unclaimed_room_in(&self, gang: &Job, zone: &Zone) -> u32 {
         (0..self.unclaimed.len())
-            .filter(|&at| self.is_claimable(gang, at, zone))
-            .map(|at| self.snapshot.candidates[at].free.count(&gang.need))
+            .filter(|&index| self.is_claimable(gang, index, zone))
+            .map(|index| self.snapshot.candidates[index].free.count(&gang.need))
             .sum()
     }
 
-    /// Claims free machines of a zone for a gang; returns how many of its tasks they hold.
+    /// Claims free machines of a zone for a gang until they hold all of its tasks; returns how many tasks they hold.
     fn claim_free_machines(&mut self, gang: &Job, zone: &Zone) -> u32 {
         let mut tasks = 0;
-        for at in 0..self.unclaimed.len() {
-            if tasks < gang.spec.tasks && self.is_claimable(gang, at, zone) {
-                tasks += self.snapshot.candidates[at].free.count(&gang.need);
-                self.unclaimed[at] = false;
+        for index in 0..self.unclaimed.len() {
+            if tasks < gang.spec.tasks && self.is_claimable(gang, index, zone) {
+                tasks += self.snapshot.candidates[index].free.count(&gang.need);
+                self.unclaimed[index] = false;
             }
         }
         tasks.min(gang.spec.tasks)
     }
 
-    /// The free machines that gangs count on, by their places among the candidates.
+    /// Returns the free machines that are claimed by gangs, as indices of the candidate machines.
     fn claimed_by_gangs(&self) -> Vec<usize> {
-        let places = 0..self.unclaimed.len();
-        places.filter(|&at| !self.unclaimed[at]).collect()
+        let indices = 0..self.unclaimed.len();
+        indices.filter(|&index| !self.unclaimed[index]).collect()
     }
 }
--- a/crates/core/src/capacity/machine_list.rs
+++ b/crates/core/src/capacity/machine_list.rs
@@ -1,4 +1,4 @@
-//! Applying the cloud's list of machines, whose pages may be older than what is known.
+//! Applies the cloud's machine list, whose pages may be older than the leader's state.
 
 use crate::fleet::{Machine, MachineDescription, RetireReason};
 use crate::leader::Leader;
@@ -8,8 +8,8 @@
 const MS_PER_S: f64 = 1000.0;
 
 impl Leader {
-    /// Applies a page of the machine list: adds machines that were not known, unless they were returned, and retires
-    /// those that failed.
+    /// Applies a page of the machine list: adds unknown machines, unless they were returned, and retires those that the
+    /// cloud lists as failed.
     pub(crate) fn apply_cloud_list(&mut self, listed: &[ListedMachine], now: Now) {
         for found in listed {
             if self.fleet.is_returned(&found.id) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// When a listed machine was requested.
+/// Returns the time when a listed machine was requested.
 fn requested_at(found: &ListedMachine, now: Now) -> Wall {
     let age_ms = (found.age_s.max(0.0) * MS_PER_S) as u64;
     Wall(now.wall.0.saturating_sub(age_ms))
--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -1,20 +1,20 @@
-//! Capacity: how many machines of which kind the fleet should have.
+//! Capacity: how many machines of which type the fleet should have.
 //!
-//! At the end of each cycle, what found no room is packed into the machines that are coming, and then into the
-//! cheapest offers of the cloud; what that comes to is requested. Machines that are no longer needed are returned.
+//! At the end of each scheduling cycle, tasks that found no room are packed into upcoming machines, and then into new
+//! machines of the cheapest offers of the cloud, which are requested. Machines that are no longer needed are returned.
 //!
-//! * [`demand`]: which tasks want room, and where it is planned for them.
-//! * [`bin_packing`]: packing tasks of a job into machines that are alike.
-//! * [`offers`]: what the cloud offers, at what price, and the cheapest for a job.
-//! * [`scale_out`]: machines that are coming, and requests for more.
+//! * [`demand`]: which tasks need room, and on which machines it is planned.
+//! * [`bin_packing`]: packing tasks of a job into identical machines.
+//! * [`offers`]: the offers of the cloud, their prices, and the cheapest offer for a job.
+//! * [`scale_out`]: upcoming machines, and requests for more.
 //! * [`scale_in`]: which machines are returned, and when.
-//! * [`machine_list`]: what the cloud's list of machines shows.
+//! * [`machine_list`]: application of the cloud's machine list to the fleet.
 //! * [`anticipation`]: jobs that will be ready by the time a machine could be up.
 //!
-//! In: the leader's jobs and machines, the snapshot of the cycle, the catalog of machine types. Out: requests in
-//! [`ScaleOutRequests`](crate::cloud::scale_out_requests::ScaleOutRequests), and machines marked to be retired; the
-//! calls themselves are made by the node's handlers. Invariant: no more machines are requested for a team than its
-//! limits let it use.
+//! The input is the leader's jobs and machines, the snapshot of the cycle and the catalog of machine types. The output
+//! is requests in [`ScaleOutRequests`](crate::cloud::scale_out_requests::ScaleOutRequests) and machines marked as
+//! retired; the node's handlers make the calls. Invariant: no more machines are requested for a team than its limits
+//! let it use.
 
 pub mod anticipation;
 mod bin_packing;
--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers, at what price, and the cheapest offer for a job.
+//! Offers of the cloud, their prices, and the cheapest offer for a job.
 
 use super::bin_packing::{Bins, TasksByZone};
 use crate::cloud::scale_out_requests::InstanceOffer;
@@ -9,20 +9,20 @@
 use rudderreel_wire::cloud::MachineType;
 use rudderreel_wire::ids::Zone;
 
-/// An offer counts as dearer by this part for each machine that is coming in its zone, so that equal prices are
-/// spread over the zones.
-const PRICE_PER_COMING_MACHINE: f64 = 0.001;
-/// A machine that costs so many times less than the dearest is cheap.
+/// Fraction by which an offer's price is raised for each upcoming machine in its zone, so that machines at equal prices
+/// are spread over the zones.
+const PRICE_PER_UPCOMING_MACHINE: f64 = 0.001;
+/// A machine is cheap if the most expensive one costs at least this many times as much.
 const CHEAP_RATIO: f64 = 32.0;
 
-/// An offer with its price for each task of a job that a machine holds.
+/// An offer with the price of a machine divided by the number of a job's tasks that it holds.
 pub(super) struct PricedOffer {
     pub(super) offer: InstanceOffer,
     pub(super) price_per_task: f64,
 }
 
 impl Leader {
-    /// All zones of the catalog.
+    /// Returns all zones of the catalog, sorted.
     pub(crate) fn zones(&self) -> Vec<Zone> {
         let mut zones: Vec<Zone> = (self.policy.catalog.types.iter())
             .flat_map(|machine_type| machine_type.zones.iter().cloned())
@@ -32,7 +32,7 @@
         zones
     }
 
-    /// The cheapest offer for a job in a zone.
+    /// Returns the cheapest offer for a job in a zone.
     pub(super) fn cheapest_offer_in(
         &self,
         job: &Job,
@@ -44,17 +44,17 @@
             .min_by(|one, other| one.price_per_task.total_cmp(&other.price_per_task))
     }
 
-    /// The cheapest offer for a job in any zone that may hold more of its tasks.
+    /// Returns the cheapest offer for a job in any zone that may hold more of its tasks.
     pub(super) fn cheapest_offer(
         &self,
         job: &Job,
-        coming: &Bins,
+        upcoming: &Bins,
         zones: &TasksByZone,
         now: Time,
     ) -> Option<InstanceOffer> {
         let spread_price = |priced: &PricedOffer| {
-            let machines = f64::from(coming.machines_in(&priced.offer.zone));
-            priced.price_per_task * (1.0 + PRICE_PER_COMING_MACHINE * machines)
+            let machines = f64::from(upcoming.machines_in(&priced.offer.zone));
+            priced.price_per_task * (1.0 + PRICE_PER_UPCOMING_MACHINE * machines)
         };
         (self.priced_offers(job, now).into_iter())
             .filter(|priced| zones.in_zone(&priced.offer.zone) < job.spec.zone_cap())
@@ -63,7 +63,7 @@
             .map(|(_, offer)| offer)
     }
 
-    /// Offers that a job may use and that may be requested, with their prices.
+    /// Returns the offers that a job may use and that may be requested, with their prices.
     fn priced_offers(&self, job: &Job, now: Time) -> Vec<PricedOffer> {
         let avoids_gpus = should_avoid_gpus(self, job);
         let mut found = Vec::new();
@@ -88,15 +88,15 @@
         found
     }
 
-    /// Whether an offer may be requested for a job. What comes up in a partitioned zone can't report.
+    /// Returns whether an offer may be requested for a job. A machine in a partitioned zone could not report.
     fn may_request(&self, job: &Job, offer: &InstanceOffer, now: Time) -> bool {
         self.scale_out.may_request(offer, now)
             && !self.fleet.partitioned_zones.contains(&offer.zone)
             && satisfies_node_affinity(&job.spec, &offer.machine_type, &offer.zone, offer.spot)
     }
 
-    /// Whether a machine for a job costs so little beside the dearest ones that there is nothing to weigh: then all
-    /// its tasks may run at once.
+    /// Returns whether the cheapest machine for a job costs so little compared with the most expensive type that all of
+    /// the job's tasks may run at once.
     pub(super) fn runs_cheaply(&self, job: &Job) -> bool {
         let lowest_price = (self.policy.catalog.types.iter())
             .filter(|machine_type| Resources::of_machine(machine_type).holds(&job.need))
@@ -109,7 +109,7 @@
     }
 }
 
-/// The offers of a machine type: in each zone as a spot instance and on demand.
+/// Iterates over the offers of a machine type: in each zone, spot and on demand.
 fn offers_of(machine_type: &MachineType) -> impl Iterator<Item = InstanceOffer> + '_ {
     machine_type.zones.iter().flat_map(|zone| {
         [true, false].map(|spot| InstanceOffer {
@@ -120,7 +120,7 @@
     })
 }
 
-/// The price of a machine type; none if it is not offered so.
+/// Returns the spot or on-demand price of a machine type; `None` if it is not offered in that market.
 pub(super) fn price(machine_type: &MachineType, spot: bool) -> Option<f64> {
     if spot {
         machine_type.spot_price
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -1,8 +1,8 @@
 //! Scale-in: which machines are returned to the cloud, and when.
 //!
-//! A machine is first marked with the reason for which it is retired; from then on it gets nothing new. One that is
-//! idle is returned once it is empty, any other at once. Everything on a machine counts as running until the cloud has
-//! confirmed the return (see [`machine_lifecycle`](crate::scheduling::machine_lifecycle)).
+//! A machine is first marked as retired, with a reason; from then on no new tasks are placed on it. A machine that is
+//! retired as idle is returned once it is empty, any other at once. All tasks on a machine count as running until the
+//! cloud has confirmed the return (see [`machine_lifecycle`](crate::scheduling::machine_lifecycle)).
 
 use super::offers::price;
 use crate::cloud::scale_out_requests::InstanceOffer;
@@ -14,55 +14,57 @@
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TypeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The cloud charges a machine for so long at least.
+/// Minimum time for which the cloud charges a machine.
 const MIN_CHARGED_TIME: Span = Span(60_000);
-/// A machine that costs so many times less than the dearest is kept idle as long as that one; one that costs still
-/// less, longer in proportion.
+/// Price ratio up to which idle machines are kept equally long: a machine type that is cheaper than the most expensive
+/// one by more than this factor is kept longer, in proportion.
 const RETENTION_PRICE_RATIO: f64 = 5.0;
-/// A cheap machine is kept idle so many times as long at most.
+/// Maximum factor by which the idle retention of cheap machines is extended.
 const MAX_RETENTION_FACTOR: f64 = 9.0;
-/// Prices count as so much at least.
+/// Minimum that is assumed for a price, to avoid division by zero.
 const MIN_PRICE: f64 = 1e-9;
-/// A machine that has not reported after so many times the usual boot, and so many seconds more, is stuck.
+/// A machine without a status report is stuck after its usual boot time multiplied by this factor, plus
+/// [`STUCK_BOOT_MARGIN_S`].
 const STUCK_BOOT_FACTOR: f64 = 4.0;
+/// Time that is added to the multiplied boot time, in seconds.
 const STUCK_BOOT_MARGIN_S: f64 = 30.0;
-/// The same for a machine of which the type is not known.
+/// Time after which a machine of an unknown type without a status report is stuck.
 const STUCK_BOOT_OF_UNKNOWN_TYPE: Span = Span(180_000);
-/// A leader retires stuck machines after so many leases: it may not have heard yet that a machine is up which an
-/// earlier leader requested.
+/// A leader retires stuck machines only after it has led for longer than this number of lease durations: until then it
+/// may not have received a status report of a machine that is up and that an earlier leader requested.
 const LEASES_BEFORE_STUCK: u64 = 2;
-/// A return without an answer is repeated after so long.
+/// Time after which a return that has not been answered is repeated.
 const RETURN_RETRY_INTERVAL: Span = Span(5_000);
 
-/// Whether machines must be returned at once.
+/// Urgency of a return of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// Some may hold what must not go on.
+    /// The return must be requested at once, since a machine may run tasks that must be stopped.
     Now,
-    /// All are idle.
+    /// All machines are idle, so the return may be delayed.
     CanWait,
 }
 
-/// Machines to be returned in one call.
+/// Machines to be returned in one call to the cloud.
 pub(crate) struct MachinesToReturn {
     pub(crate) machines: Vec<MachineId>,
     pub(crate) urgency: Urgency,
 }
 
-/// What decides about scale-in, at one moment.
+/// The conditions for scale-in at one point in time.
 struct ScaleInPolicy {
     now: Now,
-    /// By type: after so long without a status report a machine is stuck.
+    /// By machine type, the age after which a machine without a status report is stuck.
     stuck_after: BTreeMap<TypeName, Span>,
-    /// By type and whether it is a spot instance: how long an idle machine is kept.
+    /// By machine type and whether it is a spot instance, the idle time after which a machine is released.
     retention: BTreeMap<(TypeName, bool), Span>,
     default_retention: Span,
     partitioned_zones: BTreeSet<Zone>,
-    /// Machines with GPUs that count as idle although something runs there.
-    misused: BTreeSet<MachineId>,
-    /// Machines that were declared dead, and why.
+    /// Machines with GPUs that count as idle although tasks run on them.
+    underused_gpu_machines: BTreeSet<MachineId>,
+    /// Machines that were declared dead, with the reason.
     dead: BTreeMap<MachineId, RetireReason>,
-    /// Whether the leader has led for long enough to know that a machine is stuck.
+    /// Whether the leader has led for long enough to know which machines are stuck.
     knows_stuck_machines: bool,
 }
 
@@ -83,14 +85,14 @@
             partitioned_zones: (leader.fleet.partitioned_zones.iter())
                 .map(|(zone, _)| zone.clone())
                 .collect(),
-            misused: leader.misused_gpu_machines(),
+            underused_gpu_machines: leader.underused_gpu_machines(),
             dead: leader.machines_declared_dead(now.time),
             knows_stuck_machines: led_for
                 > Span(leader.agent_timings.lease.0 * LEASES_BEFORE_STUCK),
         }
     }
 
-    /// Marks a machine as retired if it is dead, stuck, or has been idle for long enough.
+    /// Marks a machine as retired if it is dead, stuck, or has been paid for and idle for long enough.
     fn update_retirement(&self, machine: &mut Machine) {
         let age = Leader::age(machine, self.now.wall);
         if let Some(reason) = self.dead.get(&machine.id) {
@@ -113,10 +115,12 @@
         }
     }
 
-    /// A machine in a partitioned zone can't be used, and is not idle for that.
+    /// Returns whether a machine is idle. A machine in a partitioned zone can't be used, but does not count as idle for
+    /// that reason.
     fn is_idle(&self, machine: &Machine) -> bool {
         let is_reachable = !self.partitioned_zones.contains(&machine.zone);
-        (is_reachable && machine.tasks.is_empty()) || self.misused.contains(&machine.id)
+        (is_reachable && machine.tasks.is_empty())
+            || self.underused_gpu_machines.contains(&machine.id)
     }
 
     fn retention_of(&self, machine: &Machine) -> Span {
@@ -125,22 +129,24 @@
         retention.unwrap_or(self.default_retention)
     }
 
-    /// Whether a retired machine is to be returned now, unless that was asked for a moment ago.
+    /// Returns whether the return of a machine is to be requested now: it is retired, urgent or empty, and its return
+    /// was not requested within the last [`RETURN_RETRY_INTERVAL`].
     fn is_due(&self, machine: &Machine) -> bool {
-        let is_asked = (machine.return_requested_at)
+        let is_recently_requested = (machine.return_requested_at)
             .is_some_and(|at| self.now.time - at < RETURN_RETRY_INTERVAL);
-        let may_go = is_urgent(machine) || machine.tasks.is_empty();
-        machine.retire_reason.is_some() && may_go && !is_asked
+        let may_be_returned = is_urgent(machine) || machine.tasks.is_empty();
+        machine.retire_reason.is_some() && may_be_returned && !is_recently_requested
     }
 }
 
-/// Whether a machine is retired for another reason than that it is idle.
+/// Returns whether a machine is retired for a reason other than being idle.
 fn is_urgent(machine: &Machine) -> bool {
     (machine.retire_reason).is_some_and(|reason| !reason.waits_until_empty())
 }
 
 impl Leader {
-    /// Machines to return now: idle ones once they have been paid for, stuck and dead ones.
+    /// Marks machines as retired: idle ones once they have been paid for, stuck and dead ones. Returns those whose
+    /// return is to be requested now, at most [`MACHINES_PER_RETURN`].
     pub(crate) fn machines_to_return(&mut self, now: Now) -> MachinesToReturn {
         let policy = ScaleInPolicy::new(self, now);
         let mut machines = Vec::new();
@@ -157,8 +163,9 @@
         MachinesToReturn { machines, urgency }
     }
 
-    /// How long idle machines are kept: the cheaper beside the dearest that the cloud has, the longer. Next to
-    /// machines with GPUs the rest cost next to nothing, and the next job has to wait for a boot if they are gone.
+    /// Returns the idle time after which machines are released, by type and whether they are spot instances. The
+    /// cheaper a machine is compared with the most expensive type of the cloud, the longer it is kept: machines without
+    /// GPUs cost next to nothing compared with those with GPUs, and the next job has to wait for a boot if they are gone.
     fn idle_retention(&self) -> BTreeMap<(TypeName, bool), Span> {
         let highest_price = self.policy.catalog.most_dear();
         let kinds = (self.policy.catalog.types.iter())
@@ -174,24 +181,25 @@
             .collect()
     }
 
-    /// Machines with GPUs on which only preemptible work runs that could do without: it was let in beside work on the
-    /// GPUs that has ended, and is not worth the machine.
-    fn misused_gpu_machines(&self) -> BTreeSet<MachineId> {
-        let is_worthless = |id: &JobId| {
+    /// Returns the machines with GPUs on which only preemptible work runs that could run without GPUs. It was placed
+    /// there next to GPU work that has since ended, and does not justify the cost of the machine.
+    fn underused_gpu_machines(&self) -> BTreeSet<MachineId> {
+        let is_preemptible_without_gpus = |id: &JobId| {
             (self.jobs.get(id))
                 .is_some_and(|job| job.is_preemptible() && should_avoid_gpus(self, job))
         };
         (self.fleet.machines.values())
             .filter(|machine| machine.capacity.gpus > 0 && !machine.tasks.is_empty())
             .filter(|machine| {
-                (machine.tasks.iter())
-                    .all(|placed| !placed.occupies_capacity() || is_worthless(&placed.task.job))
+                (machine.tasks.iter()).all(|placed| {
+                    !placed.occupies_capacity() || is_preemptible_without_gpus(&placed.task.job)
+                })
             })
             .map(|machine| machine.id.clone())
             .collect()
     }
 
-    /// Notes that the return of machines is being asked for.
+    /// Records that the return of machines is being requested.
     pub(crate) fn record_return_request(&mut self, machines: &[MachineId], now: Now) {
         for id in machines {
             if let Some(machine) = self.fleet.machines.get_mut(id) {
@@ -202,22 +210,22 @@
         }
     }
 
-    /// Notes that the cloud has a machine back.
+    /// Records that the cloud has confirmed the return of a machine.
     pub(crate) fn record_return(&mut self, id: &MachineId) {
         if let Some(machine) = self.fleet.machines.get(id) {
             self.scale_out.forget_refusal(&InstanceOffer::from(machine));
         }
     }
 
-    /// Stops what is left on machines that are to be returned as idle once they are empty.
+    /// Stops the remaining tasks on machines that are retired as idle and will be returned once they are empty.
     pub fn stop_tasks_on_retired(&mut self, now: Time) {
-        let left: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
+        let remaining: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
             .filter(|machine| machine.retire_reason == Some(RetireReason::Idle))
             .flat_map(|machine| machine.tasks.iter().map(move |placed| (machine, placed)))
             .filter(|(_, placed)| placed.occupies_capacity() && placed.stop.is_none())
             .map(|(machine, placed)| (machine.id.clone(), placed.task.job.clone(), placed.attempt))
             .collect();
-        for (machine, job, attempt) in left {
+        for (machine, job, attempt) in remaining {
             let grace_s = self.jobs.get(&job).map_or(0.0, |job| job.spec.save_s);
             let stop = Stop::with_grace(StopReason::MachineReturned, grace_s, now);
             self.stop_attempt_on(&machine, &job, attempt, stop);
--- a/crates/core/src/capacity/scale_out/tests.rs
+++ b/crates/core/src/capacity/scale_out/tests.rs
@@ -2,10 +2,10 @@
 use crate::testing::{leader, NOW};
 use rudderreel_wire::cloud::MACHINES_PER_RENTAL;
 
-/// Five requests of fifty machines were open at a time, whatever the cloud takes: a fleet of thousands was
-/// requested at that rate.
+/// Guards against a fixed limit of five open requests of fifty machines, whatever rate of calls the cloud accepts: a
+/// fleet of thousands of machines was requested only at that rate.
 #[test]
-fn as_many_requests_are_open_as_the_cloud_takes_calls_a_second() {
+fn limit_on_open_requests_follows_the_rate_of_calls() {
     let offer = InstanceOffer {
         machine_type: "m4".into(),
         zone: "a".into(),
