--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -33,8 +33,8 @@
     }
 
     /// Returns how many more tasks of a job should run at once. For an array, these are as many as finish it in the
-    /// time that users give it, after the boot of a machine: one machine that runs short tasks one after the other costs
-    /// less than one machine for each task.
+    /// time that users give it, after the boot of a machine: one machine that runs short tasks one after the other
+    /// costs less than one machine for each task.
     fn tasks_wanted_at_once(&self, job: &Job, now: Now) -> u32 {
         let startable = job.startable_tasks();
         let (Kind::Array, Some(left)) = (job.spec.kind, self.time_left(job, now)) else {
@@ -147,7 +147,7 @@
             let mut zones = TasksByZone::default();
             let mut left = self.charge_within_limits(job, job.spec.tasks);
             left -= free.pack(leader, job, left, &mut zones, None);
-            self.cover_with_coming_or_new(job, left, &mut zones);
+            self.cover_with_upcoming_or_new(job, left, &mut zones);
         }
     }
 
@@ -156,11 +156,11 @@
         let wanted = self.leader.tasks_wanted_at_once(job, self.now);
         let tasks = self.charge_within_limits(job, wanted);
         let mut zones = self.leader.tasks_by_zone(job);
-        self.cover_with_coming_or_new(job, tasks, &mut zones);
+        self.cover_with_upcoming_or_new(job, tasks, &mut zones);
     }
 
     /// Packs tasks into upcoming machines, and then into new machines of the cheapest offers.
-    fn cover_with_coming_or_new(&mut self, job: &Job, tasks: u32, zones: &mut TasksByZone) {
+    fn cover_with_upcoming_or_new(&mut self, job: &Job, tasks: u32, zones: &mut TasksByZone) {
         let mut left = tasks - (self.upcoming).pack(self.leader, job, tasks, zones, None);
         while left > 0 {
             let offer = (self.leader).cheapest_offer(job, &self.upcoming, zones, self.now.time);
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -165,7 +165,8 @@
 
     /// Returns the idle time after which machines are released, by type and whether they are spot instances. The
     /// cheaper a machine is compared with the most expensive type of the cloud, the longer it is kept: machines without
-    /// GPUs cost next to nothing compared with those with GPUs, and the next job has to wait for a boot if they are gone.
+    /// GPUs cost next to nothing compared with those with GPUs, and the next job has to wait for a boot if they are
+    /// gone.
     fn idle_retention(&self) -> BTreeMap<(TypeName, bool), Span> {
         let highest_price = self.policy.catalog.most_dear();
         let kinds = (self.policy.catalog.types.iter())
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -44,9 +44,9 @@
 
 /// Queued and open calls to the cloud.
 pub struct CloudCalls {
-    /// Number of the last call that was sent.
+    /// Id of the last call that was sent.
     last_id: u64,
-    /// Rate limit of the cloud.
+    /// Rate limit of the cloud, in calls a second.
     calls_per_s: f64,
     /// Number of calls that may be made now (token bucket).
     tokens: f64,
--- a/crates/core/src/jobs/cascade.rs
+++ b/crates/core/src/jobs/cascade.rs
@@ -1,9 +1,9 @@
 //! Cascade cancellations: jobs that are cancelled because one of their dependencies is cancelled.
 //!
-//! Such a job counts as cancelled from the commit of its dependency's cancellation on (see `cache::dependencies`); its
-//! own record only makes that visible to all. The writes may be repeated and may happen in any order, since each is
-//! conditional on the version of the job's record. A new leader finds the remaining jobs in its cache. Each record that
-//! is written reveals the next jobs along the pipeline.
+//! Such jobs, at any depth, are cancelled from the commit of the one original cancellation on (see
+//! `cache::dependencies`); their own records only make that visible to all. The writes may be repeated and may happen
+//! in any order, since each is conditional on the version of the job's record. A new leader finds the remaining jobs in
+//! its cache. Each record that is written reveals the next jobs along the pipeline.
 
 use super::job_table::JobTable;
 use crate::cache::job_cache::JobCache;
--- a/crates/core/src/jobs/effective_urgency.rs
+++ b/crates/core/src/jobs/effective_urgency.rs
@@ -1,9 +1,9 @@
 //! Effective urgency: the priority and deadline of a job, including what it inherits from the jobs that depend on it.
 //!
-//! Users set priority and deadline on the last job of a pipeline. The dependencies of that job inherit both, with the
-//! deadline reduced by the expected run time of the jobs that come after them. Updates are incremental: a submission, a
-//! completion or a cancellation changes only the dependencies of that job, and the update stops at jobs whose urgency
-//! does not change.
+//! Users set priority and deadline on the last job of a pipeline. The direct and indirect dependencies of that job
+//! inherit both, with the deadline reduced by the expected time of the jobs that come after them. Updates are
+//! incremental: a submission, a completion or a cancellation can change only the dependencies of that job, and the
+//! update stops at jobs whose urgency does not change.
 
 use super::job::EffectiveUrgency;
 use super::job_table::JobTable;
