--- a/crates/core/src/dispatch/team_usage.rs
+++ b/crates/core/src/dispatch/team_usage.rs
@@ -23,7 +23,7 @@
             for job in (leader.jobs.values()).filter(|job| !job.placements.is_empty()) {
                 let used = job.need.times(job.placement_count());
                 let leaf = teams.find(&job.spec.team);
-                for node in leaf.into_iter().flat_map(|leaf| teams.chain(leaf)) {
+                for node in leaf.into_iter().flat_map(|leaf| teams.path_to_root(leaf)) {
                     sums[node] += used;
                 }
             }
@@ -48,7 +48,11 @@
 
     /// Returns whether a job's team is a node of the team tree or below it.
     fn is_below(&self, job: &Job, node: usize) -> bool {
-        (self.policy.teams.find(&job.spec.team))
-            .is_some_and(|leaf| self.policy.teams.chain(leaf).any(|above| above == node))
+        (self.policy.teams.find(&job.spec.team)).is_some_and(|leaf| {
+            self.policy
+                .teams
+                .path_to_root(leaf)
+                .any(|above| above == node)
+        })
     }
 }
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -11,7 +11,9 @@
 use crate::jobs::job::Job;
 use crate::leader::Leader;
 use crate::teams::fair_share::{fair_shares, saturation};
-use crate::teams::team_tree::{add_amounts, amounts, Amounts, GPUS, KINDS, MEMORY, NO_AMOUNTS};
+use crate::teams::team_tree::{
+    add_amounts, amounts, Amounts, GPUS, MEMORY, NO_AMOUNTS, RESOURCE_KINDS,
+};
 use crate::units::Resources;
 
 /// Rounding tolerance of comparisons with quotas and limits.
@@ -38,7 +40,7 @@
 
     /// Adds `need` to the usage of a job's team, whose node of the tree is `team`, and of all nodes above it.
     fn charge_team(&mut self, leader: &Leader, team: usize, job: &Job, need: &Amounts) {
-        for node in leader.policy.teams.chain(team) {
+        for node in leader.policy.teams.path_to_root(team) {
             add_amounts(&mut self.used[node], need);
             if !job.is_preemptible() {
                 add_amounts(&mut self.non_preemptible[node], need);
@@ -55,9 +57,10 @@
     /// Does the same as [`Self::within_limits`] for a team whose node of the tree is already known.
     fn team_within_limits(&self, leader: &Leader, team: usize, job: &Job, need: &Amounts) -> bool {
         let fits = |used: &Amounts, cap: &Amounts| {
-            (0..KINDS).all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
+            (0..RESOURCE_KINDS)
+                .all(|k| need[k] <= 0.0 || used[k] + need[k] <= cap[k] + LIMIT_TOLERANCE)
         };
-        leader.policy.teams.chain(team).all(|node| {
+        leader.policy.teams.path_to_root(team).all(|node| {
             let settings = &leader.policy.teams.nodes[node];
             let within_quota =
                 job.is_preemptible() || fits(&self.non_preemptible[node], &settings.quota);
@@ -185,7 +188,7 @@
         };
         self.usage.charge_team(leader, team, job, need);
         let counted = self.counted_for_shares(need);
-        for node in leader.policy.teams.chain(team) {
+        for node in leader.policy.teams.path_to_root(team) {
             add_amounts(&mut self.counted[node], &counted);
         }
     }
@@ -277,7 +280,7 @@
     pub fn stays_within_share(&self, team: usize, need: &Resources, multiplier: f64) -> bool {
         let need = self.counted(need);
         let (used, share) = (&self.used[team], &self.fair_share[team]);
-        (0..KINDS).all(|k| {
+        (0..RESOURCE_KINDS).all(|k| {
             need[k] <= 0.0 || (used[k] + need[k]) * multiplier <= share[k] + SHARE_TOLERANCE
         })
     }
@@ -286,7 +289,7 @@
     /// Memory has neither quota nor limit in the platform's settings, so it is not reclaimed.
     pub fn stays_at_share_without(&self, team: usize, evicted: &Amounts) -> bool {
         let (used, share) = (&self.used[team], &self.fair_share[team]);
-        (0..KINDS)
+        (0..RESOURCE_KINDS)
             .filter(|&k| k != MEMORY && evicted[k] > 0.0)
             .all(|k| used[k] - evicted[k] >= share[k] - SHARE_TOLERANCE)
     }
