--- a/crates/controller/src/http/connection.rs
+++ b/crates/controller/src/http/connection.rs
@@ -1,57 +1,59 @@
-//! Connections of a server: what each is doing, and how many there are of each kind.
+//! Connections of a server: their states, counts and timeouts.
 
 use super::request_key::RequestSerial;
 use mio::net::TcpStream;
 use slab::Slab;
 use std::time::{Duration, Instant};
 
-/// A request that is not complete, or a response that is not taken, after so long ends its connection, as does
-/// a connection that has never sent a request.
+/// Time without progress after which a connection is closed if its request is incomplete, if its response has not been
+/// read by the client, or if it has never sent a request.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// A connection that sends nothing more is closed after so long. Agents and users come back every few
-/// seconds.
+/// Time after which a connection without further requests is closed. Agents and users send a request every few
+/// seconds. It also bounds the time that a connection waits for a pending response.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(150);
-/// One that has sent nothing for so long is closed for a new one if there are too many.
+/// Time without progress after which a connection that waits for or reads a request may be closed in favour of a new
+/// one when the connection limit is reached.
 const REPLACEABLE_AFTER: Duration = Duration::from_secs(20);
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionState {
-    /// It reads a request, or waits for one.
+    /// Waiting for a request or reading one.
     ReadingRequest,
-    /// A request is being decided.
+    /// A request was received and its response is pending.
     AwaitingResponse,
-    /// It writes a response.
+    /// Writing a response.
     WritingResponse,
 }
 
-/// A connection.
+/// An accepted connection.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) state: ConnectionState,
-    /// What has come in and is not consumed.
+    /// Bytes received and not yet consumed.
     pub(super) input: Vec<u8>,
-    /// How much of the input counts against the server's limit of buffered bytes.
+    /// Bytes of `input` that are counted in [`ConnectionTable::buffered_bytes`].
     counted_bytes: usize,
-    /// The response that is being written, and how much of it has been.
+    /// The response that is being written.
     pub(super) output: Vec<u8>,
+    /// Bytes of `output` already written.
     pub(super) written: usize,
-    /// The request that was last taken from it.
+    /// Serial number of the last request received.
     pub(super) serial: RequestSerial,
-    /// Whether it ends with the response.
+    /// Whether the connection is closed after the response.
     pub(super) close: bool,
-    /// Whether an agent has sent a status report on it.
+    /// Whether an agent has sent a status report on this connection.
     pub(super) is_agent: bool,
-    /// Whether it has ever sent a request.
+    /// Whether a request has ever been received.
     pub(super) has_sent_request: bool,
-    /// Whether its client, which asked first, was told to send the body.
+    /// Whether `100 Continue` was sent for the current request.
     pub(super) sent_continue: bool,
-    /// When it last made progress.
+    /// When the connection was accepted, last completed a request or last completed a response.
     pub(super) last_progress: Instant,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the entry of a connection that was just accepted.
     pub(super) fn new(stream: TcpStream, now: Instant) -> Self {
         Self {
             stream,
@@ -89,52 +91,52 @@
     }
 }
 
-/// The connections of a server, by slot.
+/// Connections of a server, by slot.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     slots: Slab<Connection>,
     agents: usize,
-    /// Bytes of requests that have not come in whole.
+    /// Total size of incompletely received requests.
     buffered_bytes: usize,
 }
 
 impl ConnectionTable {
-    /// How many there are.
+    /// Returns the number of connections.
     pub(super) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// How many of them are of agents.
+    /// Returns the number of connections of agents.
     pub(super) fn agents(&self) -> usize {
         self.agents
     }
 
-    /// Bytes of requests that have not come in whole.
+    /// Returns the total size of incompletely received requests, in bytes.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// The slot that the next connection gets.
+    /// Returns the slot that [`Self::insert`] will use next.
     pub(super) fn next_slot(&self) -> usize {
         self.slots.vacant_key()
     }
 
-    /// Adds a connection in the next slot.
+    /// Adds a connection in the slot that [`Self::next_slot`] returns.
     pub(super) fn insert(&mut self, connection: Connection) {
         self.slots.insert(connection);
     }
 
-    /// A connection.
+    /// Returns the connection in a slot.
     pub(super) fn get(&self, slot: usize) -> Option<&Connection> {
         self.slots.get(slot)
     }
 
-    /// A connection, to be changed.
+    /// Returns the connection in a slot, mutably.
     pub(super) fn get_mut(&mut self, slot: usize) -> Option<&mut Connection> {
         self.slots.get_mut(slot)
     }
 
-    /// Removes a connection.
+    /// Removes a connection and its counts.
     pub(super) fn remove(&mut self, slot: usize) -> Option<Connection> {
         let removed = self.slots.try_remove(slot)?;
         self.agents -= usize::from(removed.is_agent);
@@ -142,7 +144,7 @@
         Some(removed)
     }
 
-    /// Counts a connection as one of an agent.
+    /// Marks a connection as an agent's and counts it once.
     pub(super) fn count_as_agent(&mut self, slot: usize) {
         if let Some(connection) = self.slots.get_mut(slot) {
             self.agents += usize::from(!connection.is_agent);
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Counts what a connection has buffered by now.
+    /// Updates the count of buffered bytes to a connection's present input.
     pub(super) fn count_buffered(&mut self, slot: usize) {
         if let Some(connection) = self.slots.get_mut(slot) {
             self.buffered_bytes -= connection.counted_bytes;
@@ -159,7 +161,8 @@
         }
     }
 
-    /// The connection that has sent nothing for longest, if that is so long that a new one may replace it.
+    /// Returns the connection that has gone longest without progress while it waits for or reads a request, if that is
+    /// more than [`REPLACEABLE_AFTER`].
     pub(super) fn replaceable(&self, now: Instant) -> Option<usize> {
         (self.slots.iter())
             .filter(|(_, connection)| connection.is_replaceable(now))
@@ -167,7 +170,7 @@
             .map(|(slot, _)| slot)
     }
 
-    /// Connections that have stalled, or have been silent for too long.
+    /// Returns the connections that have stalled or have been idle for too long.
     pub(super) fn timed_out(&self, now: Instant) -> Vec<usize> {
         (self.slots.iter())
             .filter(|(_, connection)| connection.has_timed_out(now))
--- a/crates/controller/src/http/listener.rs
+++ b/crates/controller/src/http/listener.rs
@@ -5,8 +5,9 @@
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// Listens with room for as many connections that wait to be accepted as are ever taken: a whole fleet may
-/// come at once, and what finds no room is dropped and tried again a second later.
+/// Opens a listening socket. Callers pass the server's connection limit as `backlog`: a whole fleet may connect at
+/// once, and a connection that does not fit in the backlog is dropped and retried by the client's system a second
+/// later.
 pub(super) fn bind(addr: SocketAddrV4, backlog: usize) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
--- a/crates/controller/src/http/mod.rs
+++ b/crates/controller/src/http/mod.rs
@@ -1,11 +1,11 @@
-//! An HTTP/1.1 server on one standard thread over a readiness poll.
+//! A single-threaded HTTP/1.1 server on top of a readiness poll.
 //!
-//! A thread for each connection would pass the platform's bound on threads when a whole fleet comes to one
-//! node, so a connection is an entry of a table. A request that needs a decision is answered later, from any
-//! thread, through a [`ResponseSender`]; a connection has at most one request open at a time.
+//! One thread per connection would exceed the platform's limit on threads when a whole fleet connects to one node, so
+//! a connection is an entry of a table. A request that needs a decision of the core is answered later, from any
+//! thread, through a [`ResponseSender`]. A connection has at most one open request at a time.
 //!
-//! Connections are counted. Those of agents may take only a part, so that users, health checks and peers keep
-//! their places; what is too many is refused at once.
+//! The number of connections is limited. Agents may use only a part of them, so that connections remain for users,
+//! health checks and peers. A connection above the limit is refused at once.
 
 mod connection;
 mod listener;
@@ -20,31 +20,31 @@
 
 use rudderreel_core::ReqId;
 
-/// The path that agents send their status reports to.
+/// Path to which agents send their status reports.
 pub const STATUS_REPORT_PATH: &str = "/v1/report";
 
-/// A request as it came in.
+/// A request as received.
 pub struct Request<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub url: &'a str,
-    /// Body; none if it was too long.
+    /// Body; `None` if it exceeds [`ServerLimits::body_bytes`].
     pub body: Option<&'a [u8]>,
 }
 
-/// Responds to a request at once, or sees to it that a response is sent later.
+/// Returns the response to a request, or `None` if the response is sent later through a [`ResponseSender`].
 pub type Handler<'a> = dyn FnMut(ReqId, Request) -> Option<Response> + 'a;
 
-/// How much a server takes on.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Connections of agents, which are part of these.
+    /// Maximum number of connections of agents; they count towards `connections` too.
     pub agent_connections: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Bytes of all requests that have not come in whole yet.
+    /// Maximum total size of all incompletely received requests, in bytes.
     pub buffered_bytes: usize,
 }
--- a/crates/controller/src/http/parser.rs
+++ b/crates/controller/src/http/parser.rs
@@ -1,44 +1,44 @@
-//! Parses requests from bytes that may come in parts.
+//! Parses requests from input that may be incomplete.
 //!
-//! `httparse` reads heads and chunk sizes; what is here frames bodies and bounds what is read.
+//! `httparse` parses heads and chunk sizes. This module finds the end of bodies and enforces size limits.
 
 use std::borrow::Cow;
 
-/// Bytes that a request's head may have.
+/// Size in bytes above which an incomplete request head is rejected.
 pub(super) const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Headers that a request may have.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
-/// What ends a chunk.
+/// Bytes that end a chunk.
 const LINE_END: &[u8] = b"\r\n";
 
-/// A request that is complete.
+/// A completely received request.
 pub(super) struct CompleteRequest<'a> {
-    /// Method.
+    /// HTTP method.
     pub(super) method: &'a str,
-    /// Path and query.
+    /// Path and query string.
     pub(super) url: &'a str,
-    /// None if it is too long: then the rest of it is not read.
+    /// Body; `None` if it is too long, in which case the rest of it is not read.
     pub(super) body: Option<Cow<'a, [u8]>>,
-    /// How many bytes of the input it took.
+    /// Number of input bytes that the request consumed.
     pub(super) consumed: usize,
-    /// Whether the client wants the connection closed after it.
+    /// Whether the client wants the connection closed after the response.
     pub(super) close: bool,
 }
 
-/// What the bytes that have come so far are.
+/// Result of parsing the bytes received so far.
 pub(super) enum Parsed<'a> {
-    /// More must come; the client may wait to be told to send its body.
+    /// The request is incomplete.
     Incomplete {
-        /// Whether it waits for a `100 Continue`.
+        /// Whether the client waits for `100 Continue` before it sends the body.
         expects_continue: bool,
     },
-    /// Not HTTP, or beyond the bounds of a head.
+    /// The input is not HTTP, or the head exceeds its limits.
     Malformed,
-    /// A request.
+    /// The input begins with a complete request.
     Complete(CompleteRequest<'a>),
 }
 
-/// Parses the request at the beginning of some bytes; its body may have `max_body` bytes.
+/// Parses the request at the beginning of `bytes`; its body may have at most `max_body` bytes.
 pub(super) fn parse(bytes: &[u8], max_body: usize) -> Parsed<'_> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -73,7 +73,7 @@
     }
 }
 
-/// The headers that the server heeds.
+/// The headers that affect how the server reads and answers a request.
 struct Headers {
     framing: Framing,
     close: bool,
@@ -81,7 +81,8 @@
 }
 
 impl Headers {
-    /// Reads headers; none if a length is not a number. Headers that are not text are passed over.
+    /// Reads the headers; returns `None` if a content length is not a number. Headers whose values are not UTF-8 are
+    /// ignored.
     fn read(headers: &[httparse::Header<'_>]) -> Option<Self> {
         let mut found = Self {
             framing: Framing::Length(0),
@@ -108,9 +109,9 @@
     }
 }
 
-/// What the bytes of a body that have come so far are.
+/// Result of reading a body from the bytes received so far.
 enum Body<'a> {
-    /// All of it; none if it is too long to be read.
+    /// The whole body; `None` if it exceeds the size limit.
     Complete {
         body: Option<Cow<'a, [u8]>>,
         consumed: usize,
@@ -119,14 +120,14 @@
     Malformed,
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 enum Framing {
     Length(usize),
     Chunked,
 }
 
 impl Framing {
-    /// Reads the body that begins with some bytes.
+    /// Reads the body at the beginning of `bytes`.
     fn read_body<'a>(&self, bytes: &'a [u8], max_body: usize) -> Body<'a> {
         match *self {
             Self::Length(length) if length > max_body => Body::too_long(bytes),
@@ -141,7 +142,7 @@
 }
 
 impl Body<'_> {
-    /// A body that is too long: what has come of it is dropped.
+    /// Returns a body above the size limit. All bytes received so far are discarded.
     fn too_long(bytes: &[u8]) -> Self {
         Self::Complete {
             body: None,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Joins the chunks of a body.
+/// Joins the chunks of a body with chunked transfer encoding.
 fn join_chunks(bytes: &[u8], max_body: usize) -> Body<'_> {
     let mut body = Vec::new();
     let mut consumed = 0;
--- a/crates/controller/src/http/response.rs
+++ b/crates/controller/src/http/response.rs
@@ -1,29 +1,29 @@
-//! Responses of the HTTP server, and their bytes.
+//! Responses of the HTTP server and their serialization.
 
-/// Status of a refusal that the client should repeat later.
+/// Status of a refused request that the client should retry later.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// Status that sends an agent to another node.
+/// Status that makes an agent report to another node.
 const MISDIRECTED_REQUEST: u16 = 421;
-/// Seconds after which a refused client should come back.
+/// Seconds after which a client should retry a refused request.
 const RETRY_AFTER_S: u32 = 1;
-/// Room for the head of a response.
-const HEAD_BYTES: usize = 128;
+/// Bytes reserved for the head of a response.
+const HEAD_CAPACITY: usize = 128;
 
-/// A response.
+/// An HTTP response. Its content type is always `application/json`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
-    /// Seconds after which the client should come back.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after: Option<u32>,
-    /// Whether the connection ends with it.
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
 impl Response {
-    /// JSON with a status.
+    /// Creates a response with a status and a body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Self {
             status,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// An error with a text; with a 503 the client is told when to come back.
+    /// Creates an error response with a message. A 503 also gets a `Retry-After` header.
     pub fn error(status: u16, text: &str) -> Self {
         let body = serde_json::json!({ "error": text }).to_string();
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends an agent to some other node, whichever it tries next.
+    /// Creates the response that makes an agent report to another node. The agent chooses the node.
     pub(super) fn redirect_agent() -> Self {
         Self {
             close: true,
@@ -49,9 +49,9 @@
         }
     }
 
-    /// Head and body, as they are written.
+    /// Serializes head and body. `close` adds a `Connection: close` header.
     pub(super) fn bytes(&self, close: bool) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_BYTES + self.body.len());
+        let mut bytes = Vec::with_capacity(HEAD_CAPACITY + self.body.len());
         let retry = (self.retry_after)
             .map(|s| format!("Retry-After: {s}\r\n"))
             .unwrap_or_default();
@@ -68,7 +68,7 @@
     }
 }
 
-/// The reason phrase of a status.
+/// Returns the reason phrase of a status.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/controller/src/http/server.rs
+++ b/crates/controller/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server: its event loop, and the connections that it accepts and closes.
+//! The server's event loop, which accepts and closes connections and sends responses.
 
 mod exchange;
 
@@ -18,43 +18,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes that are read at once.
+/// Size of the buffer for reading from connections.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Events that are taken from the poll at once.
+/// Maximum number of events that one poll returns.
 const EVENTS_PER_POLL: usize = 512;
-/// How often connections are looked through for those that have timed out.
+/// Interval of the search for timed-out connections.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause after the poll has failed.
+/// Pause before the poll is retried after an error.
 const POLL_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// A refusal of a connection, which is not even read from.
+/// Response that refuses a connection without reading from it.
 const CONNECTION_REFUSAL: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n\
     Connection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// What the poll calls the listener, and responses that wait; connections go by their slots.
+/// Poll tokens of the listener and of the waker for queued responses. The token of a connection is its slot.
 const LISTENER: Token = Token(usize::MAX);
 const WAKER: Token = Token(usize::MAX - 1);
 
-/// Where responses to open requests are sent, from any thread.
+/// Sends responses to open requests from any thread.
 #[derive(Clone)]
 pub struct ResponseSender {
     queue: Sender<(ReqId, Response)>,
     waker: Arc<Waker>,
-    is_awake: Arc<AtomicBool>,
+    /// Whether the server has been woken and has not yet begun to send the queued responses.
+    is_wake_pending: Arc<AtomicBool>,
 }
 
 impl ResponseSender {
-    /// Responds to a request. If its connection is gone, so is the response.
+    /// Responds to a request. The response is dropped if the request's connection has been closed.
     pub fn send(&self, id: ReqId, response: Response) {
         let is_queued = self.queue.send((id, response)).is_ok();
-        if is_queued && !self.is_awake.swap(true, Ordering::AcqRel) {
+        if is_queued && !self.is_wake_pending.swap(true, Ordering::AcqRel) {
             if let Err(e) = self.waker.wake() {
-                log::error!("server not woken reason={e}");
+                log::error!("HTTP server not woken for a response reason={e}");
             }
         }
     }
 }
 
-/// A server that listens.
+/// A listening HTTP server.
 pub struct Server {
     number: ServerNumber,
     poll: Poll,
@@ -64,12 +65,12 @@
     limits: ServerLimits,
     refusals: Arc<RefusalCounters>,
     responses: Receiver<(ReqId, Response)>,
-    is_awake: Arc<AtomicBool>,
+    is_wake_pending: Arc<AtomicBool>,
     read_buffer: Vec<u8>,
 }
 
 impl Server {
-    /// Listens at an address.
+    /// Listens on `addr`. Returns the server and the sender of its responses.
     pub fn listen(
         addr: SocketAddrV4,
         number: ServerNumber,
@@ -91,13 +92,13 @@
         let registry = poll.registry();
         registry.register(&mut listener, LISTENER, Interest::READABLE)?;
         let waker = Arc::new(Waker::new(registry, WAKER)?);
-        // A connection has one request open at a time, so no more responses can be wanted.
+        // A connection has one open request at a time, so there are never more pending responses than connections.
         let (queue, responses) = bounded(limits.connections);
-        let is_awake = Arc::new(AtomicBool::new(false));
+        let is_wake_pending = Arc::new(AtomicBool::new(false));
         let sender = ResponseSender {
             queue,
             waker,
-            is_awake: is_awake.clone(),
+            is_wake_pending: is_wake_pending.clone(),
         };
         let server = Self {
             number,
@@ -108,13 +109,13 @@
             limits,
             refusals,
             responses,
-            is_awake,
+            is_wake_pending,
             read_buffer: vec![0; READ_BUFFER_BYTES],
         };
         Ok((server, sender))
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on, if it is IPv4.
     #[cfg(test)]
     pub fn addr(&self) -> Option<SocketAddrV4> {
         match self.listener.local_addr().ok()? {
@@ -123,14 +124,15 @@
         }
     }
 
-    /// Serves for ever. `handler` responds to a request, or sees to it that a response is sent later.
+    /// Runs the event loop; never returns. `handler` returns the response to a request, or `None` if the response is
+    /// sent later through the [`ResponseSender`].
     pub fn serve(mut self, mut handler: impl FnMut(ReqId, Request) -> Option<Response>) {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         let mut next_sweep = Instant::now() + SWEEP_INTERVAL;
         loop {
             if let Err(e) = self.poll.poll(&mut events, Some(SWEEP_INTERVAL)) {
                 if e.kind() != ErrorKind::Interrupted {
-                    log::error!("poll failed reason={e}");
+                    log::error!("HTTP server poll failed reason={e}");
                     std::thread::sleep(POLL_RETRY_PAUSE);
                 }
                 continue;
@@ -153,7 +155,7 @@
                 Token(slot) => {
                     if event.is_writable() {
                         self.write(slot);
-                        self.take_buffered_requests(slot, handler);
+                        self.handle_buffered_requests(slot, handler);
                     }
                     if event.is_readable() || event.is_read_closed() {
                         self.read(slot, event.is_read_closed(), handler);
@@ -164,8 +166,8 @@
     }
 
     fn send_responses(&mut self, handler: &mut Handler) {
-        // Set before the queue is emptied: what is queued afterwards wakes the poll.
-        self.is_awake.store(false, Ordering::Release);
+        // Cleared before the queue is drained, so that a response queued from now on wakes the poll again.
+        self.is_wake_pending.store(false, Ordering::Release);
         while let Ok((id, response)) = self.responses.try_recv() {
             self.respond(id, response, handler);
         }
@@ -174,11 +176,11 @@
     fn accept(&mut self) {
         loop {
             match self.listener.accept() {
-                Ok((stream, _)) => self.take_connection(stream),
+                Ok((stream, _)) => self.add_connection(stream),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) => {
-                    // No socket is free, or the other side has gone again.
+                    // The process has no free socket, or the client has disconnected again.
                     log::warn!("connection not accepted reason={e}");
                     return;
                 }
@@ -186,25 +188,26 @@
         }
     }
 
-    fn take_connection(&mut self, mut stream: TcpStream) {
+    fn add_connection(&mut self, mut stream: TcpStream) {
         let now = Instant::now();
-        if self.connections.len() >= self.limits.connections && !self.make_room(now) {
-            // It can't be read from, so it is refused at once, as far as that goes.
+        if self.connections.len() >= self.limits.connections && !self.evict_idle_connection(now) {
+            // The connection gets no slot and is not read from, so it is refused at once with a single write, which
+            // may fail.
             let _ = stream.write(CONNECTION_REFUSAL);
             self.refusals.connections.increment();
-            log::debug!("connection refused reason=too many");
+            log::debug!("connection refused reason=connection_limit_reached");
             return;
         }
         let token = Token(self.connections.next_slot());
         let registry = self.poll.registry();
         match registry.register(&mut stream, token, Interest::READABLE) {
             Ok(()) => self.connections.insert(Connection::new(stream, now)),
-            Err(e) => log::warn!("connection not taken reason={e}"),
+            Err(e) => log::warn!("connection not registered with the poll reason={e}"),
         }
     }
 
-    /// Closes the connection that has sent nothing for longest, if that is long.
-    fn make_room(&mut self, now: Instant) -> bool {
+    /// Closes the connection that may be replaced, if there is one. Returns whether one was closed.
+    fn evict_idle_connection(&mut self, now: Instant) -> bool {
         let replaceable = self.connections.replaceable(now);
         replaceable.map(|slot| self.close(slot)).is_some()
     }
--- a/crates/controller/src/http/server/exchange.rs
+++ b/crates/controller/src/http/server/exchange.rs
@@ -1,4 +1,4 @@
-//! What a server does on its connections: reads requests, has them handled, writes responses.
+//! Request handling of the server: reads requests, passes them to the handler and writes responses.
 
 use super::Server;
 use crate::http::connection::{Connection, ConnectionState};
@@ -10,11 +10,11 @@
 use std::io::{ErrorKind, Read, Write};
 use std::time::Instant;
 
-/// Tells a client that asked first to send its body.
+/// Response to `Expect: 100-continue`, after which the client sends the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 impl Server {
-    /// Reads what has come in on a connection.
+    /// Reads all available bytes of a connection.
     pub(super) fn read(&mut self, slot: usize, is_closing: bool, handler: &mut Handler) {
         let mut buffer = std::mem::take(&mut self.read_buffer);
         while let Some(connection) = self.connections.get_mut(slot) {
@@ -22,7 +22,7 @@
                 Ok(0) => self.close(slot),
                 Ok(n) => {
                     self.take_bytes(slot, &buffer[..n], handler);
-                    // A short read has taken all there was; more is announced by the poll.
+                    // A short read has drained the socket; the poll reports further bytes.
                     if n < buffer.len() && !is_closing {
                         break;
                     }
@@ -35,20 +35,20 @@
         self.read_buffer = buffer;
     }
 
-    /// Takes bytes that have come in on a connection.
+    /// Handles the complete requests in newly received bytes and buffers the rest.
     pub(super) fn take_bytes(&mut self, slot: usize, bytes: &[u8], handler: &mut Handler) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
         };
         let is_reading = connection.state == ConnectionState::ReadingRequest;
         if is_reading && connection.input.is_empty() {
-            // Mostly a whole request comes at once, and is parsed where it is.
-            let consumed = self.next_request(slot, bytes, handler);
+            // Most requests arrive whole and are parsed without copying them to the connection's buffer.
+            let consumed = self.handle_next_request(slot, bytes, handler);
             if let Some(connection) = self.connections.get_mut(slot) {
                 connection.input.extend_from_slice(&bytes[consumed..]);
             }
             if consumed == 0 {
-                return self.bound_buffered(slot);
+                return self.enforce_buffer_limit(slot);
             }
         } else {
             connection.input.extend_from_slice(bytes);
@@ -56,17 +56,17 @@
                 return self.close(slot);
             }
         }
-        self.take_buffered_requests(slot, handler);
+        self.handle_buffered_requests(slot, handler);
     }
 
-    /// Takes what complete requests a connection has buffered, and counts what is left.
-    pub(super) fn take_buffered_requests(&mut self, slot: usize, handler: &mut Handler) {
-        while self.take_buffered_request(slot, handler) {}
-        self.bound_buffered(slot);
+    /// Handles the complete requests that a connection has buffered, and counts the remaining bytes.
+    pub(super) fn handle_buffered_requests(&mut self, slot: usize, handler: &mut Handler) {
+        while self.handle_buffered_request(slot, handler) {}
+        self.enforce_buffer_limit(slot);
     }
 
-    /// Takes a request from what a connection has buffered; returns whether there was one.
-    fn take_buffered_request(&mut self, slot: usize, handler: &mut Handler) -> bool {
+    /// Handles the first request that a connection has buffered; returns whether it was complete.
+    fn handle_buffered_request(&mut self, slot: usize, handler: &mut Handler) -> bool {
         let Some(connection) = self.connections.get_mut(slot) else {
             return false;
         };
@@ -74,18 +74,18 @@
             return false;
         }
         let mut input = std::mem::take(&mut connection.input);
-        let consumed = self.next_request(slot, &input, handler);
+        let consumed = self.handle_next_request(slot, &input, handler);
         input.drain(..consumed);
         if let Some(connection) = self.connections.get_mut(slot) {
-            // The room that a long request took is given back.
+            // An empty buffer is replaced to release the memory of a long request.
             connection.input = if input.is_empty() { Vec::new() } else { input };
         }
         consumed > 0
     }
 
-    /// Counts what a connection has buffered. If all of them together hold too much, this one is refused:
-    /// many clients that each send a part of a request must not take the memory of the node.
-    fn bound_buffered(&mut self, slot: usize) {
+    /// Counts the bytes that a connection has buffered. If all connections together exceed the limit, the request of
+    /// this one is refused: many clients that each send a part of a request must not exhaust the node's memory.
+    fn enforce_buffer_limit(&mut self, slot: usize) {
         self.connections.count_buffered(slot);
         let is_within = self.connections.buffered_bytes() <= self.limits.buffered_bytes;
         let Some(connection) = self.connections.get_mut(slot) else {
@@ -102,8 +102,8 @@
         self.begin_response(slot, &refusal);
     }
 
-    /// Handles the request at the beginning of some bytes if it is complete; returns how many were consumed.
-    fn next_request(&mut self, slot: usize, bytes: &[u8], handler: &mut Handler) -> usize {
+    /// Handles the request at the beginning of `bytes` if it is complete; returns the number of bytes consumed.
+    fn handle_next_request(&mut self, slot: usize, bytes: &[u8], handler: &mut Handler) -> usize {
         let Some(connection) = self.connections.get_mut(slot) else {
             return 0;
         };
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Counts a connection as an agent's. If agents have all their places, it is sent to another node.
+    /// Counts a connection as an agent's and returns whether it is admitted. If the limit of agents' connections is
+    /// reached, the agent is redirected to another node and the connection closed.
     fn admit_agent(&mut self, slot: usize) -> bool {
         let is_full = self.connections.agents() >= self.limits.agent_connections;
         let Some(connection) = self.connections.get_mut(slot) else {
@@ -184,7 +185,7 @@
         RequestKey { slot, serial }.id(self.number)
     }
 
-    /// Responds to a request, if its connection still waits for that.
+    /// Responds to a request, if its connection still waits for this response.
     pub(super) fn respond(&mut self, id: ReqId, response: Response, handler: &mut Handler) {
         let RequestKey { slot, serial } = RequestKey::of(id);
         let awaits = |connection: &Connection| {
@@ -192,7 +193,7 @@
         };
         if self.connections.get(slot).is_some_and(awaits) {
             self.begin_response(slot, &response);
-            self.take_buffered_requests(slot, handler);
+            self.handle_buffered_requests(slot, handler);
         }
     }
 
@@ -206,7 +207,8 @@
         }
     }
 
-    /// Writes as much of a response as the connection takes.
+    /// Writes as much of the response as the socket accepts. Once it is written completely, the connection reads the
+    /// next request or is closed.
     pub(super) fn write(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
--- a/crates/controller/src/http/server/tests.rs
+++ b/crates/controller/src/http/server/tests.rs
@@ -12,18 +12,18 @@
     buffered_bytes: 3_000,
 };
 
-/// A server on loopback that answers everything but reports at once; those from another thread.
+/// Starts a server on loopback that answers status reports from another thread and everything else at once.
 fn start() -> SocketAddrV4 {
     let any = "127.0.0.1:0".parse().expect("an address");
-    let (server, answers) =
-        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("it listens");
+    let (server, responses) =
+        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("a listening server");
     let addr = server.addr().expect("an address");
     std::thread::spawn(move || {
         server.serve(|id, request| {
             if request.url == STATUS_REPORT_PATH {
-                let (answers, body) = (answers.clone(), request.body.map(<[u8]>::to_vec));
+                let (responses, body) = (responses.clone(), request.body.map(<[u8]>::to_vec));
                 std::thread::spawn(move || {
-                    answers.send(id, Response::json(200, body.unwrap_or_default()))
+                    responses.send(id, Response::json(200, body.unwrap_or_default()))
                 });
                 return None;
             }
@@ -36,15 +36,15 @@
     addr
 }
 
-fn open(addr: SocketAddrV4) -> Client {
-    let client = Client::connect(addr).expect("it connects");
-    let most = Some(Duration::from_secs(10));
-    client.set_read_timeout(most).expect("a time limit");
+fn connect(addr: SocketAddrV4) -> Client {
+    let client = Client::connect(addr).expect("a connection");
+    let timeout = Some(Duration::from_secs(10));
+    client.set_read_timeout(timeout).expect("a time limit");
     client
 }
 
-/// Reads one answer: status and body. None if the connection ended first.
-fn answer(client: &mut Client) -> Option<(u16, String)> {
+/// Reads one response and returns its status and body; `None` if the connection ended first.
+fn read_response(client: &mut Client) -> Option<(u16, String)> {
     let mut bytes = Vec::new();
     loop {
         let mut headers = [httparse::EMPTY_HEADER; 16];
@@ -67,92 +67,106 @@
     }
 }
 
-fn ask(client: &mut Client, text: &str) -> Option<(u16, String)> {
+fn send_request(client: &mut Client, text: &str) -> Option<(u16, String)> {
     client.write_all(text.as_bytes()).ok()?;
-    answer(client)
+    read_response(client)
 }
 
-fn report(client: &mut Client) -> Option<(u16, String)> {
-    ask(
+fn post_report(client: &mut Client) -> Option<(u16, String)> {
+    send_request(
         client,
         "POST /v1/report HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
     )
 }
 
-fn up(client: &mut Client) -> Option<(u16, String)> {
-    ask(client, "GET /up HTTP/1.1\r\n\r\n")
+fn get_health(client: &mut Client) -> Option<(u16, String)> {
+    send_request(client, "GET /up HTTP/1.1\r\n\r\n")
 }
 
-fn is(status: u16) -> impl Fn(&Option<(u16, String)>) -> bool {
+fn has_status(status: u16) -> impl Fn(&Option<(u16, String)>) -> bool {
     move |found| found.as_ref().is_some_and(|(s, _)| *s == status)
 }
 
-/// With a thread for each connection a node that a whole fleet came to would have ended. Now
-/// workers beyond their part are sent on at once, everybody beyond the whole is refused at
-/// once, users and health checks keep their places, and when some have gone there is room again.
+/// With one thread per connection, a node that a whole fleet connected to would have exceeded its limit on threads.
+/// Agents above their limit are redirected at once, connections above the total limit are refused at once, users and
+/// health checks are still served, and closed connections make room for new ones.
 #[test]
 fn too_many_connections_are_refused_at_once() {
     let addr = start();
-    let mut health = open(addr);
-    assert!(is(200)(&up(&mut health)));
-    let mut workers: Vec<Client> = (0..LIMITS.agent_connections).map(|_| open(addr)).collect();
-    assert!(workers.iter_mut().all(|w| is(200)(&report(w))));
-    let mut more = open(addr);
-    assert!(is(421)(&report(&mut more)), "a worker too many is sent on");
-    assert_eq!(answer(&mut more), None, "and its connection ends");
+    let mut health = connect(addr);
+    assert!(has_status(200)(&get_health(&mut health)));
+    let mut agents: Vec<Client> = (0..LIMITS.agent_connections)
+        .map(|_| connect(addr))
+        .collect();
+    assert!(agents.iter_mut().all(|a| has_status(200)(&post_report(a))));
+    let mut redirected = connect(addr);
+    assert!(
+        has_status(421)(&post_report(&mut redirected)),
+        "an agent above the limit is redirected"
+    );
+    assert_eq!(read_response(&mut redirected), None, "its connection ends");
     let users = LIMITS.connections - LIMITS.agent_connections - 1;
-    let mut users: Vec<Client> = (0..users).map(|_| open(addr)).collect();
-    assert!(users.iter_mut().all(|u| is(200)(&up(u))));
-    let mut refused = open(addr);
-    let answered = answer(&mut refused);
-    assert!(answered.is_none() || is(503)(&answered), "{answered:?}");
-    assert!(is(200)(&up(&mut health)), "those that are there go on");
-    assert!(workers.iter_mut().all(|w| is(200)(&report(w))));
-    drop(workers);
-    // The server sees that they have gone when it gets to it.
-    let again = (0..1_000).any(|_| is(200)(&report(&mut open(addr))));
-    assert!(again, "there is room again");
+    let mut users: Vec<Client> = (0..users).map(|_| connect(addr)).collect();
+    assert!(users.iter_mut().all(|u| has_status(200)(&get_health(u))));
+    let mut refused = connect(addr);
+    let response = read_response(&mut refused);
+    assert!(
+        response.is_none() || has_status(503)(&response),
+        "{response:?}"
+    );
+    assert!(
+        has_status(200)(&get_health(&mut health)),
+        "open connections are still served"
+    );
+    assert!(agents.iter_mut().all(|a| has_status(200)(&post_report(a))));
+    drop(agents);
+    // The server notices closed connections some time later.
+    let has_room = (0..1_000).any(|_| has_status(200)(&post_report(&mut connect(addr))));
+    assert!(has_room, "a new agent is admitted");
 }
 
 #[test]
-fn requests_come_whole_in_pieces_in_chunks_and_one_after_the_other() {
+fn whole_split_chunked_and_pipelined_requests_are_read() {
     let addr = start();
-    let mut client = open(addr);
+    let mut client = connect(addr);
     let text = "POST /x HTTP/1.1\r\ncontent-length: 5\r\n\r\nhello";
     for part in text.as_bytes().chunks(7) {
-        client.write_all(part).expect("it is taken");
+        client.write_all(part).expect("the part is sent");
         std::thread::sleep(Duration::from_millis(2));
     }
     let hello = Some((200, "hello".to_string()));
-    assert_eq!(answer(&mut client), hello);
+    assert_eq!(read_response(&mut client), hello);
     let chunked = "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
         2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
-    assert_eq!(ask(&mut client, chunked), hello);
-    // Not asked for by the protocol, but a thousand at once must not do harm either.
+    assert_eq!(send_request(&mut client, chunked), hello);
+    // The protocol does not require pipelining, but a thousand pipelined requests must do no harm.
     client
         .write_all(text.repeat(1_000).as_bytes())
-        .expect("taken");
-    assert!((0..1_000).all(|_| answer(&mut client) == hello));
+        .expect("the requests are sent");
+    assert!((0..1_000).all(|_| read_response(&mut client) == hello));
     let expects = text.replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
-    assert_eq!(ask(&mut client, &expects), hello);
+    assert_eq!(send_request(&mut client, &expects), hello);
     let last = text.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n");
-    assert_eq!(ask(&mut client, &last), hello);
-    assert_eq!(up(&mut client), None, "the connection has ended");
+    assert_eq!(send_request(&mut client, &last), hello);
+    assert_eq!(get_health(&mut client), None, "the connection has ended");
 }
 
 #[test]
-fn what_is_not_http_or_too_long_is_refused() {
+fn malformed_and_oversized_requests_are_rejected() {
     let addr = start();
     let long = "POST /x HTTP/1.1\r\nContent-Length: 1001\r\n\r\n";
     let chunked = "POST /x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3e9\r\n";
     let size = "POST /x HTTP/1.1\r\nContent-Length: -1\r\n\r\n";
     let head = format!("GET /{} HTTP/1.1\r\n", "x".repeat(MAX_HEAD_BYTES));
     for text in [long, chunked, size, "\u{1}\u{2}\r\n\r\n", &head] {
-        assert!(is(400)(&ask(&mut open(addr), text)), "{text:.40}");
+        assert!(
+            has_status(400)(&send_request(&mut connect(addr), text)),
+            "{text:.40}"
+        );
     }
 }
 
-/// The state of the only connection.
+/// Returns the state of the only connection.
 fn state(server: &Server) -> Option<ConnectionState> {
     server.connections.get(0).map(|connection| connection.state)
 }
@@ -161,14 +175,14 @@
     server.connections.get_mut(0).expect("a connection").state = state;
 }
 
-/// An answer that comes when its connection serves another request already, or another client.
+/// A response must not be sent to a later request of the same connection, nor to another client in the same slot.
 #[test]
-fn late_answers_are_dropped() {
+fn late_responses_are_dropped() {
     let any = "127.0.0.1:0".parse().expect("an address");
     let (mut server, _) =
-        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("it listens");
+        Server::listen(any, ServerNumber(1), LIMITS, Arc::default()).expect("a listening server");
     let mut ids = Vec::new();
-    let _client = open(server.addr().expect("an address"));
+    let _client = connect(server.addr().expect("an address"));
     while server.connections.len() == 0 {
         server.accept();
     }
@@ -187,32 +201,38 @@
     assert_eq!(state(&server), Some(ConnectionState::ReadingRequest));
 }
 
-/// Clients that send parts of requests can't take more memory than there is for them, and others are served.
+/// Clients that send parts of requests must not use more memory than the limit, and other clients are still served.
 #[test]
 fn incomplete_requests_hold_bounded_memory() {
     let addr = start();
     let head = "POST /any HTTP/1.1\r\nContent-Length: 1000\r\n\r\n";
     let part = format!("{head}{}", "x".repeat(900));
     let send = |text: &str| {
-        let mut client = open(addr);
-        client.write_all(text.as_bytes()).expect("it is sent");
-        // Sent one after the other, they are read one after the other.
+        let mut client = connect(addr);
+        client.write_all(text.as_bytes()).expect("the text is sent");
+        // The pause makes the server read the requests in the order in which they are sent.
         std::thread::sleep(Duration::from_millis(50));
         client
     };
     let mut first: Vec<Client> = (0..3).map(|_| send(&part)).collect();
-    let mut beyond = send(&part);
-    assert_eq!(answer(&mut beyond).map(|(status, _)| status), Some(503));
-    let mut whole = send("GET /any HTTP/1.1\r\n\r\n");
-    assert_eq!(answer(&mut whole).map(|(status, _)| status), Some(200));
+    let mut excess = send(&part);
+    assert_eq!(
+        read_response(&mut excess).map(|(status, _)| status),
+        Some(503)
+    );
+    let mut complete = send("GET /any HTTP/1.1\r\n\r\n");
+    assert_eq!(
+        read_response(&mut complete).map(|(status, _)| status),
+        Some(200)
+    );
     for client in &mut first {
         client.write_all(&[b'x'; 100]).expect("the rest is sent");
-        assert_eq!(answer(client).map(|(status, _)| status), Some(200));
+        assert_eq!(read_response(client).map(|(status, _)| status), Some(200));
     }
-    // What they held has been given back.
+    // The completed requests no longer count towards the limit.
     let mut later: Vec<Client> = (0..3).map(|_| send(&part)).collect();
     for client in &mut later {
         client.write_all(&[b'x'; 100]).expect("the rest is sent");
-        assert_eq!(answer(client).map(|(status, _)| status), Some(200));
+        assert_eq!(read_response(client).map(|(status, _)| status), Some(200));
     }
 }
