--- a/crates/controller/src/clients/admin.rs
+++ b/crates/controller/src/clients/admin.rs
@@ -1,4 +1,4 @@
-//! Requests to the administration API of a running node.
+//! Client of a running node's administration API.
 
 use super::http_client::{http_client, CallLimits};
 use super::{get, read_reply, Reply};
@@ -12,16 +12,16 @@
 pub struct AdminResponse {
     /// HTTP status.
     pub status: u16,
-    /// JSON body.
+    /// Response body, which is JSON.
     pub body: String,
 }
 
-/// Reads from the administration API. None if there is no response.
+/// Sends a GET request to the administration API. Returns `None` if there is no response.
 pub fn read(url: &str) -> Option<AdminResponse> {
     response(get(&client(), url))
 }
 
-/// Replaces something through the administration API. None if there is no response.
+/// Sends a PUT request with a JSON body to the administration API. Returns `None` if there is no response.
 pub fn replace(url: &str, body: &[u8]) -> Option<AdminResponse> {
     let request = client().put(url).header("Content-Type", "application/json");
     response(read_reply(request.send(body)))
--- a/crates/controller/src/clients/agents.rs
+++ b/crates/controller/src/clients/agents.rs
@@ -5,7 +5,7 @@
 use rudderreel_wire::worker::DirectCommands;
 use ureq::Agent;
 
-/// Sends commands to an agent.
+/// Sends commands to the agent at `addr`.
 pub fn call_agent(client: &Agent, addr: &str, commands: &DirectCommands) -> DirectOutcome {
     match post_json(client, &format!("http://{addr}/orders"), commands) {
         Reply::Response(200, bytes) => parse_json(&bytes, DirectOutcome::Unknown, |report| {
--- a/crates/controller/src/clients/cloud.rs
+++ b/crates/controller/src/clients/cloud.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use ureq::Agent;
 
-/// Calls the cloud.
+/// Makes a call to the cloud at `addr`.
 pub fn call_cloud(client: &Agent, addr: SocketAddrV4, call: &CloudCall) -> CloudAnswer {
     let reply = match call {
         CloudCall::Catalog => get(client, &format!("http://{addr}/catalog")),
@@ -33,14 +33,14 @@
         (200, CloudCall::Rent(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Rented),
         (200..=204, CloudCall::Return(_)) => CloudAnswer::Returned,
         (200, CloudCall::List(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Page),
-        (503, CloudCall::Rent(_)) if is_without_capacity(&body) => CloudAnswer::NoCapacity,
+        (503, CloudCall::Rent(_)) if is_no_capacity_error(&body) => CloudAnswer::NoCapacity,
         (400, _) => CloudAnswer::Rejected,
         _ => CloudAnswer::Refused,
     }
 }
 
-/// Whether a refusal says that there is no machine to be had, and not that too many calls were made.
-pub(super) fn is_without_capacity(body: &[u8]) -> bool {
+/// Returns whether a refusal means that no machine is available, and not that too many calls were made.
+pub(super) fn is_no_capacity_error(body: &[u8]) -> bool {
     let value: Option<Value> = serde_json::from_slice(body).ok();
     value.is_some_and(|v| v["error"] == "no capacity")
 }
--- a/crates/controller/src/clients/http_client.rs
+++ b/crates/controller/src/clients/http_client.rs
@@ -1,8 +1,8 @@
-//! The HTTP client that calls are made with, made small.
+//! The HTTP client of all outgoing calls, configured for low memory use.
 //!
-//! The library is set up for large machines and for host names: by default a connection has two buffers of
-//! 128 KiB, and each call that has a time limit looks its host up on a new thread. Every address here is an
-//! IP address and a port, and a node may have a few dozen MB in all.
+//! The library's defaults are for large machines and for host names: a connection has two buffers of 128 KiB, and each
+//! call with a time limit resolves its host on a new thread. Here every address is an IP address with a port, and a
+//! node may have only a few dozen MB of memory in all.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,34 +12,35 @@
 use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
 use ureq::{Agent, Error};
 
-/// Bytes of the buffers of a connection, each. A response's head has to fit; a body is read in parts.
+/// Size of each of a connection's two buffers. The head of a response must fit; a body is read in parts.
 const BUFFER_BYTES: usize = 8 * 1024;
-/// Connections to one host that are kept for later calls.
-const IDLE_PER_HOST: usize = 8;
+/// Maximum number of idle connections to one host that are kept for later calls.
+const IDLE_CONNECTIONS_PER_HOST: usize = 8;
 
-/// Time limits of calls, and how many connections are kept between them.
+/// Time limits of calls, and the limit of idle connections.
 #[derive(Clone, Copy, Debug)]
 pub struct CallLimits {
-    /// For connecting.
+    /// Time limit of connecting.
     pub connect_timeout: Duration,
-    /// For the whole call.
+    /// Time limit of the whole call, connecting included.
     pub call_timeout: Duration,
-    /// Connections that are kept for later calls. The library compares each with all others at every call.
+    /// Maximum number of idle connections that are kept for later calls. It is small because the library compares each
+    /// with all others at every call.
     pub idle_connections: usize,
 }
 
 impl CallLimits {
-    /// Limits of calls to one service.
+    /// Creates the limits of calls to a single host.
     pub fn new(connect_timeout: Duration, call_timeout: Duration) -> Self {
         Self {
             connect_timeout,
             call_timeout,
-            idle_connections: IDLE_PER_HOST,
+            idle_connections: IDLE_CONNECTIONS_PER_HOST,
         }
     }
 }
 
-/// Takes the address out of the URL. Nothing is looked up, so nothing has to wait on a thread of its own.
+/// Resolver that parses the IP address and port in the URL. It looks nothing up, so it needs no thread.
 #[derive(Debug)]
 struct IpResolver;
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// An HTTP client with such limits.
+/// Creates an HTTP client with these limits.
 pub fn http_client(limits: CallLimits) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
@@ -67,7 +68,7 @@
         .timeout_connect(Some(limits.connect_timeout))
         .timeout_global(Some(limits.call_timeout))
         .max_idle_connections(limits.idle_connections)
-        .max_idle_connections_per_host(IDLE_PER_HOST)
+        .max_idle_connections_per_host(IDLE_CONNECTIONS_PER_HOST)
         .input_buffer_size(BUFFER_BYTES)
         .output_buffer_size(BUFFER_BYTES)
         .build();
--- a/crates/controller/src/clients/http_client/tests.rs
+++ b/crates/controller/src/clients/http_client/tests.rs
@@ -2,16 +2,16 @@
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-fn quick() -> Agent {
+fn test_client() -> Agent {
     http_client(CallLimits::new(
         Duration::from_secs(2),
         Duration::from_secs(5),
     ))
 }
 
-/// Answers one request on one connection with a body of so many bytes.
+/// Answers one request on one connection with a body of `bytes` bytes.
 fn serve_once(bytes: usize) -> (SocketAddr, std::thread::JoinHandle<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("it listens");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a listening socket");
     let addr = listener.local_addr().expect("an address");
     let served = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
@@ -25,21 +25,21 @@
     (addr, served)
 }
 
-/// A body may be much longer than the buffer.
+/// The connection's buffer limits the head of a response, not its body.
 #[test]
 fn a_body_longer_than_the_buffer_is_read_whole() {
     let (addr, served) = serve_once(50 * BUFFER_BYTES);
-    let mut response = quick()
+    let mut response = test_client()
         .get(format!("http://{addr}/"))
         .call()
         .expect("a response");
     let body = response.body_mut().read_to_vec().expect("a body");
     assert_eq!(body.len(), 50 * BUFFER_BYTES);
-    served.join().expect("it served");
+    served.join().expect("the server thread ends");
 }
 
-/// Each call with a time limit began a thread to look its host up: some sixty system calls and two MiB of
-/// address space for what is written in the URL already.
+/// With the library's resolver, each call with a time limit started a thread to resolve its host: about sixty system
+/// calls and 2 MiB of address space for an address that the URL already contains.
 #[test]
 fn an_address_is_taken_from_the_url() {
     let uri: Uri = "http://10.1.2.3:8081/peer/reports".parse().expect("a URL");
@@ -50,11 +50,11 @@
     assert_eq!(&found[..], &["10.1.2.3:8081".parse().expect("an address")]);
 }
 
-/// A name is refused at once instead of being looked up.
+/// A host name fails at once instead of being resolved.
 #[test]
 fn host_names_are_not_looked_up() {
     for url in ["http://localhost:80/", "http://10.1.2.3/", "http://[::1/"] {
-        let error = quick().get(url).call().expect_err("no such host");
+        let error = test_client().get(url).call().expect_err("no such host");
         let refused = matches!(
             error,
             Error::HostNotFound | Error::BadUri(_) | Error::Http(_)
--- a/crates/controller/src/clients/mod.rs
+++ b/crates/controller/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Calls to the outside: the store, the cloud, agents, peers, and the administration API.
+//! Clients of the store, the cloud, agents, peers and the administration API.
 //!
-//! Every call has time limits, and whatever goes wrong becomes an answer that the caller can deal with. What
-//! matters is kept apart: a call that was surely not made, and one that may have been carried out.
+//! Every call has time limits, and every error becomes an answer that the caller can handle. Answers distinguish a
+//! call that was surely not made from a call that may have been carried out.
 
 pub mod admin;
 pub mod agents;
@@ -15,17 +15,17 @@
 use std::io::ErrorKind;
 use ureq::{Agent, Error};
 
-/// Bytes of the longest response that is read. By the protocol a page of keys has 512 KiB at most. A watch's
-/// response has no bound: one that is longer is not asked for again, but everything read anew, in pages.
+/// Maximum size of a response, in bytes. The protocol limits a page of keys to 512 KiB. A watch's response has no
+/// limit: if it is longer than this, it is not requested again, but all keys are read again in pages.
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// What came back, if anything usable did.
+/// Outcome of an HTTP call.
 enum Reply {
-    /// A response with a status and a body.
+    /// A response with its status and body.
     Response(u16, Vec<u8>),
     /// No connection was made, so nothing was sent.
     NotSent,
-    /// A response that is longer than what is read.
+    /// A response longer than [`MAX_RESPONSE_BYTES`].
     TooLong,
     /// No usable response: the call may have been carried out.
     Unknown,
@@ -73,11 +73,11 @@
     }
 }
 
-/// What a JSON body says, or `unreadable` if it can't be read.
+/// Parses a JSON object and converts it with `answer`; returns `unreadable` if it cannot be parsed.
 fn parse_json<T: DeserializeOwned, A>(bytes: &[u8], unreadable: A, answer: impl Fn(T) -> A) -> A {
-    // A struct may also be read from an array, which no response is: `[]` was taken for a commit.
+    // serde also reads a struct from a JSON array, which no response is: `[]` would be read as a commit.
     if bytes.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
-        log::warn!("unreadable response reason=no JSON object");
+        log::warn!("unreadable response reason=not_a_json_object");
         return unreadable;
     }
     match serde_json::from_slice(bytes) {
--- a/crates/controller/src/clients/peers.rs
+++ b/crates/controller/src/clients/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to the other nodes, in bitcode.
+//! Messages to other nodes, encoded with bitcode.
 
 use super::{post, Reply};
 use bitcode::{DecodeOwned, Encode};
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use ureq::Agent;
 
-/// Sends a heartbeat to a peer.
+/// Sends a heartbeat to a peer; returns its reply, if there is a usable one.
 pub fn send_heartbeat(
     client: &Agent,
     addr: SocketAddrV4,
@@ -19,7 +19,7 @@
     exchange(client, &format!("http://{addr}{HEARTBEAT_PATH}"), heartbeat)
 }
 
-/// Forwards status reports to the leader.
+/// Forwards status reports to the leader; returns its reply, if there is a usable one.
 pub fn forward_reports(
     client: &Agent,
     addr: SocketAddrV4,
@@ -32,7 +32,7 @@
     )
 }
 
-/// Replicates cancellations to a peer.
+/// Replicates cancellations to a peer; returns its reply, if there is a usable one.
 pub fn replicate_cancellations(
     client: &Agent,
     addr: SocketAddrV4,
@@ -45,7 +45,7 @@
     )
 }
 
-/// Sends a message and reads the reply, if there is a usable one.
+/// Sends a message and returns the reply, if there is a usable one.
 fn exchange<M: Encode, R: DecodeOwned>(client: &Agent, url: &str, message: &M) -> Option<R> {
     match post(client, url, &bitcode::encode(message)) {
         Reply::Response(200, bytes) => bitcode::decode(&bytes).ok(),
@@ -53,7 +53,8 @@
     }
 }
 
-/// Forwards a user's or an administrator's request to a peer; returns its status and body.
+/// Forwards a user's or an administrator's request to a peer; returns the status and body of the response, if there
+/// is a usable one.
 pub fn forward(client: &Agent, addr: SocketAddrV4, request: &Forward) -> Option<(u16, String)> {
     let url = format!("http://{addr}{FORWARD_PATH}");
     match post(client, &url, &bitcode::encode(request)) {
--- a/crates/controller/src/clients/store.rs
+++ b/crates/controller/src/clients/store.rs
@@ -7,13 +7,13 @@
 use std::net::SocketAddrV4;
 use ureq::Agent;
 
-/// Keys asked for in one page, and fewer each time that the response is too long to be read.
+/// Numbers of keys to request in one page: the first, and the smaller ones that follow each response that is too long.
 const KEYS_PER_PAGE: [u32; 3] = [200, 20, 1];
-/// Milliseconds that a watch waits for a change.
+/// Time that the store holds a watch open without a change, in milliseconds.
 const WATCH_BLOCK_MS: u64 = 10_000;
 
-/// Reads a page of keys. One that is longer than what is read would be asked for again for ever, so a
-/// shorter one is.
+/// Reads a page of keys. If the response exceeds the size limit, requests fewer keys: the same request would exceed it
+/// forever.
 fn list_keys(client: &Agent, url: &str) -> Reply {
     let mut reply = Reply::TooLong;
     for keys in KEYS_PER_PAGE {
@@ -25,7 +25,7 @@
     reply
 }
 
-/// Calls the store.
+/// Makes a call to the store at `addr`.
 pub fn call_store(client: &Agent, addr: SocketAddrV4, call: &StoreCall) -> StoreAnswer {
     let reply = match call {
         StoreCall::Get(key) => get(client, &format!("http://{addr}/keys/{key}")),
@@ -52,14 +52,13 @@
     };
     match reply {
         Reply::Response(status, body) => store_answer(call, status, &body),
-        // Nothing was sent, so nothing can have been executed.
+        // Nothing was sent, so the store cannot have executed the call.
         Reply::NotSent => StoreAnswer::Refused,
         Reply::Unknown | Reply::TooLong => StoreAnswer::Unknown,
     }
 }
 
-/// What the store says of a `set` whose lease has ended; any other 400 rejects the
-/// transaction itself.
+/// The store's error text for a `set` whose lease has ended. A 400 with any other text rejects the transaction itself.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 pub(super) fn store_answer(call: &StoreCall, status: u16, body: &[u8]) -> StoreAnswer {
@@ -99,22 +98,23 @@
     }
 }
 
-/// Where the changes of keys with a prefix after a revision are read.
+/// Returns the URL of the changes after a revision to keys with a prefix.
 fn changes_url(addr: SocketAddrV4, prefix: &str, after: Version) -> String {
     format!("http://{addr}/changes?prefix={prefix}&after={after}")
 }
 
-/// What a watch came back with.
+/// Outcome of a watch.
 pub enum WatchReply {
-    /// Changes, perhaps none.
+    /// The changes after the revision; empty if there were none in time.
     Events(Events<Value>),
-    /// The place is lost.
+    /// The store no longer keeps the changes after the revision, or the response is too long: everything must be read
+    /// again.
     Lost,
-    /// No answer.
+    /// No usable answer.
     Failed,
 }
 
-/// Waits for changes after a revision.
+/// Waits for changes after a revision to keys with a prefix.
 pub fn watch_store(client: &Agent, addr: SocketAddrV4, prefix: &str, after: Version) -> WatchReply {
     let changes = changes_url(addr, prefix, after);
     let url = format!("{changes}&blockMs={WATCH_BLOCK_MS}");
--- a/crates/controller/src/clients/tests.rs
+++ b/crates/controller/src/clients/tests.rs
@@ -1,4 +1,4 @@
-use super::cloud::is_without_capacity;
+use super::cloud::is_no_capacity_error;
 use super::http_client::{http_client, CallLimits};
 use super::store::{call_store, store_answer};
 use super::*;
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An answer that can't be read says nothing: the call may have been carried out.
+/// A response that cannot be parsed leaves the outcome unknown: the call may have been carried out.
 #[test]
-fn garbled_answers_are_no_answers() {
+fn unreadable_responses_have_an_unknown_outcome() {
     let transaction = Transaction {
         conditions: Vec::new(),
         changes: Vec::new(),
@@ -28,7 +28,7 @@
             let answer = store_answer(call, 200, body);
             assert!(matches!(answer, StoreAnswer::Unknown), "{call:?} {body:?}");
         }
-        // Not executed, whatever the body says.
+        // These statuses mean that the call was not executed, whatever the body says.
         for status in [429, 503] {
             assert!(matches!(
                 store_answer(call, status, b"x"),
@@ -36,25 +36,26 @@
             ));
         }
     }
-    // A lease that has ended is told from a transaction that is too large.
+    // A lease that has ended is distinguished from a transaction that is too large.
     let ended = store_answer(&calls[2], 400, b"{\"error\":\"no such lease\"}");
     assert!(matches!(ended, StoreAnswer::NoSuchLease));
     let large = store_answer(&calls[2], 400, b"{\"error\":\"value too large\"}");
     assert!(matches!(large, StoreAnswer::Rejected));
-    // Changes that the store does not keep any more are none.
+    // The store no longer keeps the changes after the revision.
     let changes = calls.last().expect("a call");
     let forgotten = store_answer(changes, 410, b"{}");
     assert!(matches!(forgotten, StoreAnswer::Refused));
     let conflict = store_answer(&calls[2], 409, b"<html>");
     assert!(matches!(conflict, StoreAnswer::Unknown));
     assert!(
-        !is_without_capacity(b"no capacity") && is_without_capacity(b"{\"error\":\"no capacity\"}")
+        !is_no_capacity_error(b"no capacity")
+            && is_no_capacity_error(b"{\"error\":\"no capacity\"}")
     );
 }
 
-/// A page that was longer than what is read was asked for again as it was, for ever.
+/// A page above the size limit must not be requested again with the same size, which would fail forever.
 #[test]
-fn a_page_that_is_too_long_is_read_in_shorter_ones() {
+fn a_page_above_the_size_limit_is_read_in_smaller_pages() {
     let limits = ServerLimits {
         connections: 16,
         agent_connections: 0,
@@ -63,7 +64,7 @@
     };
     let any = "127.0.0.1:0".parse().expect("an address");
     let (server, _) =
-        Server::listen(any, ServerNumber(0), limits, Arc::default()).expect("it listens");
+        Server::listen(any, ServerNumber(0), limits, Arc::default()).expect("a listening server");
     let addr = server.addr().expect("an address");
     std::thread::spawn(move || {
         server.serve(|_, request| {
