--- a/crates/controller/src/input_queues.rs
+++ b/crates/controller/src/input_queues.rs
@@ -1,85 +1,87 @@
-//! Inputs that wait for the core, in three bounded queues.
+//! Three bounded queues of inputs for the core.
 //!
-//! What keeps a rule must not wait behind what doesn't. Heartbeats, replicated cancellations, answers to the
-//! node's own calls and health checks are few, and go first. Users' requests and agents' status reports may
-//! come by the thousand at once, and take turns. Whatever finds its queue full is refused at once; answers to
-//! own calls wait for room.
+//! Inputs on which correctness depends must not wait behind others. Heartbeats, replicated cancellations, answers to
+//! the node's own calls and health checks are few, and have priority. Users' requests and agents' status reports may
+//! arrive by the thousand at once, and take turns. An input that finds its queue full is refused at once, except
+//! answers to own calls, which wait for room.
 
 use crossbeam_channel::{bounded, select, Receiver, Sender};
 use rudderreel_core::{Input, ReqId, UserRequest};
 use std::time::{Duration, Instant};
 
-/// Inputs of peers and answers that may wait: there are few peers, and own calls are bounded.
-const CONTROL_QUEUE: usize = 1_024;
-/// Users' requests that may wait. The core takes some hundreds at a time and refuses more.
-const USER_QUEUE: usize = 1_024;
-/// Of so many inputs, taken in a rush, two are control inputs, one is a user's and one a report.
+/// Capacity of the control queue. There are few peers, and the number of own calls is bounded.
+const CONTROL_QUEUE_CAPACITY: usize = 1_024;
+/// Capacity of the queue of users' requests. The core accepts some hundreds at a time and refuses more.
+const USER_QUEUE_CAPACITY: usize = 1_024;
+/// Inputs taken in one round. While all queues hold inputs, two of them are control inputs, one is a user's request and
+/// one a status report.
 const TURNS_PER_ROUND: u32 = 4;
 
-/// An agent waits 4 s for the answer to its status report, a user 2 s for that to a status request, and a peer
-/// as long as this for that to a batch of status reports. Whoever has gone asks again: an answer to the first
-/// request is work for nobody, and the more of it there is the fewer are answered in time.
+/// Queue times above which a request expires. An agent waits 4 s for the answer to its status report, a user 2 s for
+/// the answer to a status request, and a peer [`BATCH_TIMEOUT`] for the answer to a batch of status reports. A sender
+/// that has timed out repeats its request, so an answer to the first one is wasted work, and the more of it there is,
+/// the fewer requests are answered in time.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(3_500);
 const STATUS_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a node waits for the leader's answer to a batch of status reports.
+/// Time that a node waits for the leader's answer to a batch of status reports.
 pub const BATCH_TIMEOUT: Duration = Duration::from_millis(1_800);
 
-/// An input, and since when it waits.
-pub struct Queued {
-    since: Instant,
+/// An input and the time at which it was queued.
+pub struct QueuedInput {
+    queued_at: Instant,
     /// The input.
     pub input: Input,
 }
 
-/// A queue with room for so many inputs.
-pub fn queue(room: usize) -> (InputSender, Receiver<Queued>) {
-    let (sender, inputs) = bounded(room);
+/// Creates a queue for at most `capacity` inputs.
+pub fn queue(capacity: usize) -> (InputSender, Receiver<QueuedInput>) {
+    let (sender, inputs) = bounded(capacity);
     (InputSender(sender), inputs)
 }
 
-/// Where inputs of one queue are handed over.
+/// Sending end of one queue.
 #[derive(Clone)]
-pub struct InputSender(Sender<Queued>);
+pub struct InputSender(Sender<QueuedInput>);
 
 impl InputSender {
-    /// Hands an input over, once there is room.
-    pub fn send(&self, input: Input) -> Result<(), CoreGone> {
-        self.0.send(queued(input)).map_err(|_| CoreGone)
+    /// Queues an input; waits while the queue is full.
+    pub fn send(&self, input: Input) -> Result<(), CoreStopped> {
+        self.0.send(queued(input)).map_err(|_| CoreStopped)
     }
 
-    /// Hands an input over without waiting.
+    /// Queues an input without waiting.
     fn offer(&self, input: Input) -> Result<(), QueueFull> {
         self.0.try_send(queued(input)).map_err(|_| QueueFull)
     }
 }
 
-fn queued(input: Input) -> Queued {
-    Queued {
-        since: Instant::now(),
+fn queued(input: Input) -> QueuedInput {
+    QueuedInput {
+        queued_at: Instant::now(),
         input,
     }
 }
 
-/// That nobody takes inputs any more.
+/// Error: the core no longer receives inputs.
 #[derive(Debug, PartialEq, Eq)]
-pub struct CoreGone;
+pub struct CoreStopped;
 
-/// Where inputs are handed over.
+/// Sending ends of the three queues.
 #[derive(Clone)]
 pub struct InputQueues {
-    /// What keeps the node in touch: heartbeats, replicated cancellations, answers to own calls, health checks.
+    /// Heartbeats, replicated cancellations, answers to the node's own calls and health checks.
     pub control: InputSender,
-    /// Requests of users and administrators.
+    /// Requests of users and administrators, forwarded ones included.
     pub users: InputSender,
-    /// Status reports of agents, and batches of them that peers forward.
+    /// Status reports of agents, and batches of status reports that peers forward.
     pub reports: InputSender,
 }
 
-/// That the queue is full, or the core gone.
+/// Error: the queue is full, or the core no longer receives inputs.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// Which queue an input waits in.
+/// Identifies one of the three queues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Queue {
     /// See [`InputQueues::control`].
@@ -91,7 +93,7 @@
 }
 
 impl Queue {
-    /// The queue for an input.
+    /// Returns the queue for an input.
     fn of(input: &Input) -> Self {
         match input {
             Input::User(..) | Input::ForwardedRequest { .. } | Input::Admin { .. } => Self::Users,
@@ -102,7 +104,7 @@
 }
 
 impl InputQueues {
-    /// Hands an input over without waiting.
+    /// Queues an input in its queue without waiting.
     pub fn offer(&self, input: Input) -> Result<(), QueueFull> {
         let queue = match Queue::of(&input) {
             Queue::Control => &self.control,
@@ -113,24 +115,25 @@
     }
 }
 
-/// The input that the core takes next.
-pub struct Arrived {
+/// An input taken from its queue.
+pub struct ReceivedInput {
     /// The input.
     pub input: Input,
-    /// How long it has waited.
+    /// Time that the input has waited in its queue.
     pub waited: Duration,
 }
 
-impl Arrived {
-    fn of(queued: Queued) -> Self {
+impl ReceivedInput {
+    fn of(queued: QueuedInput) -> Self {
         Self {
-            waited: queued.since.elapsed(),
+            waited: queued.queued_at.elapsed(),
             input: queued.input,
         }
     }
 
-    /// The request whose sender no longer waits for its answer, if that is so.
-    pub fn given_up(&self) -> Option<ReqId> {
+    /// Returns the id of a request whose sender no longer waits for the answer. Only status reports, batches of them
+    /// and users' status requests expire.
+    pub fn expired_request(&self) -> Option<ReqId> {
         let (request, timeout) = match &self.input {
             Input::StatusReport(request, _) => (*request, REPORT_TIMEOUT),
             Input::ForwardedReports(request, _) => (*request, BATCH_TIMEOUT),
@@ -141,18 +144,18 @@
     }
 }
 
-/// What waits for the core.
+/// Receiving ends of the three queues.
 pub struct Inputs {
-    control: Receiver<Queued>,
-    users: Receiver<Queued>,
-    reports: Receiver<Queued>,
+    control: Receiver<QueuedInput>,
+    users: Receiver<QueuedInput>,
+    reports: Receiver<QueuedInput>,
     turn: u32,
 }
 
-/// The queues, with room for so many reports.
+/// Creates the three queues, with a capacity of `reports` status reports or batches of them.
 pub fn queues(reports: usize) -> (InputQueues, Inputs) {
-    let (control, control_inputs) = queue(CONTROL_QUEUE);
-    let (users, user_inputs) = queue(USER_QUEUE);
+    let (control, control_inputs) = queue(CONTROL_QUEUE_CAPACITY);
+    let (users, user_inputs) = queue(USER_QUEUE_CAPACITY);
     let (reports, report_inputs) = queue(reports);
     let senders = InputQueues {
         control,
@@ -169,13 +172,13 @@
 }
 
 impl Inputs {
-    /// The next input, if one comes in time.
-    pub fn next(&mut self, wait: Duration) -> Option<Arrived> {
-        let queued = self.waiting().or_else(|| self.wait_for_one(wait));
-        queued.map(Arrived::of)
+    /// Takes the next input; returns `None` if none arrives within `wait`.
+    pub fn next(&mut self, wait: Duration) -> Option<ReceivedInput> {
+        let queued = self.take_next().or_else(|| self.wait_for_one(wait));
+        queued.map(ReceivedInput::of)
     }
 
-    fn wait_for_one(&self, wait: Duration) -> Option<Queued> {
+    fn wait_for_one(&self, wait: Duration) -> Option<QueuedInput> {
         select! {
             recv(self.control) -> queued => queued.ok(),
             recv(self.users) -> queued => queued.ok(),
@@ -184,8 +187,8 @@
         }
     }
 
-    /// The input whose turn it is, if any waits.
-    fn waiting(&mut self) -> Option<Queued> {
+    /// Takes an input from the first non-empty queue, in the order of the present turn.
+    fn take_next(&mut self) -> Option<QueuedInput> {
         self.turn = (self.turn + 1) % TURNS_PER_ROUND;
         let (control, users, reports) = (&self.control, &self.users, &self.reports);
         let order = match self.turn {
--- a/crates/controller/src/input_queues/tests.rs
+++ b/crates/controller/src/input_queues/tests.rs
@@ -14,17 +14,20 @@
     )
 }
 
-/// Heartbeats and answers of the state service shared a queue with users' requests: a storm of those
-/// held them up, and peers were told 503.
+/// In a queue shared with users' requests, a burst of those would delay heartbeats and answers of the store, and peers
+/// would get a 503.
 #[test]
-fn control_inputs_pass_a_storm_of_users_and_reports() {
+fn control_inputs_overtake_queued_user_requests_and_reports() {
     let (queues, mut inputs) = queues(2_000);
     let users = (0..).take_while(|n| queues.offer(user(*n)).is_ok()).count();
-    assert_eq!(users, USER_QUEUE, "users have a queue of their own");
+    assert_eq!(
+        users, USER_QUEUE_CAPACITY,
+        "users' requests have a queue of their own"
+    );
     let reports = (0..)
         .take_while(|n| queues.offer(batch(*n)).is_ok())
         .count();
-    assert_eq!(reports, 2_000, "reports too");
+    assert_eq!(reports, 2_000, "status reports have a queue of their own");
     for n in 0..100 {
         assert_eq!(queues.offer(Input::Health(ReqId(n))), Ok(()));
     }
@@ -33,7 +36,7 @@
         .collect();
     let count = |queue: Queue| taken.iter().filter(|q| **q == queue).count();
     assert_eq!(count(Queue::Control), 100);
-    // Neither users nor reports wait for the other.
+    // Neither users' requests nor status reports wait until the other queue is empty.
     assert!(
         count(Queue::Users) >= 40 && count(Queue::Reports) >= 40,
         "{taken:?}"
@@ -41,7 +44,7 @@
 }
 
 #[test]
-fn an_input_is_taken_from_any_queue() {
+fn inputs_are_taken_from_every_queue() {
     let (queues, mut inputs) = queues(4);
     assert!(inputs.next(Duration::ZERO).is_none());
     for input in [user(1), batch(2), Input::Tick] {
@@ -51,42 +54,42 @@
     assert!(inputs.next(Duration::ZERO).is_none());
 }
 
-fn arrived(input: Input, waited_ms: u64) -> Arrived {
-    Arrived {
+fn received(input: Input, waited_ms: u64) -> ReceivedInput {
+    ReceivedInput {
         input,
         waited: Duration::from_millis(waited_ms),
     }
 }
 
-/// A leader that was behind worked through batches and reports whose senders had long asked again, and so fell
-/// further behind, until leases ran out.
+/// A leader that was behind answered batches and reports whose senders had long repeated them, and so fell further
+/// behind, until leases expired.
 #[test]
-fn what_nobody_waits_for_any_more_is_not_worked_on() {
+fn requests_whose_sender_has_timed_out_expire() {
     assert_eq!(
-        arrived(batch(7), BATCH_TIMEOUT.as_millis() as u64 + 1).given_up(),
+        received(batch(7), BATCH_TIMEOUT.as_millis() as u64 + 1).expired_request(),
         Some(ReqId(7))
     );
     assert_eq!(
-        arrived(batch(7), BATCH_TIMEOUT.as_millis() as u64).given_up(),
+        received(batch(7), BATCH_TIMEOUT.as_millis() as u64).expired_request(),
         None
     );
-    assert_eq!(arrived(user(8), 2_001).given_up(), Some(ReqId(8)));
-    assert_eq!(arrived(user(8), 1_999).given_up(), None);
-    // What keeps a rule is dealt with however late it is.
+    assert_eq!(received(user(8), 2_001).expired_request(), Some(ReqId(8)));
+    assert_eq!(received(user(8), 1_999).expired_request(), None);
+    // Inputs on which correctness depends never expire.
     for input in [Input::Health(ReqId(9)), Input::WatchLost, Input::Tick] {
-        assert_eq!(arrived(input, 60_000).given_up(), None);
+        assert_eq!(received(input, 60_000).expired_request(), None);
     }
     let id = "wk-000001".parse().expect("an id");
     let withdrawal = Input::User(ReqId(1), UserRequest::Cancel(id));
-    assert_eq!(arrived(withdrawal, 60_000).given_up(), None);
+    assert_eq!(received(withdrawal, 60_000).expired_request(), None);
 }
 
-/// How long an input has waited is told with it.
+/// An input is returned with the time that it has waited.
 #[test]
-fn the_wait_of_an_input_is_measured() {
+fn the_queue_time_of_an_input_is_measured() {
     let (queues, mut inputs) = queues(4);
     assert_eq!(queues.offer(batch(1)), Ok(()));
     std::thread::sleep(Duration::from_millis(30));
-    let arrived = inputs.next(Duration::ZERO).expect("an input");
-    assert!(arrived.waited >= Duration::from_millis(30));
+    let received = inputs.next(Duration::ZERO).expect("an input");
+    assert!(received.waited >= Duration::from_millis(30));
 }
--- a/crates/controller/src/outgoing/agents.rs
+++ b/crates/controller/src/outgoing/agents.rs
@@ -1,5 +1,5 @@
-//! Direct calls to agents. Calls that only ask for a status report have threads of their own: they wait for
-//! agents that don't answer, and must not hold up commands to those that do.
+//! Direct calls to agents. Calls that only request a status report (probes) have threads of their own: they wait for
+//! agents that do not answer, and must not delay commands to agents that do.
 
 use crate::clients::agents::call_agent;
 use crate::clients::http_client::{http_client, CallLimits};
@@ -18,7 +18,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections that are kept for later calls: the same agent is mostly called again soon or not at all.
+/// Maximum number of idle connections. It is small because the same agent is mostly called again soon or not at all.
 const IDLE_CONNECTIONS: usize = 8;
 
 /// A call to an agent.
@@ -26,29 +26,29 @@
     pub(super) machine: MachineId,
     pub(super) addr: String,
     pub(super) commands: DirectCommands,
-    /// Until when it may be sent, if there is a bound.
+    /// Deadline for sending the call, if it has one.
     pub(super) send_until: Option<Time>,
 }
 
 impl AgentCall {
-    /// Makes the call, unless it is too late: the process may have stood still since the core decided on it.
-    fn make(self, client: &Agent, now: Time) -> Input {
-        if self.is_too_late(now) {
+    /// Makes the call, unless its deadline has passed: the process may have been paused since the core decided on it.
+    fn execute(self, client: &Agent, now: Time) -> Input {
+        if self.is_past_deadline(now) {
             log::info!(
-                "direct call dropped, it is too late machine={}",
+                "direct call dropped reason=deadline_passed machine={}",
                 self.machine
             );
-            return self.ended(DirectOutcome::NotCalled);
+            return self.into_input(DirectOutcome::NotCalled);
         }
         let outcome = call_agent(client, &self.addr, &self.commands);
-        self.ended(outcome)
+        self.into_input(outcome)
     }
 
-    fn is_too_late(&self, now: Time) -> bool {
+    fn is_past_deadline(&self, now: Time) -> bool {
         self.send_until.is_some_and(|until| now >= until)
     }
 
-    fn ended(self, outcome: DirectOutcome) -> Input {
+    fn into_input(self, outcome: DirectOutcome) -> Input {
         Input::Direct {
             machine: self.machine,
             commands: self.commands,
@@ -79,7 +79,7 @@
                 ..CallLimits::new(CONNECT_TIMEOUT, CALL_TIMEOUT)
             });
             spawn_pool(role, size, core, move |call: AgentCall| {
-                Some(call.make(&client, clock.time()))
+                Some(call.execute(&client, clock.time()))
             })
         };
         Ok(Self {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Queues a call. If there is no room, returns its answer.
+    /// Queues a call. If the queue is full, returns the input that answers it as not called.
     pub(super) fn send(&self, call: AgentCall) -> Option<Input> {
         let queue = if call.commands.commands.is_empty() {
             &self.probes
@@ -96,7 +96,7 @@
             &self.commands
         };
         let call = queue.try_send(call).err()?.into_inner();
-        Some(call.ended(DirectOutcome::NotCalled))
+        Some(call.into_input(DirectOutcome::NotCalled))
     }
 }
 
--- a/crates/controller/src/outgoing/agents/tests.rs
+++ b/crates/controller/src/outgoing/agents/tests.rs
@@ -5,9 +5,10 @@
 
 const NOW: Time = Time(1_000_000);
 
-/// A process that stood still sent starts that had been decided on a minute before.
+/// Without the deadline, a process that had been paused sent start commands that the core had decided on a minute
+/// earlier.
 #[test]
-fn a_call_whose_time_is_over_is_not_made() {
+fn an_expired_call_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.set_nonblocking(true).expect("a mode");
     let call = AgentCall {
@@ -21,10 +22,10 @@
         send_until: Some(NOW),
     };
     let client = http_client(CallLimits::new(CONNECT_TIMEOUT, CALL_TIMEOUT));
-    let Input::Direct { outcome, .. } = call.make(&client, NOW) else {
+    let Input::Direct { outcome, .. } = call.execute(&client, NOW) else {
         panic!("the end of a direct call is expected");
     };
     assert!(matches!(outcome, DirectOutcome::NotCalled));
-    let error = listener.accept().expect_err("nobody connects");
+    let error = listener.accept().expect_err("no connection");
     assert_eq!(error.kind(), ErrorKind::WouldBlock);
 }
--- a/crates/controller/src/outgoing/cloud.rs
+++ b/crates/controller/src/outgoing/cloud.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The core has three calls open at most.
+/// The core has at most three open calls, so each has a thread.
 const POOL: PoolSize = PoolSize {
     threads: 3,
     queue: 256,
@@ -30,7 +30,7 @@
         Ok(Self(sender))
     }
 
-    /// Queues a call. If there is no room, returns its answer.
+    /// Queues a call. If the queue is full, returns the input that answers it as refused.
     pub(super) fn send(&self, id: CallId, call: CloudCall) -> Option<Input> {
         let is_queued = self.0.try_send((id, call)).is_ok();
         (!is_queued).then_some(Input::Cloud(id, CloudAnswer::Refused))
--- a/crates/controller/src/outgoing/mod.rs
+++ b/crates/controller/src/outgoing/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out what the core returns: responses go to the servers, calls to threads behind bounded queues.
+//! Carries out the core's outputs: passes responses to the servers, and calls to threads behind bounded queues.
 //!
-//! There is a queue for each destination. A call that finds its queue full is answered to the core as not
-//! made, so that the core never waits for an answer that can't come.
+//! Each destination has queues of its own. A call that finds its queue full is answered to the core as not made, so
+//! that the core never waits for an answer that cannot arrive.
 
 mod agents;
 mod cloud;
@@ -24,7 +24,7 @@
 use store::StoreQueues;
 use watch::WatchQueue;
 
-/// Where the core's outputs go.
+/// Dispatches the core's outputs to the servers and to the queues of calls.
 pub struct Outgoing {
     open_requests: OpenRequests,
     store: StoreQueues,
@@ -35,7 +35,7 @@
 }
 
 impl Outgoing {
-    /// Starts the threads that make calls.
+    /// Starts the threads that make calls. Their answers go to the control queue of `inputs`.
     pub fn start(
         settings: &Settings,
         limits: &ProcessLimits,
@@ -54,7 +54,7 @@
         })
     }
 
-    /// Sends an output on its way. If it is a call that can't be made, returns its answer.
+    /// Dispatches an output. If it is a call that finds its queue full, returns the input that answers it as not made.
     pub fn send(&self, output: Output, now: Time) -> Option<Input> {
         match output {
             Output::Answer {
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Responds to a message of a peer.
+    /// Responds to a peer's message with `reply`.
     fn respond<T: bitcode::Encode>(&self, req: ReqId, reply: &T) -> Option<Input> {
         (self.open_requests).respond_message(req, bitcode::encode(reply));
         None
     }
 
-    /// Refuses a request that has waited too long.
-    pub fn refuse_late(&self, request: ReqId) {
+    /// Refuses a request that has waited too long in its queue.
+    pub fn refuse_expired(&self, request: ReqId) {
         let refusal = Response::error(503, "it has waited too long");
         self.open_requests.respond(request, refusal);
     }
--- a/crates/controller/src/outgoing/peers.rs
+++ b/crates/controller/src/outgoing/peers.rs
@@ -1,5 +1,5 @@
-//! Messages to the other nodes: a queue and threads of its own for each kind and peer, so that none waits
-//! behind another kind, nor behind a peer that does not answer.
+//! Messages to the other nodes. Each kind of message to each peer has a queue and threads of its own, so that no
+//! message waits behind another kind, nor behind a peer that does not answer.
 
 use crate::clients::http_client::{http_client, CallLimits};
 use crate::clients::peers;
@@ -18,12 +18,12 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A leader that is behind for a moment still answers in time for the agents, who wait for 4 s. When a batch
-/// of reports was given up after a second, the same reports came again, to it or to another node, and held it
-/// up for longer.
+/// Timeout of a batch of status reports. With it, a leader that is briefly behind still answers in time for the agents,
+/// which wait for 4 s. With a timeout of 1 s the same reports were sent again, to the leader or to another node, and
+/// delayed the leader further.
 const REPORTS_TIMEOUT: Duration = BATCH_TIMEOUT;
 
-/// One message at a time, and one that waits: a peer that is still busy with the last one gets the next.
+/// One message in flight and one queued, which a slow peer gets once the call before it has ended.
 const HEARTBEAT_POOL: PoolSize = PoolSize {
     threads: 1,
     queue: 1,
@@ -66,7 +66,7 @@
         Ok(Self(peers))
     }
 
-    /// Sends a heartbeat to every peer. One that finds no room is dropped: the next is due soon.
+    /// Queues a heartbeat to every peer. A heartbeat that finds its queue full is dropped: the next one is due soon.
     pub(super) fn send_heartbeat(&self, heartbeat: &Heartbeat) -> Option<Input> {
         for peer in self.0.values() {
             let _ = peer.heartbeats.try_send(heartbeat.clone());
@@ -74,14 +74,14 @@
         None
     }
 
-    /// Forwards a request. If there is no room, returns that the peer gave no answer.
+    /// Queues a request to be forwarded. If the queue is full, returns the input for a peer that gave no answer.
     pub(super) fn forward(&self, peer: &NodeName, req: ReqId, request: Forward) -> Option<Input> {
         let is_queued =
             (self.0.get(peer)).is_some_and(|p| p.forwards.try_send((req, request)).is_ok());
         (!is_queued).then_some(Input::ForwardReply(req, None))
     }
 
-    /// Forwards status reports. If there is no room, returns that the peer gave no answer.
+    /// Queues status reports to be forwarded. If the queue is full, returns the input for a peer that gave no answer.
     pub(super) fn forward_reports(
         &self,
         peer: &NodeName,
@@ -93,7 +93,7 @@
         (!is_queued).then_some(Input::ForwardedReportsReply(id, None))
     }
 
-    /// Replicates cancellations. If there is no room, returns that the peer gave no answer.
+    /// Queues cancellations to be replicated. If the queue is full, returns the input for a peer that gave no answer.
     pub(super) fn replicate_cancellations(
         &self,
         peer: NodeName,
@@ -129,7 +129,7 @@
     let role = ThreadRole::PeerHeartbeats;
     spawn_pool(role, HEARTBEAT_POOL, core, move |heartbeat| {
         let sent = clock.time();
-        // A heartbeat without an answer says nothing.
+        // A heartbeat without a reply proves nothing, so the core gets no input for it.
         let reply = peers::send_heartbeat(&client, addr, &heartbeat)?;
         Some(Input::HeartbeatReply(sent, reply))
     })
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the store. Those about this node's lease have threads of their own.
+//! Calls to the store. Calls about this node's lease have threads of their own.
 
 use crate::clients::http_client::{http_client, CallLimits};
 use crate::clients::store::call_store;
@@ -12,7 +12,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// As many threads as the core has calls open in an ordinary moment; the core has fewer open than may wait.
+/// The number of threads is that of calls that the core usually has open. The core always has fewer calls open than
+/// the queue holds.
 const CALL_POOL: PoolSize = PoolSize {
     threads: 12,
     queue: 256,
@@ -54,7 +55,7 @@
         })
     }
 
-    /// Queues a call. If there is no room, returns its answer.
+    /// Queues a call. If the queue is full, returns the input that answers it as refused.
     pub(super) fn send(&self, id: CallId, call: StoreCall, now: Time) -> Option<Input> {
         let queue = if is_about_lease(&call) {
             &self.leases
@@ -70,7 +71,7 @@
     }
 }
 
-/// Whether a call concerns a lease of this node, or what a leader must have read to act by its lease.
+/// Returns whether a call concerns a lease of this node, or reads what a leader must have read to act by its lease.
 fn is_about_lease(call: &StoreCall) -> bool {
     matches!(
         call,
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -5,8 +5,8 @@
 use rudderreel_wire::peer::{Forward, ForwardedReports, ReplicateCancellations};
 use rudderreel_wire::worker::DirectCommands;
 
-/// Queues that take nothing.
-fn full() -> Outgoing {
+/// Creates queues without capacity.
+fn full_queues() -> Outgoing {
     Outgoing {
         open_requests: OpenRequests::default(),
         store: StoreQueues {
@@ -23,11 +23,11 @@
     }
 }
 
-/// Calls that found their channel full were dropped, and waited for for ever: machines were not
-/// called again.
+/// If a call that finds its queue full were dropped without an answer, the core would wait for it forever and never
+/// call that machine again.
 #[test]
-fn a_call_that_can_not_be_made_is_answered() {
-    let (outgoing, now, id) = (full(), Time(1), CallId(7));
+fn a_call_that_finds_its_queue_full_is_answered() {
+    let (outgoing, now, id) = (full_queues(), Time(1), CallId(7));
     let body = DirectCommands {
         token: Epoch(1),
         incarnation: Incarnation(1),
@@ -42,7 +42,7 @@
     let reports = ForwardedReports {
         reports: Vec::new(),
     };
-    let announcement = ReplicateCancellations {
+    let replication = ReplicateCancellations {
         from: "n0".into(),
         cancellation_watermark: Version(1),
         cancelled: Vec::new(),
@@ -63,7 +63,7 @@
             req: ReqId(5),
             request: Forward::Status("wk-1".into()),
         },
-        Output::ReplicateCancellations("n1".into(), announcement),
+        Output::ReplicateCancellations("n1".into(), replication),
     ]
     .into_iter()
     .map(|output| outgoing.send(output, now))
@@ -94,15 +94,18 @@
     ));
 }
 
-/// Renewals waited behind whatever else was sent to the state service, which may hang for a second.
+/// In a shared queue a lease renewal would wait behind other calls to the store, which may hang for a second.
 #[test]
 fn a_renewal_does_not_wait_behind_other_calls() {
     let (leases, renewals) = bounded(1);
     let store = StoreQueues {
         leases,
-        ..full().store
+        ..full_queues().store
+    };
+    let outgoing = Outgoing {
+        store,
+        ..full_queues()
     };
-    let outgoing = Outgoing { store, ..full() };
     let renew = Output::State(
         CallId(8),
         StoreCall::Renew(rudderreel_wire::ids::LeaseId(3)),
--- a/crates/controller/src/outgoing/watch.rs
+++ b/crates/controller/src/outgoing/watch.rs
@@ -15,22 +15,22 @@
 use std::time::{Duration, Instant};
 use ureq::Agent;
 
-/// The prefix of the keys that every node watches.
+/// Prefix of the keys that every node watches.
 const WATCHED_PREFIX: &str = "pub/";
-/// The part of the store's request limit that the nodes' watches may use together: each is asked for again
+/// Fraction of the store's request limit that the watches of all nodes may use together: each watch is requested again
 /// after every change.
-const WATCH_PART_OF_REQUESTS: f64 = 0.2;
-/// No watch asks less often than this many times a second, nor pauses longer than this.
-const LEAST_WATCHES_PER_S: f64 = 0.1;
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
-/// Pause after a watch that got no answer.
+const WATCH_REQUEST_FRACTION: f64 = 0.2;
+/// A watch is repeated at no lower rate than this many times a second, and after no longer pause than this.
+const MIN_WATCHES_PER_S: f64 = 0.1;
+const MAX_PAUSE: Duration = Duration::from_millis(400);
+/// Pause before a watch without a usable answer is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
-/// Watches that may wait; the core asks for the next one when it has the last one's answer.
-const QUEUE: usize = 4;
+/// Maximum number of queued watches. The core requests the next watch when it has the answer to the last one.
+const QUEUE_CAPACITY: usize = 4;
 
-/// Where the core says after which revision to watch.
+/// Queue of the revisions after which the core wants to watch.
 pub(super) struct WatchQueue(pub(super) Sender<Version>);
 
 impl WatchQueue {
@@ -45,7 +45,7 @@
             clock,
             pause: pause_between_watches(settings),
         };
-        let (sender, revisions) = bounded::<Version>(QUEUE);
+        let (sender, revisions) = bounded::<Version>(QUEUE_CAPACITY);
         let core = core.clone();
         spawn(ThreadRole::StoreWatch, move || {
             for after in revisions {
@@ -59,7 +59,7 @@
         Ok(Self(sender))
     }
 
-    /// Watches after a revision. If there is no room, returns that the watch was lost.
+    /// Queues a watch after a revision. If the queue is full, returns the input for a lost watch.
     pub(super) fn send(&self, after: Version) -> Option<Input> {
         let is_queued = self.0.try_send(after).is_ok();
         (!is_queued).then_some(Input::WatchLost)
@@ -74,7 +74,7 @@
 }
 
 impl StoreWatch {
-    /// Waits until something has changed, or the watch has lost its place.
+    /// Waits until a watched key has changed after the revision, or the watch is lost.
     fn next_change(&self, mut after: Version) -> Input {
         loop {
             let sent_at = self.clock.time();
@@ -96,7 +96,7 @@
 
 fn pause_between_watches(settings: &Settings) -> Duration {
     let nodes = f64::from(settings.params.nodes.max(1));
-    let watches_per_s = settings.params.state.rps * WATCH_PART_OF_REQUESTS / nodes;
-    let pause = Duration::from_secs_f64(1.0 / watches_per_s.max(LEAST_WATCHES_PER_S));
-    pause.min(LONGEST_PAUSE)
+    let watches_per_s = settings.params.state.rps * WATCH_REQUEST_FRACTION / nodes;
+    let pause = Duration::from_secs_f64(1.0 / watches_per_s.max(MIN_WATCHES_PER_S));
+    pause.min(MAX_PAUSE)
 }
--- a/crates/controller/src/process_usage.rs
+++ b/crates/controller/src/process_usage.rs
@@ -1,22 +1,23 @@
-//! What this process uses of what the platform allows it, for administrators.
+//! Resource usage of this process and the platform's limits, for the administration API.
 
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
 
-/// The kernel counts processor time in so many ticks a second.
+/// Clock ticks per second in which the kernel reports processor time.
 const TICKS_PER_S: f64 = 100.0;
-/// Where in `/proc/self/stat`, after the name, the time in user mode stands; that in the kernel follows.
-const USER_TICKS: usize = 11;
+/// Index of the user-mode time in `/proc/self/stat` among the fields after the process name. The kernel-mode time
+/// follows it.
+const USER_TIME_FIELD: usize = 11;
 
-/// What the platform allows this process.
+/// Resources that the platform allows this process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Allowance {
+pub struct ResourceLimits {
     core_share: Option<f64>,
     memory_mb: Option<f64>,
 }
 
-impl Allowance {
-    /// By the settings.
+impl ResourceLimits {
+    /// Returns the limits in the settings.
     pub fn of(settings: &Settings) -> Self {
         let limits = settings.params.limits.as_ref();
         Self {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// What the process uses beside what it may. What the system does not tell is null.
+    /// Returns the present usage and the limits. Values that the system does not report are `None`.
     pub fn with_usage(&self) -> ProcessUsage {
         let read = |file: &str| std::fs::read_to_string(file).unwrap_or_default();
         let status = read("/proc/self/status");
@@ -39,7 +40,7 @@
     }
 }
 
-/// What the process uses beside what it may, as administrators see it.
+/// Usage and limits, as the administration API returns them.
 #[derive(Debug, Serialize)]
 pub struct ProcessUsage {
     core_share: Option<f64>,
@@ -49,18 +50,18 @@
     processor_s: Option<f64>,
 }
 
-/// Megabytes that a line of the status names.
+/// Returns the value of a line of `/proc/self/status` that begins with `name`, in MB (10^6 bytes).
 fn memory_mb(status: &str, name: &str) -> Option<f64> {
     let line = status.lines().find_map(|line| line.strip_prefix(name))?;
     let kib: f64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kib * 1_024.0 / 1e6)
 }
 
-/// Seconds on a processor since the process began.
+/// Returns the processor time used since the process started, in seconds, from the text of `/proc/self/stat`.
 fn processor_s(stat: &str) -> Option<f64> {
-    // The name stands in brackets and may hold anything.
+    // The process name is in parentheses and may contain any characters.
     let (_, fields) = stat.rsplit_once(')')?;
-    let ticks = fields.split_whitespace().skip(USER_TICKS).take(2);
+    let ticks = fields.split_whitespace().skip(USER_TIME_FIELD).take(2);
     let ticks: Vec<f64> = ticks.map(str::parse).collect::<Result<_, _>>().ok()?;
     (ticks.len() == 2).then(|| ticks.iter().sum::<f64>() / TICKS_PER_S)
 }
--- a/crates/controller/src/process_usage/tests.rs
+++ b/crates/controller/src/process_usage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_kernel_s_words_are_read() {
+fn proc_files_are_parsed() {
     let status = "Name:\trudderreel\nVmHWM:\t   12000 kB\nVmRSS:\t   10000 kB\n";
     assert_eq!(memory_mb(status, "VmRSS:"), Some(10.24));
     assert_eq!(memory_mb(status, "VmHWM:"), Some(12.288));
@@ -9,9 +9,9 @@
     assert_eq!(processor_s(stat), Some(3.0));
 }
 
-/// A system that tells nothing, or something else, is no error.
+/// Missing or malformed values are no error.
 #[test]
-fn what_is_not_told_is_null() {
+fn missing_values_are_null() {
     for text in [
         "",
         "VmRSS:",
--- a/crates/controller/src/servers/mod.rs
+++ b/crates/controller/src/servers/mod.rs
@@ -1,8 +1,8 @@
 //! The HTTP servers of a node: a public one for users, agents and health checks, and one for peers and
 //! administrators.
 //!
-//! Each runs on a thread of its own and hands what it reads to the core. What can't be read, or finds the
-//! core's queue full, is refused at once and counted.
+//! Each server runs on a thread of its own and queues the requests that it has parsed for the core. A request that
+//! cannot be parsed, or finds the core's queue full, is refused at once and counted.
 
 mod peers;
 mod public;
@@ -21,11 +21,11 @@
 use rudderreel_wire::settings::Settings;
 use std::sync::Arc;
 
-/// Numbers of the servers; they are their places in [`OpenRequests`], too.
+/// Numbers of the servers, which are also their indexes in [`OpenRequests`].
 const PUBLIC: ServerNumber = ServerNumber(0);
 const PEERS: ServerNumber = ServerNumber(1);
 
-/// Requests that wait for the core's response, whichever server they came to.
+/// Routes responses to the server that received the request.
 #[derive(Clone, Default)]
 pub struct OpenRequests {
     servers: Vec<ResponseSender>,
@@ -41,12 +41,12 @@
         self.respond(id, response);
     }
 
-    /// Responds to a peer with a message.
+    /// Responds to a peer's request with an encoded message.
     pub fn respond_message(&self, id: ReqId, message: Vec<u8>) {
         self.respond(id, Response::json(200, message));
     }
 
-    /// Responds to a request.
+    /// Responds to a request through the server that received it.
     pub fn respond(&self, id: ReqId, response: Response) {
         let server = usize::from(ServerNumber::of(id).0);
         if let Some(server) = self.servers.get(server) {
@@ -55,19 +55,19 @@
     }
 }
 
-/// The servers of a node, which listen.
+/// The listening servers of a node.
 pub struct Servers {
-    /// For users, agents and health checks.
+    /// Server for users, agents and health checks.
     pub public: Server,
-    /// For peers and administrators.
+    /// Server for peers and administrators.
     pub peers: Server,
-    /// Where their requests are responded to.
+    /// Responds to requests that wait for the core.
     pub open_requests: OpenRequests,
-    /// What they refused.
+    /// Counts of refused requests and connections.
     pub refusals: Arc<RefusalCounters>,
 }
 
-/// Listens for users and agents, and for peers.
+/// Opens the listening sockets of both servers.
 pub fn listen(settings: &Settings, limits: &ProcessLimits) -> Result<Servers, StartupError> {
     let connections = &limits.connections;
     let public_limits = ServerLimits {
@@ -97,21 +97,21 @@
     })
 }
 
-/// Hands inputs to the core and counts what is refused.
+/// Queues inputs for the core and counts refused requests.
 struct Intake<'a> {
     core: &'a InputQueues,
     refusals: &'a RefusalCounters,
 }
 
 impl Intake<'_> {
-    /// Hands an input to the core. If the core is too far behind, the request is refused at once.
-    fn hand_over(&self, input: Input) -> Option<Response> {
+    /// Queues an input for the core. If the queue is full, returns the response that refuses the request.
+    fn enqueue(&self, input: Input) -> Option<Response> {
         let QueueFull = self.core.offer(input).err()?;
         self.refusals.queue_full.increment();
         Some(Response::error(503, "overloaded"))
     }
 
-    /// Refuses what could not be read.
+    /// Counts a request that could not be parsed and returns the response that refuses it.
     fn refuse_unreadable(&self, why: &str) -> Option<Response> {
         self.refusals.unreadable.increment();
         Some(Response::error(400, why))
--- a/crates/controller/src/servers/peers.rs
+++ b/crates/controller/src/servers/peers.rs
@@ -1,12 +1,12 @@
 //! The server for peers and administrators.
 //!
-//! Peers send messages in bitcode, administrators JSON. What only this process knows (what its servers
-//! refused, what it uses) is answered here; all else goes to the core.
+//! Peers send messages encoded with bitcode, administrators JSON. Requests for process-local data (counts of refused
+//! requests, resource usage) are answered here; all others are queued for the core.
 
 use super::Intake;
 use crate::http::{Request, Response, Server};
 use crate::input_queues::InputQueues;
-use crate::process_usage::Allowance;
+use crate::process_usage::ResourceLimits;
 use crate::refusal_counters::RefusalCounters;
 use rudderreel_core::{AdminRequest, Input, ReqId, RequestOrigin, UserRequest};
 use rudderreel_wire::peer::{
@@ -22,61 +22,61 @@
 const PROCESS_PATH: &str = "/admin/process";
 const SETTINGS_PATH: &str = "/admin/settings";
 
-/// Serves peers and administrators, for ever.
+/// Serves peers and administrators; never returns.
 pub fn serve_peers(
     server: Server,
     core: &InputQueues,
     refusals: &RefusalCounters,
-    allowance: Allowance,
+    resource_limits: ResourceLimits,
 ) {
     let intake = Intake { core, refusals };
-    server.serve(|id, request| handle(id, &request, &intake, allowance));
+    server.serve(|id, request| handle(id, &request, &intake, resource_limits));
 }
 
 pub(super) fn handle(
     id: ReqId,
     request: &Request,
     intake: &Intake,
-    allowance: Allowance,
+    resource_limits: ResourceLimits,
 ) -> Option<Response> {
     let Some(bytes) = request.body else {
         return Some(Response::error(400, "the body is too long"));
     };
     match (request.method, request.url) {
-        ("POST", HEARTBEAT_PATH) => take_message(intake, bytes, |heartbeat: Heartbeat| {
+        ("POST", HEARTBEAT_PATH) => enqueue_message(intake, bytes, |heartbeat: Heartbeat| {
             Input::Heartbeat(id, heartbeat)
         }),
         ("POST", REPLICATE_CANCELLATIONS_PATH) => {
-            take_message(intake, bytes, |cancellations: ReplicateCancellations| {
+            enqueue_message(intake, bytes, |cancellations: ReplicateCancellations| {
                 Input::ReplicateCancellations(id, cancellations)
             })
         }
         ("POST", FORWARDED_REPORTS_PATH) => {
-            take_message(intake, bytes, |reports: ForwardedReports| {
+            enqueue_message(intake, bytes, |reports: ForwardedReports| {
                 Input::ForwardedReports(id, reports)
             })
         }
-        ("POST", FORWARD_PATH) => match read_forwarded(id, bytes) {
-            Some(input) => intake.hand_over(input),
+        ("POST", FORWARD_PATH) => match parse_forwarded(id, bytes) {
+            Some(input) => intake.enqueue(input),
             None => intake.refuse_unreadable("unreadable"),
         },
         ("GET", REFUSALS_PATH) => respond_with(&intake.refusals.counts()),
-        ("GET", PROCESS_PATH) => respond_with(&allowance.with_usage()),
+        ("GET", PROCESS_PATH) => respond_with(&resource_limits.with_usage()),
         (method, path) if path.starts_with(ADMIN_PREFIX) => {
-            take_admin_request(id, method, path, bytes, intake)
+            enqueue_admin_request(id, method, path, bytes, intake)
         }
         _ => Some(Response::error(404, "no such path")),
     }
 }
 
-/// Hands over what a message of a peer says.
-fn take_message<T: bitcode::DecodeOwned>(
+/// Decodes a peer's message and queues it for the core.
+fn enqueue_message<T: bitcode::DecodeOwned>(
     intake: &Intake,
     bytes: &[u8],
     to_input: impl FnOnce(T) -> Input,
 ) -> Option<Response> {
     match bitcode::decode::<T>(bytes) {
-        Ok(message) => intake.hand_over(to_input(message)),
+        Ok(message) => intake.enqueue(to_input(message)),
         Err(e) => intake.refuse_unreadable(&e.to_string()),
     }
 }
@@ -86,8 +86,8 @@
     Some(Response::json(200, body))
 }
 
-/// Hands over a request of the administration API.
-fn take_admin_request(
+/// Parses a request of the administration API and queues it for the core.
+fn enqueue_admin_request(
     id: ReqId,
     method: &str,
     path: &str,
@@ -106,7 +106,7 @@
         }
     };
     match request {
-        Some(request) => intake.hand_over(Input::Admin {
+        Some(request) => intake.enqueue(Input::Admin {
             req: id,
             request,
             origin: RequestOrigin::Direct,
@@ -115,10 +115,10 @@
     }
 }
 
-/// The input that a peer's forwarded request is; none if it can't be read.
-fn read_forwarded(id: ReqId, bytes: &[u8]) -> Option<Input> {
-    // Only of a submission it matters which version the peer has.
-    let any = SenderVersion::KnowsDependencies;
+/// Decodes a request that a peer forwarded; returns `None` if it cannot be decoded or names an invalid path or id.
+fn parse_forwarded(id: ReqId, bytes: &[u8]) -> Option<Input> {
+    // The peer's version matters only for submissions.
+    let any_version = SenderVersion::KnowsDependencies;
     Some(match bitcode::decode::<Forward>(bytes).ok()? {
         Forward::Admin(path) => Input::Admin {
             req: id,
@@ -136,12 +136,12 @@
         Forward::Status(job) => Input::ForwardedRequest {
             req: id,
             request: UserRequest::Status(job.parse().ok()?),
-            sender: any,
+            sender: any_version,
         },
         Forward::Cancel(job) => Input::ForwardedRequest {
             req: id,
             request: UserRequest::Cancel(job.parse().ok()?),
-            sender: any,
+            sender: any_version,
         },
     })
 }
--- a/crates/controller/src/servers/public.rs
+++ b/crates/controller/src/servers/public.rs
@@ -1,4 +1,4 @@
-//! The public server: users' requests, agents' status reports and health checks.
+//! The public server, which handles users' requests, agents' status reports and health checks.
 
 use super::public_requests::{self, PublicRequest};
 use super::Intake;
@@ -7,7 +7,7 @@
 use crate::refusal_counters::RefusalCounters;
 use rudderreel_core::{Input, ReqId};
 
-/// Serves users, agents and health checks, for ever.
+/// Serves users, agents and health checks; never returns.
 pub fn serve_public(server: Server, core: &InputQueues, refusals: &RefusalCounters) {
     let intake = Intake { core, refusals };
     server.serve(|id, request| handle(id, &request, &intake));
@@ -15,13 +15,11 @@
 
 fn handle(id: ReqId, request: &Request, intake: &Intake) -> Option<Response> {
     match public_requests::parse(request.method, request.url, request.body) {
-        Ok(PublicRequest::User(user)) => intake.hand_over(Input::User(id, user)),
-        Ok(PublicRequest::StatusReport(report)) => {
-            intake.hand_over(Input::StatusReport(id, report))
-        }
-        Ok(PublicRequest::Health) => intake.hand_over(Input::Health(id)),
+        Ok(PublicRequest::User(user)) => intake.enqueue(Input::User(id, user)),
+        Ok(PublicRequest::StatusReport(report)) => intake.enqueue(Input::StatusReport(id, report)),
+        Ok(PublicRequest::Health) => intake.enqueue(Input::Health(id)),
         Err(rejection) => {
-            // A body that was too long has been counted as that.
+            // A body above the size limit has already been counted as too long.
             if rejection.status == 400 && request.body.is_some() {
                 intake.refusals.unreadable.increment();
             }
--- a/crates/controller/src/servers/public_requests.rs
+++ b/crates/controller/src/servers/public_requests.rs
@@ -1,11 +1,12 @@
-//! Parses requests to the public server; what the protocol rules out is rejected without asking the core.
+//! Parses requests to the public server. Requests that the protocol does not allow are rejected without involving the
+//! core.
 
 use rudderreel_core::UserRequest;
 use rudderreel_wire::ids::{BadId, JobId};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::worker::StatusReport;
 
-/// Bytes of a request's body, by the protocol.
+/// Maximum size of a request's body by the protocol, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A request to the public server.
@@ -19,12 +20,12 @@
     Health,
 }
 
-/// Why a request is rejected at once.
+/// A request that the protocol does not allow.
 #[derive(Debug, PartialEq)]
 pub struct Rejection {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: u16,
-    /// What is wrong.
+    /// Error text of the response.
     pub text: String,
 }
 
@@ -35,7 +36,7 @@
     })
 }
 
-/// Parses a request. `body` is none if it was too long.
+/// Parses a request. `body` is `None` if it exceeds [`MAX_BODY_BYTES`].
 pub fn parse(method: &str, url: &str, body: Option<&[u8]>) -> Result<PublicRequest, Rejection> {
     let path = url.split('?').next().unwrap_or("");
     let parts: Vec<&str> = path.split('/').skip(1).collect();
@@ -67,7 +68,7 @@
     }
 }
 
-/// An id of another form was never accepted, so there is no such job.
+/// Parses a job id. A malformed id was never accepted, so there is no such job and the rejection is a 404.
 fn parse_job_id(text: &str) -> Result<JobId, Rejection> {
     text.parse().or_else(|e: BadId| reject(404, e.to_string()))
 }
@@ -88,7 +89,7 @@
 }
 
 fn parse_submission(body: &[u8]) -> Result<JobSpec, Rejection> {
-    // A struct may also be read from a JSON array, which no submission is.
+    // serde also reads a struct from a JSON array, which no submission is.
     if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
         return reject(400, "a JSON object is expected");
     }
--- a/crates/controller/src/servers/public_requests/tests.rs
+++ b/crates/controller/src/servers/public_requests/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid_submission() -> Value {
     json!({"id": "wk-000412", "reel": "train", "crew": "vision", "rig": "gang",
         "precedence": "urgent", "takes": 16, "vcpus": 8.0, "gpus": 1.0, "memoryGb": 64.0,
         "pressing": "img-07", "pullGb": 6.2, "hulls": ["g8"], "berth": null, "together": true,
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn a_good_submission_is_read() {
-    let text = good().to_string();
+fn a_valid_submission_is_read() {
+    let text = valid_submission().to_string();
     let Ok(PublicRequest::User(UserRequest::Submit(spec))) =
         parse("POST", "/v1/jobs", Some(text.as_bytes()))
     else {
-        panic!("it was not read");
+        panic!("the submission was not parsed");
     };
     assert_eq!(spec.tasks, 16);
     assert!(spec.one_zone && spec.spot && !spec.spread);
@@ -33,7 +33,7 @@
 #[test]
 fn dependencies_are_a_list_of_job_ids() {
     let with = |awaits: Value| {
-        let mut job = good();
+        let mut job = valid_submission();
         job["awaits"] = awaits;
         job.to_string()
     };
@@ -60,14 +60,14 @@
         let text = with(awaits);
         let read = parse("POST", "/v1/jobs", Some(text.as_bytes()));
         let Ok(PublicRequest::User(UserRequest::Submit(spec))) = read else {
-            panic!("{text} was not read");
+            panic!("{text} was not parsed");
         };
         assert_eq!(spec.dependencies.len(), count, "{text}");
     }
 }
 
 #[test]
-fn what_is_malformed_gets_400() {
+fn malformed_submissions_get_400() {
     for text in [
         "", "{", "[]", "null", "7", "\"x\"", "[1,2,3]", "{}", "\u{fffd}",
     ] {
@@ -99,14 +99,14 @@
         "stowS",
     ];
     for field in required {
-        let mut job = good();
+        let mut job = valid_submission();
         job.as_object_mut().expect("an object").remove(field);
         assert_eq!(submit(&job.to_string()), 400, "without {field}");
     }
 }
 
 #[test]
-fn what_is_invalid_gets_400() {
+fn invalid_field_values_get_400() {
     let cases = [
         ("id", json!("412")),
         ("id", json!("wk-")),
@@ -126,14 +126,14 @@
         ("dueS", json!([])),
     ];
     for (field, value) in cases {
-        let mut job = good();
+        let mut job = valid_submission();
         job[field] = value.clone();
         assert_eq!(submit(&job.to_string()), 400, "{field} {value}");
     }
 }
 
 #[test]
-fn wrong_paths_and_methods_are_told() {
+fn unknown_paths_and_wrong_methods_are_rejected() {
     assert_eq!(status("GET", "/v1/jobs", None), 405);
     assert_eq!(status("DELETE", "/v1/jobs/wk-1", None), 405);
     assert_eq!(status("GET", "/v1/jobs/wk-1/withdraw", None), 405);
