--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -1,4 +1,4 @@
-//! `rudderreel admin`: the administration API from the command line.
+//! `rudderreel admin`: command line client of the administration API.
 
 use crate::clients::admin::{self as client, AdminResponse};
 use clap::{Args, Subcommand};
@@ -9,10 +9,10 @@
 /// Options of `rudderreel admin`.
 #[derive(Args)]
 pub struct AdminArgs {
-    /// Any node's address for peers and administrators.
+    /// Address for peers and administrators of any node.
     #[arg(long, value_name = "IP:PORT")]
     node: SocketAddrV4,
-    /// Print JSON as it came.
+    /// Print the response as unformatted JSON.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -21,28 +21,28 @@
 
 #[derive(Subcommand)]
 enum Query {
-    /// How the deployment is doing.
+    /// Show the state of the deployment.
     Overview,
-    /// Who uses what, against quota, limit and share.
+    /// Show each team's usage against its quota, limit and share.
     Teams,
-    /// Machines, and what they cost: a page of them.
+    /// List machines and their prices, one page at a time.
     Machines {
-        /// Only those after this one.
+        /// List only machines after this one.
         #[arg(long, value_name = "MACHINE")]
         after: Option<String>,
     },
-    /// Tasks that were stopped lately, and why.
+    /// List tasks that were stopped recently, and why.
     Stops,
-    /// What the node refused since it started.
+    /// Show what the node has refused since it started.
     Refusals,
-    /// Memory and processor time that the node uses, beside what it may.
+    /// Show the node's memory and processor usage and its limits.
     Process,
-    /// Why a job is where it is.
+    /// Show a job's state and the reason for it.
     Job {
-        /// The job's id.
+        /// Job id.
         id: String,
     },
-    /// Operators' settings, with their version.
+    /// Show the operators' settings with their version, or replace them.
     Settings {
         #[command(subcommand)]
         change: Option<SettingsChange>,
@@ -51,43 +51,43 @@
 
 #[derive(Subcommand)]
 enum SettingsChange {
-    /// Replace them by a JSON file in the form in which they are shown, version included.
+    /// Replace the settings with a JSON file in the form that is shown, version included.
     Set {
-        /// The file.
+        /// JSON file with the new settings.
         file: PathBuf,
     },
 }
 
-/// Why a request to the administration API failed.
+/// An error of a request to the administration API.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminError {
     /// The file with the new settings could not be read.
     #[error("{}: {source}", path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// Error of the read.
         source: std::io::Error,
     },
     /// The node refused the request.
     #[error("{node} answers {status}: {text}")]
     Refused {
-        /// The node.
+        /// Address of the node.
         node: SocketAddrV4,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// What it says.
+        /// Error text of the response.
         text: String,
     },
     /// The node gave no response.
     #[error("{node} does not answer")]
     NoResponse {
-        /// The node.
+        /// Address of the node.
         node: SocketAddrV4,
     },
 }
 
-/// Runs one request and prints the response.
+/// Sends one request and prints the response.
 pub fn run(args: &AdminArgs) -> Result<(), AdminError> {
     let node = args.node;
     let response = send(node, &args.query)?.ok_or(AdminError::NoResponse { node })?;
@@ -101,7 +101,7 @@
     if args.json {
         println!("{}", response.body);
     } else {
-        print!("{}", readable(&response.body));
+        print!("{}", format_body(&response.body));
     }
     Ok(())
 }
@@ -131,59 +131,62 @@
     }
 }
 
-/// What an error response says.
+/// Returns the error text of a response, or the whole body if it has none.
 fn error_text(body: String) -> String {
     let value: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
     value["error"].as_str().map_or(body, str::to_string)
 }
 
-/// Lists of objects become tables, everything else a line a field.
-fn readable(body: &str) -> String {
+/// Formats a response for reading: each list of objects as a table, each other field as a line. A body that is not
+/// JSON is returned as it is.
+fn format_body(body: &str) -> String {
     match serde_json::from_str::<Value>(body) {
         Ok(value) => {
             let mut out = String::new();
-            lines(&mut out, "", &value);
+            write_lines(&mut out, "", &value);
             out
         }
         Err(_) => format!("{body}\n"),
     }
 }
 
-fn lines(out: &mut String, name: &str, value: &Value) {
+fn write_lines(out: &mut String, name: &str, value: &Value) {
     match value {
         Value::Object(fields) => {
             for (key, field) in fields {
                 let dot = if name.is_empty() { "" } else { "." };
-                lines(out, &format!("{name}{dot}{key}"), field);
+                write_lines(out, &format!("{name}{dot}{key}"), field);
             }
         }
-        Value::Array(rows) if rows.iter().all(Value::is_object) => table(out, name, rows),
-        other => out.push_str(&format!("{name}: {}\n", cell(other))),
+        Value::Array(rows) if rows.iter().all(Value::is_object) => write_table(out, name, rows),
+        other => out.push_str(&format!("{name}: {}\n", format_cell(other))),
     }
 }
 
-fn cell(value: &Value) -> String {
+fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => "-".into(),
         Value::String(text) => text.clone(),
         Value::Number(n) if n.is_f64() => format!("{:.2}", n.as_f64().unwrap_or(0.0)),
         Value::Object(fields) => {
-            let parts = fields.iter().map(|(k, v)| format!("{k} {}", cell(v)));
+            let parts = fields
+                .iter()
+                .map(|(k, v)| format!("{k} {}", format_cell(v)));
             parts.collect::<Vec<_>>().join(", ")
         }
         other => other.to_string(),
     }
 }
 
-fn table(out: &mut String, name: &str, rows: &[Value]) {
+fn write_table(out: &mut String, name: &str, rows: &[Value]) {
     let Some(first) = rows.first().and_then(Value::as_object) else {
         return out.push_str(&format!("{name}: none\n"));
     };
-    let head: Vec<String> = first.keys().cloned().collect();
-    let mut grid = vec![head.clone()];
+    let columns: Vec<String> = first.keys().cloned().collect();
+    let mut grid = vec![columns.clone()];
     grid.extend(
         rows.iter()
-            .map(|r| head.iter().map(|h| cell(&r[h])).collect()),
+            .map(|r| columns.iter().map(|h| format_cell(&r[h])).collect()),
     );
     let width = |c: usize| {
         grid.iter()
@@ -191,7 +194,7 @@
             .max()
             .unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..head.len()).map(width).collect();
+    let widths: Vec<usize> = (0..columns.len()).map(width).collect();
     for row in &grid {
         let cells = row
             .iter()
--- a/crates/controller/src/clock.rs
+++ b/crates/controller/src/clock.rs
@@ -1,27 +1,28 @@
-//! The steady clock and the time of day.
+//! The monotonic clock and the wall clock.
 
 use rudderreel_core::units::{Now, Time, Wall};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The steady clock and the time of day.
+/// Source of monotonic and wall clock time.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
-/// The clock starts above zero, so that moments in the past can be written.
+/// Monotonic time at the start of the process, in milliseconds. It is above zero so that moments before the start can
+/// be represented.
 const START_MS: u64 = 1_000_000;
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock whose monotonic time starts now.
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// The steady clock.
+    /// Returns the monotonic time.
     pub fn time(&self) -> Time {
         Time(self.0.elapsed().as_millis() as u64 + START_MS)
     }
 
-    /// Both clocks.
+    /// Returns the time of both clocks.
     pub fn now(&self) -> Now {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/controller/src/logging.rs
+++ b/crates/controller/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs to standard error, one line each, in the amount that `LOG_LEVEL` gives.
+//! Logging to standard error, one line per record, at the level that `LOG_LEVEL` sets.
 
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -18,7 +18,7 @@
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
             let target = record.target().trim_start_matches("rudderreel_core::");
-            // Standard error has no buffer: formatted into it, a line would be a system call for each part.
+            // Standard error is unbuffered: formatting directly into it would make a system call for each part.
             let line = format!(
                 "{}.{:03} {} {}: {}\n",
                 now.as_secs(),
@@ -34,7 +34,7 @@
     fn flush(&self) {}
 }
 
-/// Starts logging. Without `LOG_LEVEL`, or if it is not understood, the level is `info`.
+/// Starts logging. If `LOG_LEVEL` is not set or not a level, the level is `info`.
 pub fn start() {
     let level = std::env::var("LOG_LEVEL")
         .ok()
--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,6 +1,6 @@
-//! The program: settings, sockets, threads and timers round the core.
+//! The controller program: settings, sockets, threads and timers around the core.
 //!
-//! `docs/architecture.md` has a table of the threads, and the way of a request from socket to effect.
+//! `docs/architecture.md` lists the threads and describes the path of a request from socket to effect.
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
@@ -26,14 +26,14 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code of every failure.
+/// Exit code for every failure.
 const FAILURE: u8 = 2;
 
 /// rudderreel: a cluster scheduler with hierarchical team shares.
 #[derive(Parser)]
 #[command(name = "rudderreel", version, about)]
 struct Args {
-    /// Settings file; runs a controller node with it.
+    /// Run a controller node with this settings file.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -42,17 +42,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Asks or changes something through the administration API of a running node.
+    /// Query or change a running node through its administration API.
     Admin(admin::AdminArgs),
-    /// Checks a settings file and says what is wrong with it.
+    /// Check a settings file and report what is wrong with it.
     Check {
-        /// Settings file.
+        /// Settings file to check.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
 }
 
-/// Why the program failed.
+/// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error(transparent)]
@@ -79,7 +79,7 @@
             logging::start();
             runtime::run(read_settings(&config)?)?;
         }
-        (None, None) => return Err(StartupError::NothingToDo.into()),
+        (None, None) => return Err(StartupError::MissingConfig.into()),
     }
     Ok(())
 }
--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -1,73 +1,76 @@
-//! How much this process takes on, by what the platform and the system allow it.
+//! Limits of this process, derived from what the platform and the operating system allow.
 //!
-//! No number here bounds the fleet: connections follow from sockets, and queues and threads from
-//! connections. What does not fit is refused at once, with a status that says when to come back.
+//! No constant here limits the size of the fleet: the number of connections follows from the number of sockets, and the
+//! sizes of queues and thread pools follow from those. A request above a limit is refused at once, with a status that
+//! says when to retry.
 
 use rudderreel_core::{ConnectionLimits, FleetLimits};
 use rudderreel_wire::peer::MAX_MESSAGE_BYTES;
-use rudderreel_wire::settings::{ProcessLimits as Allowed, Settings};
+use rudderreel_wire::settings::{ProcessLimits as PlatformLimits, Settings};
 
-/// Sockets that are reckoned with if neither the platform nor the system names a limit.
-const UNLIMITED_SOCKETS: usize = 65_536;
-/// Reports that may wait for the core at least: of peers they come in batches.
+/// Number of sockets that is assumed if neither the platform nor the system sets a limit, and the most that is used of
+/// the system's own limit.
+const DEFAULT_SOCKET_LIMIT: usize = 65_536;
+/// Minimum capacity of the core's queue of status reports; peers send status reports in batches.
 const MIN_QUEUED_REPORTS: usize = 1_024;
-/// Calls that may wait for a thread at least.
+/// Minimum capacity of each queue of calls to agents.
 const MIN_QUEUED_CALLS: usize = 256;
-/// Threads for commands to agents, and for calls that ask whether they are there, at least. The latter
-/// wait for the ones that are not, and of a large fleet hundreds may be silent at once.
+/// Minimum numbers of threads for commands to agents, and for probes, which request a status report. Probes wait for
+/// agents that do not answer, and in a large fleet hundreds of agents may be silent at once.
 const MIN_COMMAND_THREADS: usize = 16;
 const MIN_PROBE_THREADS: usize = 8;
-/// One more thread of each kind for so many sockets.
+/// Number of sockets for which there is one thread of each kind.
 const SOCKETS_PER_COMMAND_THREAD: usize = 100;
 const SOCKETS_PER_PROBE_THREAD: usize = 60;
-/// Threads of a kind at most: the platform allows a process some two thousand in all.
+/// Maximum number of threads of each kind. The platform allows a process about two thousand threads in all.
 const MAX_THREADS_PER_POOL: usize = 256;
 
-/// Of the memory that the process may have so much may hold requests that have not come in whole, at each
-/// of its two servers; without a limit in the settings it is this many bytes.
-const BUFFERED_PART_OF_MEMORY: f64 = 1.0 / 16.0;
+/// Fraction of the process's memory limit that incompletely received requests may use at each of its two servers, and
+/// the number of bytes that they may use if the settings have no memory limit.
+const BUFFERED_MEMORY_FRACTION: f64 = 1.0 / 16.0;
 const DEFAULT_BUFFERED_BYTES: usize = 16 << 20;
-/// With less memory a node of a few hundred machines can hardly serve.
+/// Memory limit below which an error is logged. With less memory, a node with a few hundred machines can hardly serve.
 const LOW_MEMORY_MB: f64 = 24.0;
-/// With a smaller share of a core it can hardly answer its agents.
+/// Share of a core below which an error is logged. With a smaller share, a node can hardly answer its agents.
 const LOW_CORE_SHARE: f64 = 0.01;
 
-/// What a node takes on.
+/// Limits of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessLimits {
-    /// Connections that it takes.
+    /// Maximum numbers of connections that the node accepts.
     pub connections: ConnectionLimits,
-    /// Reports that may wait for the core: each agent has one under way.
+    /// Capacity of the core's queue of status reports: each agent has one in flight.
     pub queued_reports: usize,
-    /// Calls to agents that may wait for a thread.
+    /// Capacity of each queue of calls to agents.
     pub queued_calls: usize,
-    /// Threads for commands to agents.
+    /// Number of threads for commands to agents.
     pub command_threads: usize,
-    /// Threads for asking agents whether they are there.
+    /// Number of threads for probes, which request a status report of an agent.
     pub probe_threads: usize,
-    /// Bytes of requests that have not come in whole, at each server.
+    /// Maximum total size of incompletely received requests at each server, in bytes.
     pub buffered_bytes: usize,
 }
 
 impl ProcessLimits {
-    /// Determines what the process takes on, and says in the log for how many agents there are connections.
-    /// The settings are completed with the system's limit of sockets if the platform names none.
+    /// Determines the limits, and logs for how many agents there are connections. If the platform sets no limit of
+    /// sockets, that of the system is stored in the settings.
     pub fn determine(settings: &mut Settings) -> Self {
         let sockets = complete_socket_limit(settings);
         if let Some(limits) = FleetLimits::of(settings) {
             log::info!("connection limits sockets={sockets} {limits}");
         }
-        let allowed = settings.params.limits.as_ref();
-        if let Some(allowed) = allowed {
-            warn_of_low_limits(allowed);
+        let platform = settings.params.limits.as_ref();
+        if let Some(platform) = platform {
+            warn_of_low_limits(platform);
         }
-        Self::of(sockets, allowed.and_then(|allowed| allowed.memory_mb))
+        Self::of(sockets, platform.and_then(|platform| platform.memory_mb))
     }
 
-    /// By the sockets that the process may have, and by its memory if that is named.
+    /// Derives the limits from the number of sockets that the process may open, and from its memory limit if there is
+    /// one.
     pub fn of(sockets: usize, memory_mb: Option<f64>) -> Self {
         let connections = ConnectionLimits::of_sockets(sockets);
-        let threads = |per: usize, least: usize| (sockets / per).clamp(least, MAX_THREADS_PER_POOL);
+        let threads = |per: usize, min: usize| (sockets / per).clamp(min, MAX_THREADS_PER_POOL);
         Self {
             connections,
             queued_reports: connections.agents.max(MIN_QUEUED_REPORTS),
@@ -80,28 +83,31 @@
 }
 
 fn buffered_bytes_of(memory_mb: f64) -> usize {
-    ((memory_mb * 1e6 * BUFFERED_PART_OF_MEMORY) as usize).max(MAX_MESSAGE_BYTES)
+    ((memory_mb * 1e6 * BUFFERED_MEMORY_FRACTION) as usize).max(MAX_MESSAGE_BYTES)
 }
 
-/// Says what the platform gives too little of. The process serves all the same, as well as it can.
-fn warn_of_low_limits(allowed: &Allowed) {
-    if let Some(share) = allowed.cpu_share.filter(|share| *share < LOW_CORE_SHARE) {
-        log::error!("core_share is {share}: too little to answer a fleet's workers in time");
+/// Logs limits of the platform that are too low. The process serves nevertheless, as well as it can.
+fn warn_of_low_limits(platform: &PlatformLimits) {
+    if let Some(share) = platform.cpu_share.filter(|share| *share < LOW_CORE_SHARE) {
+        log::error!("core share too low to answer a fleet's agents in time core_share={share}");
     }
-    if let Some(memory) = allowed.memory_mb.filter(|memory| *memory < LOW_MEMORY_MB) {
-        log::error!("memory_mb is {memory}: the process will probably be ended for memory");
+    if let Some(memory) = platform.memory_mb.filter(|memory| *memory < LOW_MEMORY_MB) {
+        log::error!(
+            "memory limit too low, the system will probably kill the process memory_mb={memory}"
+        );
     }
 }
 
-/// The sockets that the process may have. If the platform names none, the settings are completed.
+/// Returns the number of sockets that the process may open. If the platform sets no limit, that of the system is stored
+/// in the settings.
 fn complete_socket_limit(settings: &mut Settings) -> usize {
-    let named = (settings.params.limits.as_ref()).map(|limits| limits.fd_limit as usize);
-    if let Some(sockets) = named.filter(|sockets| *sockets > 0) {
+    let configured = (settings.params.limits.as_ref()).map(|limits| limits.fd_limit as usize);
+    if let Some(sockets) = configured.filter(|sockets| *sockets > 0) {
         raise_system_socket_limit(sockets);
         return sockets;
     }
-    let sockets = system_socket_limit().unwrap_or(UNLIMITED_SOCKETS);
-    let limits = settings.params.limits.get_or_insert(Allowed {
+    let sockets = system_socket_limit().unwrap_or(DEFAULT_SOCKET_LIMIT);
+    let limits = settings.params.limits.get_or_insert(PlatformLimits {
         cpu_share: None,
         memory_mb: None,
         fd_limit: 0,
@@ -110,17 +116,18 @@
     sockets
 }
 
-/// The system's own limit of sockets, raised as far as it allows; none if it can't be read.
+/// Raises the system's limit of sockets for this process as far as the system allows, to at most
+/// [`DEFAULT_SOCKET_LIMIT`], and returns it; returns `None` if it cannot be read.
 fn system_socket_limit() -> Option<usize> {
-    let raised = rlimit::increase_nofile_limit(UNLIMITED_SOCKETS as u64);
+    let raised = rlimit::increase_nofile_limit(DEFAULT_SOCKET_LIMIT as u64);
     let limit =
         raised.or_else(|_| rlimit::getrlimit(rlimit::Resource::NOFILE).map(|(soft, _)| soft));
-    let limit = usize::try_from(limit.ok()?).unwrap_or(UNLIMITED_SOCKETS);
-    Some(limit.min(UNLIMITED_SOCKETS))
+    let limit = usize::try_from(limit.ok()?).unwrap_or(DEFAULT_SOCKET_LIMIT);
+    Some(limit.min(DEFAULT_SOCKET_LIMIT))
 }
 
-/// The platform may allow more sockets than the process begins with. Where the system does not say how
-/// many those are, the platform is believed.
+/// Raises the system's limit of sockets to the platform's limit, which may be higher than the limit that the process
+/// starts with. If the system's limit cannot be read, the platform's is assumed to hold.
 fn raise_system_socket_limit(sockets: usize) {
     let Ok((soft, _)) = rlimit::getrlimit(rlimit::Resource::NOFILE) else {
         return;
@@ -130,7 +137,7 @@
     }
     let raised = rlimit::increase_nofile_limit(sockets as u64).unwrap_or(soft);
     if raised < sockets as u64 {
-        log::warn!("the settings allow {sockets} sockets, and the system {raised}");
+        log::warn!("socket limit of the system below that of the settings settings={sockets} system={raised}");
     }
 }
 
--- a/crates/controller/src/process_limits/tests.rs
+++ b/crates/controller/src/process_limits/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Without a limit in the settings 1,024 sockets were reckoned with: 576 workers to a node, 2,880 to five.
-/// Waiting reports, answers and probes had fixed bounds below what a large node has connections for.
+/// When 1,024 sockets were assumed without a limit in the settings, one node served 576 agents and five nodes 2,880.
+/// Fixed limits of queued reports, answers and probes were below what a large node has connections for.
 #[test]
 fn limits_follow_from_the_sockets() {
     let small = ProcessLimits::of(1_200, None);
@@ -14,7 +14,7 @@
         let limits = ProcessLimits::of(2 * machines, None);
         assert!(limits.connections.agents >= machines, "{limits:?}");
         assert!(limits.queued_reports >= machines, "{limits:?}");
-        // All threads together stay far below what a process may have.
+        // The total stays far below the platform's limit on threads of a process.
         let threads = limits.command_threads + limits.probe_threads;
         assert!((150..1_000).contains(&threads), "{limits:?}");
     }
@@ -22,7 +22,7 @@
     assert_eq!(huge.command_threads, MAX_THREADS_PER_POOL);
 }
 
-/// 900 connections that each send most of a request of 64 KiB were 57 MB on a node that has 46.
+/// 900 connections that each send most of a request of 64 KiB would use 57 MB on a node that has 46 MB of memory.
 #[test]
 fn buffers_of_incomplete_requests_follow_from_the_memory() {
     let small = ProcessLimits::of(1_200, Some(46.0));
--- a/crates/controller/src/refusal_counters.rs
+++ b/crates/controller/src/refusal_counters.rs
@@ -1,42 +1,42 @@
-//! Counts of what the servers refused, for administrators.
+//! Counts of refused connections and requests, for the administration API.
 
 use serde::Serialize;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A counter that several threads may increment.
+/// A counter that several threads may increment at once.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Counts one more.
+    /// Adds one to the count.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many there have been.
+    /// Returns the count.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// What the servers refused since the node started.
+/// Counters of what the servers have refused since the node started.
 #[derive(Debug, Default)]
 pub struct RefusalCounters {
-    /// Connections beyond what the node takes.
+    /// Connections refused because the limit of connections was reached.
     pub connections: Counter,
-    /// Agents that were sent to another node since this one has no connection left for them.
+    /// Agents redirected to another node because the limit of agents' connections was reached.
     pub agents_redirected: Counter,
-    /// Requests whose body was too long.
+    /// Requests whose body exceeded the size limit.
     pub too_long: Counter,
-    /// Requests and messages that could not be read.
+    /// Requests and messages that could not be parsed.
     pub unreadable: Counter,
-    /// Requests refused since too much was buffered of requests that had not come in whole.
+    /// Requests refused because the limit of buffered bytes of incompletely received requests was exceeded.
     pub buffers_full: Counter,
-    /// Inputs that found the core's queue full.
+    /// Requests refused because the core's queue was full.
     pub queue_full: Counter,
 }
 
-/// The counts at one moment, as administrators see them.
+/// Counts at one moment, as the administration API returns them.
 #[derive(Debug, Serialize)]
 pub struct RefusalCounts {
     buffers_full: u64,
@@ -48,7 +48,7 @@
 }
 
 impl RefusalCounters {
-    /// The counts at this moment.
+    /// Returns the present counts.
     pub fn counts(&self) -> RefusalCounts {
         RefusalCounts {
             buffers_full: self.buffers_full.get(),
--- a/crates/controller/src/startup_error.rs
+++ b/crates/controller/src/startup_error.rs
@@ -1,46 +1,46 @@
-//! Why a node could not start. Each text is one line that names what is wrong.
+//! Errors that keep a node from starting. Each message is one line that names the cause.
 
 use rudderreel_wire::settings::BadSettings;
 use std::io;
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 
-/// Why a node could not start.
+/// An error that keeps a node from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
     /// The settings file could not be read.
     #[error("{}: {source}", path.display())]
     ReadSettings {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What went wrong.
+        /// Error of the read.
         source: io::Error,
     },
-    /// The settings file is wrong.
+    /// The settings file is invalid.
     #[error("{}: {source}", path.display())]
     InvalidSettings {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Invalid setting.
         source: BadSettings,
     },
-    /// A server could not listen.
+    /// A server could not listen on its address.
     #[error("{addr}: {source}")]
     Listen {
-        /// Where.
+        /// Address of the server.
         addr: SocketAddrV4,
-        /// What went wrong.
+        /// Error of the socket.
         source: io::Error,
     },
     /// A thread could not be started.
-    #[error("thread {name}: {source}")]
+    #[error("cannot start thread {name}: {source}")]
     Thread {
-        /// The thread's name.
+        /// Name of the thread.
         name: String,
-        /// What went wrong.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The command line names nothing to do.
+    /// The command line has neither a settings file nor a subcommand.
     #[error("--config FILE is required (see --help)")]
-    NothingToDo,
+    MissingConfig,
 }
--- a/crates/controller/src/threads.rs
+++ b/crates/controller/src/threads.rs
@@ -1,4 +1,4 @@
-//! The threads of a node. [`ThreadRole`] lists all of them; the architecture page has the same table.
+//! The threads of a node. [`ThreadRole`] lists all of them, as does the table in `docs/architecture.md`.
 
 use crate::input_queues::InputSender;
 use crate::startup_error::StartupError;
@@ -6,40 +6,40 @@
 use rudderreel_core::Input;
 use std::thread;
 
-/// Stack of a thread: nodes may have a few dozen MB in all.
+/// Stack size of a thread. It is small because a node may have only a few dozen MB of memory in all.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// What a thread is for. Besides these there is the main thread, which runs the core.
+/// Purpose of a thread. The main thread, which runs the core, is not listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ThreadRole {
-    /// The public server.
+    /// Serves users, agents and health checks.
     PublicServer,
-    /// The server for peers and administrators.
+    /// Serves peers and administrators.
     PeerServer,
-    /// Calls to the store.
+    /// Makes calls to the store.
     StoreCalls,
-    /// Calls about this node's lease at the store, which other calls must not hold up.
+    /// Makes calls to the store about this node's lease, which other calls must not delay.
     LeaseCalls,
-    /// The watch of the store.
+    /// Watches the store for changes.
     StoreWatch,
-    /// Calls to the cloud.
+    /// Makes calls to the cloud.
     CloudCalls,
-    /// Commands to agents.
+    /// Sends commands to agents.
     AgentCommands,
-    /// Calls that ask agents for a status report.
+    /// Requests status reports of agents.
     AgentProbes,
-    /// Heartbeats to one peer.
+    /// Sends heartbeats to one peer.
     PeerHeartbeats,
-    /// Users' and administrators' requests that are forwarded to one peer.
+    /// Forwards users' and administrators' requests to one peer.
     PeerForwards,
-    /// Status reports that are forwarded to one peer.
+    /// Forwards status reports to one peer.
     PeerReports,
-    /// Cancellations that are replicated to one peer.
+    /// Replicates cancellations to one peer.
     PeerReplications,
 }
 
 impl ThreadRole {
-    /// All of them, for the test that compares them with the architecture page.
+    /// All roles, for the test that compares them with `docs/architecture.md`.
     #[cfg(test)]
     pub const ALL: [Self; 12] = [
         Self::PublicServer,
@@ -56,7 +56,7 @@
         Self::PeerReplications,
     ];
 
-    /// The thread's name, as the system shows it; threads of a pool have a number behind it.
+    /// Returns the thread's name, as the system shows it. Threads of a pool append their number to it.
     pub fn name(self) -> &'static str {
         match self {
             Self::PublicServer => "public",
@@ -75,7 +75,7 @@
     }
 }
 
-/// Starts a thread.
+/// Starts a thread that is not part of a pool.
 pub fn spawn(role: ThreadRole, work: impl FnOnce() + Send + 'static) -> Result<(), StartupError> {
     spawn_named(role.name().into(), work)
 }
@@ -90,28 +90,28 @@
     }
 }
 
-/// How many threads take calls of a kind, and how many calls may wait for one.
+/// Number of threads of a pool and capacity of its queue.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSize {
-    /// Threads.
+    /// Number of threads.
     pub threads: usize,
-    /// Calls that may wait. One more is answered as not made.
+    /// Maximum number of calls that wait for a thread. A call above it is answered as not made.
     pub queue: usize,
 }
 
-/// Starts threads that make the calls that are put in a queue, and returns the queue. What a call brings goes
-/// to the core, if it brings anything.
+/// Starts threads that make the calls in a queue, and returns the queue's sending end. If `execute` returns an input,
+/// the input is queued for the core.
 pub fn spawn_pool<Call: Send + 'static>(
     role: ThreadRole,
     size: PoolSize,
     core: &InputSender,
-    make: impl Fn(Call) -> Option<Input> + Clone + Send + 'static,
+    execute: impl Fn(Call) -> Option<Input> + Clone + Send + 'static,
 ) -> Result<Sender<Call>, StartupError> {
     let (sender, queue) = bounded::<Call>(size.queue);
     for number in 0..size.threads {
-        let (queue, core, make) = (queue.clone(), core.clone(), make.clone());
+        let (queue, core, execute) = (queue.clone(), core.clone(), execute.clone());
         spawn_named(format!("{}-{number}", role.name()), move || {
-            for input in queue.into_iter().filter_map(make) {
+            for input in queue.into_iter().filter_map(execute) {
                 if core.send(input).is_err() {
                     return;
                 }
--- a/crates/controller/src/threads/tests.rs
+++ b/crates/controller/src/threads/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The page is for people who look at a running process and want to know what its threads do.
+/// The architecture page explains the thread names that tools show of a running process, so it must list all of them.
 #[test]
 fn the_architecture_page_lists_every_thread() {
     let page = include_str!("../../../../docs/architecture.md");
