--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fleet::ZonePartitions;
-use crate::testing::{job, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job, leader, run, NOW};
 
 /// A leader with a zone of six machines and another, where all but `heard` are silent since.
 fn half_silent(heard: &[&str], after: Span) -> (Leader, Time) {
@@ -8,7 +8,7 @@
     let now = NOW.time + after;
     for n in 0..6 {
         for zone in ["a", "b"] {
-            let id = up(&mut leader, &format!("vm-{zone}{n}"), zone);
+            let id = add_live_machine(&mut leader, &format!("vm-{zone}{n}"), zone);
             let at = if zone == "a" || heard.contains(&id.as_str()) {
                 now
             } else {
@@ -53,7 +53,7 @@
     let mut leader = leader();
     for n in 0..30 {
         for zone in ["a", "b"] {
-            up(&mut leader, &format!("vm-{zone}{n}"), zone);
+            add_live_machine(&mut leader, &format!("vm-{zone}{n}"), zone);
         }
     }
     let now = NOW.time + Span(1_600);
@@ -201,7 +201,7 @@
     for (machines, least) in [(30, 20), (1_000, 64), (4_000, 250), (6_000, 375)] {
         let mut leader = leader();
         for n in 0..machines {
-            up(&mut leader, &format!("vm-{n}"), "a");
+            add_live_machine(&mut leader, &format!("vm-{n}"), "a");
         }
         (leader.fleet.reachability).call_answered(NOW.time + Span(3_000));
         let probed = leader.machines_to_probe(NOW.time + Span(3_000));
--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job, leader, run, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::worker::Cause;
 
@@ -24,7 +24,7 @@
 
 fn fleet(jobs: &[u32]) -> Leader {
     let mut leader = leader();
-    (0..5).for_each(|n| drop(up(&mut leader, &format!("vm-{n}"), "a")));
+    (0..5).for_each(|n| drop(add_live_machine(&mut leader, &format!("vm-{n}"), "a")));
     for &n in jobs {
         let job = job(n, "sweep", "red", "normal");
         leader.jobs.insert(job.spec.id.clone(), job);
--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::store::records::JobRecord;
-use crate::testing::{job, leader, run, running, up, NOW};
+use crate::testing::{add_live_machine, job, leader, run, running, NOW};
 use rudderreel_wire::ids::Attempt;
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
@@ -13,7 +13,7 @@
 #[test]
 fn the_answer_to_a_late_report_stops_what_is_cancelled() {
     let mut leader = leader();
-    let id = up(&mut leader, "vm-1", "a");
+    let id = add_live_machine(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
     run(&mut leader, &job, 0, &id);
     let mut job_cache = JobCache::default();
--- a/crates/core/src/api/admin/machines/tests.rs
+++ b/crates/core/src/api/admin/machines/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{leader, up, NOW};
+use crate::testing::{add_live_machine, leader, NOW};
 
 /// Guards against a list that silently ends after the first 200 machines, and a total price of only these.
 #[test]
@@ -7,7 +7,7 @@
     for fleet in [4_000, 6_000] {
         let mut leader = leader();
         for n in 0..fleet {
-            up(&mut leader, &format!("vm-{n:06}"), "a");
+            add_live_machine(&mut leader, &format!("vm-{n:06}"), "a");
         }
         let (mut seen, mut after) = (0, None);
         loop {
--- a/crates/core/src/api/admin/wait_reason/tests.rs
+++ b/crates/core/src/api/admin/wait_reason/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job, leader, up, NOW};
+use crate::testing::{add_live_machine, job, leader, NOW};
 use crate::units::Span;
 
 #[test]
@@ -7,7 +7,7 @@
     let mut leader = leader();
     let job = job(1, "sweep", "red", "normal");
     assert_eq!(WaitReason::of(&job, &leader, NOW), WaitReason::NoRoom);
-    up(&mut leader, "m1", "a");
+    add_live_machine(&mut leader, "m1", "a");
     assert_eq!(WaitReason::of(&job, &leader, NOW), WaitReason::NextCycle);
 }
 
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -2,7 +2,7 @@
 use crate::io::{ReqId, RequestOrigin, UserRequest};
 use crate::leader::Leader;
 use crate::store::records::JobRecord;
-use crate::testing::{job, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job, leader, run, NOW};
 use crate::units::Now;
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::peer::CancelledJob;
@@ -145,7 +145,7 @@
     let jobs = cache();
     let mut leader = leader();
     leader.term.lease_renewed(NOW.time);
-    let machine = up(&mut leader, "m1", "a");
+    let machine = add_live_machine(&mut leader, "m1", "a");
     let decide = |leader: &Leader| {
         let context = AcknowledgementContext {
             leader: Some(leader),
--- a/crates/core/src/capacity/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::testing::{job, job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job, job_of, leader, run, NOW};
 
 /// A leader whose job 2 depends on job 1, of two tasks with an estimate of 4 s. Some of these have yet to be started, the
 /// others have run for so long.
 fn with_dependent_job(unstarted: u32, ran: Span) -> Leader {
     let mut leader = leader();
-    let machine = up(&mut leader, "vm-1", "a");
+    let machine = add_live_machine(&mut leader, "vm-1", "a");
     let first = job_of(1, "sweep", "red", "low", 2, 1.0);
     for index in unstarted..2 {
         run(&mut leader, &first, index, &machine);
--- a/crates/core/src/dispatch/start_check/tests.rs
+++ b/crates/core/src/dispatch/start_check/tests.rs
@@ -2,7 +2,7 @@
 use crate::fleet::{Phase, Stop, StopReason};
 use crate::leader::recovery_progress::RecoveryProgress;
 use crate::store::records::SegmentId;
-use crate::testing::{job, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job, leader, run, NOW};
 use crate::units::Span;
 use rudderreel_wire::ids::{Attempt, Epoch, MachineId};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 /// Returns a leader with a recorded placement of a job's first task for which no start was sent, and its machine.
 fn leader_with_placement() -> (Leader, MachineId) {
     let mut leader = leader();
-    let id = up(&mut leader, "vm-1", "a");
+    let id = add_live_machine(&mut leader, "vm-1", "a");
     let mut job = job(1, "sweep", "red", "normal");
     job.ready_since = Some(NOW.wall);
     run(&mut leader, &job, 0, &id);
@@ -119,7 +119,7 @@
 #[test]
 fn a_task_against_the_zone_rules_of_its_job_is_refused() {
     let (mut leader, id) = leader_with_placement();
-    let other_zone = up(&mut leader, "vm-2", "b");
+    let other_zone = add_live_machine(&mut leader, "vm-2", "b");
     let job_id = machine(&mut leader, &id).tasks[0].task.job.clone();
     let job = leader.jobs.get_mut(&job_id).expect("a job");
     Arc::make_mut(&mut job.spec).one_zone = true;
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -91,7 +91,7 @@
 #[test]
 fn remaining_tasks_of_a_job_that_is_done_count_after_a_failover() {
     let mut before = leader();
-    let machine = crate::testing::up(&mut before, "vm-1", "a");
+    let machine = crate::testing::add_live_machine(&mut before, "vm-1", "a");
     let gang = job(1, "gang", "red", "normal");
     let id = gang.spec.id.clone();
     for index in 0..2 {
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::cloud::calls::CloudCalls;
 use crate::io::{CloudCall, Output};
-use crate::testing::{leader, node, up, NOW};
+use crate::testing::{add_live_machine, leader, node, NOW};
 use rudderreel_wire::cloud::MachinePage;
 use rudderreel_wire::cloud::{ListedMachine, ListedState, MACHINES_PER_PAGE};
 
@@ -72,7 +72,7 @@
     assert_eq!(cloud.listing_span(4_000), Span(32_000));
     let mut leader = leader();
     for n in 0..10 {
-        up(&mut leader, &format!("vm-{n}"), "a");
+        add_live_machine(&mut leader, &format!("vm-{n}"), "a");
     }
     assert_eq!(cloud.listing_span(leader.fleet.machines.len()), Span(4_000));
 }
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -3,7 +3,7 @@
 use crate::io::StoreAnswer;
 use crate::leader::Leader;
 use crate::store::records::SegmentRecord;
-use crate::testing::{job_of, leader, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::ids::{Attempt, MachineId, Version};
 
@@ -11,7 +11,7 @@
 fn leader_with_work(machines: u32, jobs: u32, tasks: u32) -> Leader {
     let mut leader = leader();
     let ids: Vec<MachineId> = (0..machines)
-        .map(|n| up(&mut leader, &format!("vm-{n:06}"), "qu-appelle"))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n:06}"), "qu-appelle"))
         .collect();
     for n in 0..jobs {
         let job = job_of(100_000 + n, "sweep", "red", "normal", tasks, 0.1);
--- a/crates/core/src/scheduling/actions/gang_reservation/tests.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, run, NOW};
 use crate::units::{Now, Span};
 
 /// Two machines in each of two zones, one of each zone full for four seconds, and a gang of two whole machines.
 fn full_fleet() -> (Leader, Job) {
     let mut leader = leader();
     for zone in ["a", "b"] {
-        let full = up(&mut leader, &format!("vm-{zone}1"), zone);
-        up(&mut leader, &format!("vm-{zone}2"), zone);
+        let full = add_live_machine(&mut leader, &format!("vm-{zone}1"), zone);
+        add_live_machine(&mut leader, &format!("vm-{zone}2"), zone);
         let n = u32::from(zone == "b") + 1;
         let running = job_of(n, "sweep", "red", "normal", 1, 4.0);
         run(&mut leader, &running, 0, &full);
--- a/crates/core/src/scheduling/actions/predicates/tests.rs
+++ b/crates/core/src/scheduling/actions/predicates/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job_of, leader, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, NOW};
 use rudderreel_wire::ids::JobId;
 
 fn job(n: u32, priority: &str, estimate_s: f64) -> Job {
@@ -13,7 +13,7 @@
 #[test]
 fn reserved_machine_takes_only_the_gang_and_what_ends_before_or_cannot_be_preempted() {
     let mut leader = leader();
-    up(&mut leader, "vm-1", "a");
+    add_live_machine(&mut leader, "vm-1", "a");
     let mut snapshot = Snapshot::take(&leader, NOW);
     let gang: JobId = "wk-9".parse().expect("an id");
     snapshot.reserve_for_gang(&gang, &[0], 50.0);
@@ -28,7 +28,7 @@
 #[test]
 fn room_reserved_for_arrivals_is_only_for_work_that_cannot_be_preempted() {
     let mut leader = leader();
-    up(&mut leader, "vm-1", "a");
+    add_live_machine(&mut leader, "vm-1", "a");
     let mut snapshot = Snapshot::take(&leader, NOW);
     let preemptible = job_of(1, "sweep", "red", "normal", 1, 3.0);
     let non_preemptible = job_of(2, "standing", "red", "prod", 1, 3.0);
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, run, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::TaskId;
@@ -10,7 +10,7 @@
 fn crowded(rng: &mut StdRng) -> (Leader, Job) {
     let mut leader = leader();
     let machines: Vec<MachineId> = (0..rng.random_range(8..24))
-        .map(|n| up(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
         .collect();
     let quota = f64::from(rng.random_range(2..6u32)) * 4.0;
     for node in leader.policy.teams.nodes.iter_mut().skip(1) {
@@ -186,7 +186,7 @@
 fn unneeded_victims_are_spared_and_room_is_not_reclaimed_back() {
     let mut leader = leader();
     let ids: Vec<MachineId> = (0..8)
-        .map(|n| up(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
         .collect();
     let quotas = [("red", 4.0), ("blue", 12.0)];
     for (team, quota) in quotas {
--- a/crates/core/src/scheduling/cycle/tests.rs
+++ b/crates/core/src/scheduling/cycle/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn services_are_placed_before_arrays_also_without_their_image() {
     let mut leader = testing::leader();
-    testing::up(&mut leader, "vm-1", "a");
+    testing::add_live_machine(&mut leader, "vm-1", "a");
     for job in [
         testing::job(1, "sweep", "red", "normal"),
         testing::job(2, "standing", "blue", "prod"),
--- a/crates/core/src/scheduling/snapshot/simulation/tests.rs
+++ b/crates/core/src/scheduling/snapshot/simulation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::scheduling::statement::Statement;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, run, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::MachineId;
@@ -9,7 +9,7 @@
 fn fleet(rng: &mut StdRng) -> Leader {
     let mut leader = leader();
     let machines: Vec<MachineId> = (0..8)
-        .map(|n| up(&mut leader, &format!("vm-{n}"), ["a", "b"][n % 2]))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n}"), ["a", "b"][n % 2]))
         .collect();
     for n in 0..6 {
         let kind = ["sweep", "standing", "gang"][rng.random_range(0..3)];
--- a/crates/core/src/scheduling/spot_reclaim/tests.rs
+++ b/crates/core/src/scheduling/spot_reclaim/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::jobs::job::Job;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, job_of, leader, run, NOW};
 use rudderreel_wire::ids::Version;
 
 /// A leader with one spot machine that will be reclaimed after so many milliseconds, on which one task runs.
 fn reclaimed(estimate_s: f64, checkpoint_s: f64, left_ms: u64) -> Leader {
     let mut leader = leader();
-    let machine = up(&mut leader, "vm-1", "a");
+    let machine = add_live_machine(&mut leader, "vm-1", "a");
     let mut spec = (*job_of(1, "sweep", "red", "low", 1, 1.0).spec).clone();
     spec.estimate_s = estimate_s;
     spec.checkpoint_s = checkpoint_s;
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -89,7 +89,7 @@
 }
 
 /// Adds a machine that was just heard.
-pub fn up(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
+pub fn add_live_machine(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
     let room = leader.policy.capacity_of(&"m4".into());
     let mut machine = Machine::new(MachineDescription {
         id: id.into(),
