--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fleet::ZonePartitions;
-use crate::testing::{add_live_machine, job, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 
 /// A leader with a zone of six machines and another, where all but `heard` are silent since.
 fn half_silent(heard: &[&str], after: Span) -> (Leader, Time) {
@@ -104,7 +104,7 @@
             .expect("a machine")
             .last_heard_at = None;
         if n < 4 {
-            run(
+            add_running_task(
                 &mut leader,
                 &job(7 + n as u32, "standing", "blue", "prod"),
                 0,
@@ -152,7 +152,7 @@
 fn a_new_leader_probes_machines_it_never_heard() {
     let (mut leader, _) = half_silent(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
     let id = MachineId::from("vm-b3");
-    run(&mut leader, &job(7, "sweep", "blue", "normal"), 0, &id);
+    add_running_task(&mut leader, &job(7, "sweep", "blue", "normal"), 0, &id);
     leader
         .fleet
         .machines
@@ -178,7 +178,7 @@
     let (mut leader, now) = half_silent(&heard, Span(5_000));
     for (id, kind, priority) in [("vm-a1", "standing", "prod"), ("vm-a2", "sweep", "normal")] {
         let n = u32::from(id == "vm-a1") + 1;
-        run(&mut leader, &job(n, kind, "red", priority), 0, &id.into());
+        add_running_task(&mut leader, &job(n, kind, "red", priority), 0, &id.into());
         leader
             .fleet
             .machines
--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{add_live_machine, job, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::worker::Cause;
 
@@ -97,7 +97,7 @@
     fail(&mut leader, 1, "vm-1", 11);
     assert!(!suspected(&leader, 1));
     let service = job(2, "standing", "red", "prod");
-    run(&mut leader, &service, 1, &"vm-3".into());
+    add_running_task(&mut leader, &service, 1, &"vm-3".into());
     (0..3).for_each(|n| fail(&mut leader, 2, &format!("vm-{n}"), 40 + n));
     assert!(!suspected(&leader, 2));
 }
--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::store::records::JobRecord;
-use crate::testing::{add_live_machine, job, leader, run, running, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, running, NOW};
 use rudderreel_wire::ids::Attempt;
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
@@ -15,7 +15,7 @@
     let mut leader = leader();
     let id = add_live_machine(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
-    run(&mut leader, &job, 0, &id);
+    add_running_task(&mut leader, &job, 0, &id);
     let mut job_cache = JobCache::default();
     let mut record = JobRecord::queued(&job.spec, NOW.wall);
     record.state = JobState::Cancelled;
--- a/crates/core/src/agents/task_outcomes/tests.rs
+++ b/crates/core/src/agents/task_outcomes/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::dispatch::team_usage::TeamUsage;
-use crate::testing::{add_live_machine, job, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 use rudderreel_wire::worker::Command;
 
 /// A task that writes a checkpoint was stopped with time for that. When its job is cancelled it is ended, and not
@@ -10,7 +10,7 @@
     let mut leader = leader();
     let id = add_live_machine(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
-    run(&mut leader, &job, 0, &id);
+    add_running_task(&mut leader, &job, 0, &id);
     let job_id = job.spec.id.clone();
     let eviction = Stop::with_grace(StopReason::Preempted, 20.0, NOW.time);
     leader.stop_attempt_on(&id, &job_id, Attempt(1), eviction);
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -2,7 +2,7 @@
 use crate::io::{ReqId, RequestOrigin, UserRequest};
 use crate::leader::Leader;
 use crate::store::records::JobRecord;
-use crate::testing::{add_live_machine, job, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 use crate::units::Now;
 use rudderreel_wire::job::JobState;
 use rudderreel_wire::peer::CancelledJob;
@@ -154,7 +154,7 @@
         replicator().acknowledge_or_wait(request(1), CANCELLED_AT, &context)
     };
     assert!(matches!(decide(&leader), Some(Acknowledgement::Respond(_))));
-    run(&mut leader, &job(1, "sweep", "red", "normal"), 0, &machine);
+    add_running_task(&mut leader, &job(1, "sweep", "red", "normal"), 0, &machine);
     assert!(decide(&leader).is_none());
 }
 
--- a/crates/core/src/capacity/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{add_live_machine, job, job_of, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, job_of, leader, NOW};
 
 /// A leader whose job 2 depends on job 1, of two tasks with an estimate of 4 s. Some of these have yet to be started, the
 /// others have run for so long.
@@ -8,7 +8,7 @@
     let machine = add_live_machine(&mut leader, "vm-1", "a");
     let first = job_of(1, "sweep", "red", "low", 2, 1.0);
     for index in unstarted..2 {
-        run(&mut leader, &first, index, &machine);
+        add_running_task(&mut leader, &first, index, &machine);
     }
     for machine in leader.fleet.machines.values_mut() {
         for entry in &mut machine.tasks {
--- a/crates/core/src/dispatch/start_check/tests.rs
+++ b/crates/core/src/dispatch/start_check/tests.rs
@@ -2,7 +2,7 @@
 use crate::fleet::{Phase, Stop, StopReason};
 use crate::leader::recovery_progress::RecoveryProgress;
 use crate::store::records::SegmentId;
-use crate::testing::{add_live_machine, job, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 use crate::units::Span;
 use rudderreel_wire::ids::{Attempt, Epoch, MachineId};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
     let id = add_live_machine(&mut leader, "vm-1", "a");
     let mut job = job(1, "sweep", "red", "normal");
     job.ready_since = Some(NOW.wall);
-    run(&mut leader, &job, 0, &id);
+    add_running_task(&mut leader, &job, 0, &id);
     let machine = leader.fleet.machines.get_mut(&id).expect("a machine");
     machine.tasks[0].phase = Phase::Planned;
     machine.tasks[0].segment = SegmentId(1);
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -95,7 +95,7 @@
     let gang = job(1, "gang", "red", "normal");
     let id = gang.spec.id.clone();
     for index in 0..2 {
-        crate::testing::run(&mut before, &gang, index, &machine);
+        crate::testing::add_running_task(&mut before, &gang, index, &machine);
     }
     let done = completed_record(&before.jobs[&id], &before.store_limits, NOW);
     assert_eq!(done.state, JobState::Done);
--- a/crates/core/src/scheduling/actions/gang_reservation/tests.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{add_live_machine, job_of, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use crate::units::{Now, Span};
 
 /// Two machines in each of two zones, one of each zone full for four seconds, and a gang of two whole machines.
@@ -10,7 +10,7 @@
         add_live_machine(&mut leader, &format!("vm-{zone}2"), zone);
         let n = u32::from(zone == "b") + 1;
         let running = job_of(n, "sweep", "red", "normal", 1, 4.0);
-        run(&mut leader, &running, 0, &full);
+        add_running_task(&mut leader, &running, 0, &full);
     }
     for placed in leader
         .fleet
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{add_live_machine, job_of, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::TaskId;
@@ -34,7 +34,7 @@
         for index in 0..tasks {
             let at = rng.random_range(0..free.len());
             let machine = free.remove(at);
-            run(&mut leader, &running, index, &machine);
+            add_running_task(&mut leader, &running, index, &machine);
         }
     }
     let tasks = rng.random_range(2..5);
@@ -198,9 +198,9 @@
     leader.policy.teams.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
     let borrowing_gang = job_of(2, "gang", "red", "normal", 3, 4.0);
-    run(&mut leader, &single(1), 0, &ids[0]);
-    (0..3).for_each(|i| run(&mut leader, &borrowing_gang, i, &ids[1 + i as usize]));
-    (4..8).for_each(|i| run(&mut leader, &single(i as u32), 0, &ids[i]));
+    add_running_task(&mut leader, &single(1), 0, &ids[0]);
+    (0..3).for_each(|i| add_running_task(&mut leader, &borrowing_gang, i, &ids[1 + i as usize]));
+    (4..8).for_each(|i| add_running_task(&mut leader, &single(i as u32), 0, &ids[i]));
     let waiting = job_of(99, "gang", "blue", "normal", 3, 4.0);
     leader.jobs.insert(waiting.spec.id.clone(), waiting.clone());
     let stopped = evicted(&leader, &waiting);
@@ -217,6 +217,6 @@
     leader
         .jobs
         .insert(borrowing_gang.spec.id.clone(), borrowing_gang.clone());
-    (0..3).for_each(|i| run(&mut leader, &waiting, i, &ids[1 + i as usize]));
+    (0..3).for_each(|i| add_running_task(&mut leader, &waiting, i, &ids[1 + i as usize]));
     assert_eq!(evicted(&leader, &borrowing_gang), BTreeSet::new());
 }
--- a/crates/core/src/scheduling/snapshot/simulation/tests.rs
+++ b/crates/core/src/scheduling/snapshot/simulation/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::scheduling::statement::Statement;
-use crate::testing::{add_live_machine, job_of, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::MachineId;
@@ -17,7 +17,7 @@
         let priority = ["low", "prod"][rng.random_range(0..2)];
         let job = job_of(n, kind, team, priority, 1, 1.0);
         let machine = &machines[rng.random_range(0..machines.len())];
-        run(&mut leader, &job, 0, machine);
+        add_running_task(&mut leader, &job, 0, machine);
     }
     leader
 }
--- a/crates/core/src/scheduling/spot_reclaim/tests.rs
+++ b/crates/core/src/scheduling/spot_reclaim/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::jobs::job::Job;
-use crate::testing::{add_live_machine, job_of, leader, run, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use rudderreel_wire::ids::Version;
 
 /// A leader with one spot machine that will be reclaimed after so many milliseconds, on which one task runs.
@@ -12,7 +12,7 @@
     spec.checkpoint_s = checkpoint_s;
     spec.save_s = 5.0;
     let job = Job::new(spec, Version(1), NOW.wall);
-    run(&mut leader, &job, 0, &machine);
+    add_running_task(&mut leader, &job, 0, &machine);
     let machine = leader.fleet.machines.get_mut(&machine).expect("a machine");
     machine.tasks[0].running_since = Some(NOW.time);
     machine.reclaim_at = Some(NOW.time + Span(left_ms));
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -125,7 +125,7 @@
 }
 
 /// Has a task of a job run on a machine since long ago.
-pub fn run(leader: &mut Leader, job: &Job, index: u32, machine: &MachineId) {
+pub fn add_running_task(leader: &mut Leader, job: &Job, index: u32, machine: &MachineId) {
     if !leader.jobs.contains(&job.spec.id) {
         leader.jobs.insert(job.spec.id.clone(), job.clone());
     }
