--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::store::records::JobRecord;
-use crate::testing::{add_live_machine, add_running_task, job, leader, running, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, running_task_report, NOW};
 use rudderreel_wire::ids::Attempt;
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
 
 fn report(machine: &MachineId, seq: u64, task: &TaskId) -> StatusReport {
-    running(machine, Epoch(1), Seq(seq), task, Attempt(1))
+    running_task_report(machine, Epoch(1), Seq(seq), task, Attempt(1))
 }
 
 /// The answer to a report that came late was empty, and renewed the agent's lease all the same.
--- a/crates/core/src/agents/report_forwarding/tests.rs
+++ b/crates/core/src/agents/report_forwarding/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{running, NOW};
+use crate::testing::{running_task_report, NOW};
 use rudderreel_wire::ids::{Attempt, JobId, Seq};
 use rudderreel_wire::peer::ForwardedReports;
 
@@ -13,7 +13,7 @@
 fn report(n: usize, seq: u64, tasks: u32) -> StatusReport {
     let machine = MachineId::from(format!("vm-{n:06}").as_str());
     let job: JobId = format!("wk-{n:06}").parse().expect("an id");
-    let mut report = running(&machine, Epoch(1), Seq(seq), &job.task(0), Attempt(1));
+    let mut report = running_task_report(&machine, Epoch(1), Seq(seq), &job.task(0), Attempt(1));
     report.tasks = (0..tasks)
         .map(|index| TaskStatus {
             task: job.task(index),
--- a/crates/core/src/node/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -8,7 +8,8 @@
 fn report(n: usize, tasks: usize) -> StatusReport {
     let machine = MachineId::from(format!("vm-{n:06}").as_str());
     let job: JobId = format!("wk-{n:06}").parse().expect("an id");
-    let mut report = crate::testing::running(&machine, Epoch(1), Seq(1), &job.task(0), Attempt(1));
+    let mut report =
+        crate::testing::running_task_report(&machine, Epoch(1), Seq(1), &job.task(0), Attempt(1));
     report.tasks = (0..tasks as u32)
         .map(|index| TaskStatus {
             task: job.task(index),
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -143,7 +143,7 @@
 }
 
 /// A report of a machine on which one task runs.
-pub fn running(
+pub fn running_task_report(
     machine: &MachineId,
     token: Epoch,
     seq: Seq,
