--- a/crates/core/src/api/admin/overview.rs
+++ b/crates/core/src/api/admin/overview.rs
@@ -3,7 +3,7 @@
 use crate::leader::Leader;
 use crate::metrics::LatencySummary;
 use crate::overload::fleet_limits::FleetLimits;
-use crate::overload::pauses::Pauses;
+use crate::overload::pauses::ProcessPauses;
 use crate::store::confirmation::CacheConfirmation;
 use crate::units::Time;
 use rudderreel_wire::ids::{Epoch, NodeName, Version};
@@ -72,8 +72,8 @@
     last_ms: u64,
 }
 
-impl From<Pauses> for PauseFigures {
-    fn from(pauses: Pauses) -> Self {
+impl From<ProcessPauses> for PauseFigures {
+    fn from(pauses: ProcessPauses) -> Self {
         Self {
             count: pauses.count(),
             last_ms: pauses.last().0,
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -45,7 +45,7 @@
 use crate::overload::backlog::Backlog;
 use crate::overload::fleet_limits::FleetLimits;
 use crate::overload::pacing::{LongStep, Pacing};
-use crate::overload::pauses::Pauses;
+use crate::overload::pauses::ProcessPauses;
 use crate::overload::processor_share::ProcessorShare;
 use crate::store::calls::StoreCalls;
 use crate::store::limits::StoreLimits;
@@ -125,7 +125,7 @@
     /// Tracks whether this node keeps up with its inputs.
     backlog: Backlog,
     /// Pauses of the whole process.
-    pauses: Pauses,
+    pauses: ProcessPauses,
 
     /// Outputs of the current step.
     out: Vec<Output>,
@@ -191,7 +191,7 @@
             next_reconcile_at: Time(0),
             pacing: Pacing::default(),
             backlog: Backlog::default(),
-            pauses: Pauses::default(),
+            pauses: ProcessPauses::default(),
             last_report_at: None,
             peers_reached_since: None,
             out: Vec::new(),
--- a/crates/core/src/overload/pauses.rs
+++ b/crates/core/src/overload/pauses.rs
@@ -10,13 +10,13 @@
 
 /// The pauses of this process.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pauses {
+pub struct ProcessPauses {
     last_tick_at: Option<Time>,
     count: u64,
     last: Span,
 }
 
-impl Pauses {
+impl ProcessPauses {
     /// A tick comes; logs it if the process has stood still since the one before.
     pub fn tick(&mut self, now: Time) {
         let gap = self.last_tick_at.map_or(Span(0), |at| now - at);
--- a/crates/core/src/overload/pauses/tests.rs
+++ b/crates/core/src/overload/pauses/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_gap_between_two_ticks_is_a_pause() {
-    let mut pauses = Pauses::default();
+    let mut pauses = ProcessPauses::default();
     for at in [10_000, 10_020, 10_220] {
         pauses.tick(Time(at));
     }
