--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -278,7 +278,7 @@
 
     /// Runs the periodic work that is due.
     fn tick(&mut self, now: Now) {
-        self.pauses.tick(now.time);
+        self.pauses.record_tick(now.time);
         self.begin_cache_sync_if_due(now);
         self.backlog.update_load(now.time);
         self.election_tick(now);
--- a/crates/core/src/overload/pauses.rs
+++ b/crates/core/src/overload/pauses.rs
@@ -18,7 +18,7 @@
 
 impl ProcessPauses {
     /// A tick comes; logs it if the process has stood still since the one before.
-    pub fn tick(&mut self, now: Time) {
+    pub fn record_tick(&mut self, now: Time) {
         let gap = self.last_tick_at.map_or(Span(0), |at| now - at);
         self.last_tick_at = Some(now);
         if gap >= MIN_PAUSE {
