--- a/crates/core/src/api/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -11,7 +11,7 @@
 use crate::api::admission::NewJob;
 use crate::api::read_confirmation::{ConfirmationBatch, ConfirmationQueue};
 use crate::io::{ReqId, RequestOrigin, UserRequest};
-use crate::metrics::Latency;
+use crate::metrics::LatencyHistogram;
 use crate::store::records::JobRecord;
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::JobId;
@@ -66,7 +66,7 @@
     /// Requests of users and administrators that were forwarded to a peer and are not answered yet.
     forwarded: BTreeSet<ReqId>,
     /// Times from the receipt of a request to its answer.
-    latency: Latency,
+    latency: LatencyHistogram,
     /// Number of calls to the state service that are in flight for users.
     open_calls: usize,
 }
@@ -215,7 +215,7 @@
     }
 
     /// Returns the times from the receipt of a request to its answer.
-    pub fn latency(&self) -> &Latency {
+    pub fn latency(&self) -> &LatencyHistogram {
         &self.latency
     }
 }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -13,7 +13,7 @@
 const DIGITS: u8 = 2;
 
 /// A histogram of milliseconds.
-pub struct Latency(hdrhistogram::Histogram<u32>);
+pub struct LatencyHistogram(hdrhistogram::Histogram<u32>);
 
 /// What a histogram says, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -30,14 +30,14 @@
     pub max: u64,
 }
 
-impl Default for Latency {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let bounds = hdrhistogram::Histogram::new_with_bounds(LEAST_MS, MOST_MS, DIGITS);
         Self(bounds.expect("the bounds are constants that fit"))
     }
 }
 
-impl Latency {
+impl LatencyHistogram {
     /// Records a time.
     pub fn record(&mut self, span: Span) {
         self.0.saturating_record(span.0.max(LEAST_MS));
@@ -76,7 +76,7 @@
     /// How often things have happened, by the names that administrators see.
     pub counters: BTreeMap<&'static str, u64>,
     /// How long tasks waited for their first start, by class.
-    pub start_waits: BTreeMap<Class, Latency>,
+    pub start_waits: BTreeMap<Class, LatencyHistogram>,
 }
 
 impl LeaderMetrics {
--- a/crates/core/src/overload/backlog.rs
+++ b/crates/core/src/overload/backlog.rs
@@ -4,7 +4,7 @@
 //! it shows in what waits. A node that is behind puts off what can wait, asks for fewer agents by naming a higher load to
 //! its peers, and, if it leads and stays far behind, transfers leadership.
 
-use crate::metrics::Latency;
+use crate::metrics::LatencyHistogram;
 use crate::units::{Span, Time};
 use serde_json::{json, Value};
 
@@ -33,7 +33,7 @@
     load_factor: f64,
     next_estimate_at: Time,
     /// How long inputs waited, for administrators.
-    waits: Latency,
+    waits: LatencyHistogram,
 }
 
 impl Default for Backlog {
@@ -44,7 +44,7 @@
             far_behind_until: Time(0),
             load_factor: 1.0,
             next_estimate_at: Time(0),
-            waits: Latency::default(),
+            waits: LatencyHistogram::default(),
         }
     }
 }
