--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -147,11 +147,15 @@
         let bytes_left =
             (self.max_bytes).saturating_sub(self.estimated_bytes + JOB_PROGRESS_BYTES + id_bytes);
         let max_ranges = bytes_left / RANGE_BYTES;
-        let min_ranges = job.done.within(0, &job.recorded_done).ranges().count();
+        let min_ranges = job
+            .done
+            .limited_to_ranges(0, &job.recorded_done)
+            .ranges()
+            .count();
         if max_ranges < min_ranges.max(1) {
             return false;
         }
-        job.recorded_done = job.done.within(max_ranges, &job.recorded_done);
+        job.recorded_done = job.done.limited_to_ranges(max_ranges, &job.recorded_done);
         self.add_progress(job);
         true
     }
--- a/crates/core/src/task_set.rs
+++ b/crates/core/src/task_set.rs
@@ -96,7 +96,7 @@
 
     /// Of this set at most `max_ranges` ranges, or as many as hold all of `recorded`, a part of this set: what can't be
     /// recorded this time is recorded later, and nothing that was recorded is dropped.
-    pub fn within(&self, max_ranges: usize, recorded: &Self) -> Self {
+    pub fn limited_to_ranges(&self, max_ranges: usize, recorded: &Self) -> Self {
         if self.ranges.len() <= max_ranges {
             return self.clone();
         }
--- a/crates/core/src/task_set/tests.rs
+++ b/crates/core/src/task_set/tests.rs
@@ -17,7 +17,7 @@
             } else if !recorded.contains(n) {
                 prop_assert_eq!(set.remove(n), plain.remove(&n));
             }
-            let next = set.within(most, &recorded);
+            let next = set.limited_to_ranges(most, &recorded);
             prop_assert!(recorded.iter().all(|n| next.contains(n)));
             prop_assert!(next.iter().all(|n| set.contains(n)));
             prop_assert!(next.ranges().count() <= most.max(recorded.ranges().count()));
