--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -75,14 +75,14 @@
 
     /// How many tasks of a job one of the machines takes.
     pub(super) fn tasks_per_machine(&self, job: &Job) -> u32 {
-        let tasks = self.free.count(&job.need);
+        let tasks = self.free.fit_count(&job.need);
         if job.is_preemptible() {
             return tasks;
         }
         // A task that takes most of a machine has it all the same.
         let is_empty = self.dependable.cpus == self.free.cpus / DEPENDABLE_PART;
         let at_least = u32::from(tasks > 0 && is_empty);
-        tasks.min(self.dependable.count(&job.need).max(at_least))
+        tasks.min(self.dependable.fit_count(&job.need).max(at_least))
     }
 
     /// Whether a job may use machines of this kind.
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -254,7 +254,7 @@
     fn unclaimed_room_in(&self, gang: &Job, zone: &Zone) -> u32 {
         (0..self.unclaimed.len())
             .filter(|&at| self.is_claimable(gang, at, zone))
-            .map(|at| self.snapshot.candidates[at].free.count(&gang.need))
+            .map(|at| self.snapshot.candidates[at].free.fit_count(&gang.need))
             .sum()
     }
 
@@ -263,7 +263,7 @@
         let mut tasks = 0;
         for at in 0..self.unclaimed.len() {
             if tasks < gang.spec.tasks && self.is_claimable(gang, at, zone) {
-                tasks += self.snapshot.candidates[at].free.count(&gang.need);
+                tasks += self.snapshot.candidates[at].free.fit_count(&gang.need);
                 self.unclaimed[at] = false;
             }
         }
--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -69,7 +69,7 @@
         let mut found = Vec::new();
         for machine_type in &self.policy.catalog.types {
             let capacity = Resources::of_machine(machine_type);
-            let tasks = capacity.count(&job.need);
+            let tasks = capacity.fit_count(&job.need);
             if tasks == 0 || (avoids_gpus && capacity.gpus > 0) {
                 continue;
             }
--- a/crates/core/src/scheduling/actions/gang_reservation.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation.rs
@@ -117,10 +117,10 @@
     /// What has room now, or else once the machine's finite tasks have ended.
     fn of(gang: &Job, candidate: &CandidateMachine) -> Self {
         let free = candidate.unreserved();
-        match free.count(&gang.need) {
+        match free.fit_count(&gang.need) {
             0 => Self {
                 ready_in_s: candidate.finite_end_in_s,
-                tasks: (free + candidate.finite).count(&gang.need),
+                tasks: (free + candidate.finite).fit_count(&gang.need),
             },
             tasks => Self {
                 ready_in_s: 0.0,
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -217,7 +217,7 @@
             .map(|at| &snapshot.candidates[at])
             .filter(|candidate| zone.is_none_or(|zone| zone == candidate.zone_index))
             .filter(|candidate| fits(self.leader, snapshot, self.gang, candidate))
-            .map(|candidate| candidate.unreserved().count(&self.gang.need))
+            .map(|candidate| candidate.unreserved().fit_count(&self.gang.need))
             .sum()
     }
 
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -62,7 +62,7 @@
             for e in m.tasks.iter().filter(|e| !without.contains(&e.task)) {
                 free -= e.need;
             }
-            free.count(&job.need)
+            free.fit_count(&job.need)
         })
         .sum()
 }
--- a/crates/core/src/scheduling/actions/scoring.rs
+++ b/crates/core/src/scheduling/actions/scoring.rs
@@ -113,7 +113,7 @@
         .filter(|(_, candidate)| zone.is_none_or(|zone| zone == candidate.zone_index))
         .filter(|(_, candidate)| fits(leader, snapshot, job, candidate))
         .map(|(at, candidate)| {
-            let tasks = candidate.free_for(job).count(&job.need);
+            let tasks = candidate.free_for(job).fit_count(&job.need);
             let score = Score::of(job, image, replica_cap, candidate);
             (score, RankedMachine { at, tasks })
         })
--- a/crates/core/src/scheduling/snapshot/reservations.rs
+++ b/crates/core/src/scheduling/snapshot/reservations.rs
@@ -37,7 +37,7 @@
     fn room_with_image(&self, need: &Resources, image: Option<u32>, without: Option<usize>) -> u32 {
         (self.candidates.iter().enumerate())
             .filter(|(at, candidate)| Some(*at) != without && candidate.has_image(image))
-            .map(|(_, candidate)| (candidate.free + candidate.preemptible).count(need))
+            .map(|(_, candidate)| (candidate.free + candidate.preemptible).fit_count(need))
             .sum()
     }
 
@@ -54,7 +54,7 @@
             let mut left = reserve.tasks;
             for at in self.machines_for_reserve(&reserve) {
                 let candidate = &mut self.candidates[at];
-                let tasks = candidate.unreserved().count(&reserve.need).min(left);
+                let tasks = candidate.unreserved().fit_count(&reserve.need).min(left);
                 candidate.reserved_for_arrivals += reserve.need.times(tasks);
                 left -= tasks;
             }
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -143,7 +143,7 @@
     }
 
     /// How many times `other` fits into this; what `other` does not need sets no limit.
-    pub fn count(&self, other: &Self) -> u32 {
+    pub fn fit_count(&self, other: &Self) -> u32 {
         let times = |have: i64, need: i64| {
             if need <= 0 {
                 i64::MAX
