--- a/crates/controller/src/outgoing/mod.rs
+++ b/crates/controller/src/outgoing/mod.rs
@@ -69,7 +69,7 @@
             Output::AnswerHeartbeat(req, reply) => self.respond(req, &reply),
             Output::AnswerForwardedReports(req, reply) => self.respond(req, &reply),
             Output::AnswerReplicateCancellations(req, reply) => self.respond(req, &reply),
-            Output::State(id, call) => self.store.send(id, call, now),
+            Output::Store(id, call) => self.store.send(id, call, now),
             Output::Watch(after) => self.watch.send(after),
             Output::Cloud(id, call) => self.cloud.send(id, call),
             Output::Direct {
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -41,7 +41,7 @@
             spawn_pool(role, size, core, move |(id, call)| {
                 let sent = clock.time();
                 let answer = call_store(&client, addr, &call);
-                Some(Input::State {
+                Some(Input::Store {
                     call: id,
                     sent_at: sent,
                     answer,
@@ -62,7 +62,7 @@
             &self.calls
         };
         let is_queued = queue.try_send((id, call)).is_ok();
-        (!is_queued).then_some(Input::State {
+        (!is_queued).then_some(Input::Store {
             call: id,
             sent_at: now,
             answer: StoreAnswer::Refused,
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -48,8 +48,8 @@
         cancelled: Vec::new(),
     };
     let answers: Vec<Option<Input>> = [
-        Output::State(id, StoreCall::Get("epoch".into())),
-        Output::State(id, StoreCall::NewLease(3_000)),
+        Output::Store(id, StoreCall::Get("epoch".into())),
+        Output::Store(id, StoreCall::NewLease(3_000)),
         Output::Watch(Version(3)),
         Output::Cloud(id, CloudCall::Catalog),
         direct,
@@ -71,12 +71,12 @@
     assert!(matches!(
         answers.as_slice(),
         [
-            Some(Input::State {
+            Some(Input::Store {
                 call: CallId(7),
                 answer: StoreAnswer::Refused,
                 ..
             }),
-            Some(Input::State {
+            Some(Input::Store {
                 call: CallId(7),
                 answer: StoreAnswer::Refused,
                 ..
@@ -103,7 +103,7 @@
         ..full().store
     };
     let outgoing = Outgoing { store, ..full() };
-    let renew = Output::State(
+    let renew = Output::Store(
         CallId(8),
         StoreCall::Renew(rudderreel_wire::ids::LeaseId(3)),
     );
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -197,7 +197,7 @@
     /// A peer's answer to a forwarded request; none if it gave none.
     ForwardReply(ReqId, Option<(u16, String)>),
     /// The state service's answer to a call.
-    State {
+    Store {
         /// Which call.
         call: CallId,
         /// When it was sent.
@@ -261,7 +261,7 @@
         reports: ForwardedReports,
     },
     /// Call the state service.
-    State(CallId, StoreCall),
+    Store(CallId, StoreCall),
     /// Watch the shared prefix from a revision on.
     Watch(Version),
     /// Call the cloud.
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -233,7 +233,7 @@
                 self.replication_answered(peer, reply, now)
             }
             Input::ForwardReply(req, answer) => self.forward_answered(req, answer),
-            Input::State {
+            Input::Store {
                 call,
                 sent_at,
                 answer,
--- a/crates/core/src/store/calls.rs
+++ b/crates/core/src/store/calls.rs
@@ -122,7 +122,7 @@
             self.last_id += 1;
             let id = CallId(self.last_id);
             self.open.insert(id, purpose);
-            out.push(Output::State(id, call));
+            out.push(Output::Store(id, call));
         }
     }
 
--- a/crates/core/src/store/calls/tests.rs
+++ b/crates/core/src/store/calls/tests.rs
@@ -39,7 +39,7 @@
     }
     let sent_calls = |name: &str| {
         let matches_name =
-            |o: &&Output| matches!(o, Output::State(_, StoreCall::Get(k)) if k.starts_with(name));
+            |o: &&Output| matches!(o, Output::Store(_, StoreCall::Get(k)) if k.starts_with(name));
         out.iter().filter(matches_name).count()
     };
     assert_eq!((sent_calls("book/"), sent_calls("pub/") > 8), (1, true));
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -260,7 +260,7 @@
             while let Some(output) = outputs.pop() {
                 match output {
                     Output::Watch(_) => return true,
-                    Output::State(id, call) => {
+                    Output::Store(id, call) => {
                         let list = matches!(call, StoreCall::List(..));
                         let got = if good && list {
                             page()
@@ -269,7 +269,7 @@
                         };
                         let at = world.clock_of(0);
                         outputs.extend(core.step(
-                            Input::State {
+                            Input::Store {
                                 call: id,
                                 sent_at: at.time,
                                 answer: got,
--- a/crates/core/tests/sim/user_answers.rs
+++ b/crates/core/tests/sim/user_answers.rs
@@ -76,10 +76,10 @@
 
     /// Takes the next call to the store of a kind.
     fn call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
-        let of = |o: &Output| matches!(o, Output::State(_, call) if wanted(call));
+        let of = |o: &Output| matches!(o, Output::Store(_, call) if wanted(call));
         let at = self.out.iter().position(of)?;
         match self.out.remove(at) {
-            Output::State(id, call) => Some((id, call)),
+            Output::Store(id, call) => Some((id, call)),
             _ => None,
         }
     }
@@ -92,7 +92,7 @@
 
     fn answer(&mut self, id: CallId, answer: StoreAnswer) {
         let sent = self.world.clock_of(0).time;
-        self.step(Input::State {
+        self.step(Input::Store {
             call: id,
             sent_at: sent,
             answer,
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -77,7 +77,7 @@
             "announcement"
         }
         Input::ForwardReply(..) => "reply to a user",
-        Input::State { .. } => "state service",
+        Input::Store { .. } => "state service",
         Input::Watched { .. } | Input::WatchLost => "watch",
         Input::Cloud(..) => "cloud",
         Input::Direct { .. } => "direct call",
@@ -96,11 +96,11 @@
             ("reply to a batch", bitcode::encode(reply).len())
         }
         Output::ReplicateCancellations(_, told) => ("announcement", bitcode::encode(told).len()),
-        Output::State(_, rudderreel_core::StoreCall::Commit(transaction)) => {
+        Output::Store(_, rudderreel_core::StoreCall::Commit(transaction)) => {
             let bytes = serde_json::to_vec(transaction).expect("JSON").len();
             ("commit", bytes)
         }
-        Output::State(..) => ("other state call", 0),
+        Output::Store(..) => ("other state call", 0),
         Output::Cloud(..) => ("cloud call", 0),
         Output::Direct { body, .. } => {
             let bytes = serde_json::to_vec(body).expect("JSON").len();
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -62,7 +62,7 @@
                 self.text(peer.as_str());
                 self.bytes(&bitcode::encode(reports));
             }
-            Output::State(call, request) => {
+            Output::Store(call, request) => {
                 self.kind("state", call.0);
                 self.state_call(request);
             }
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -105,7 +105,7 @@
                     let to = self.node_of(&peer);
                     self.after(hop, Event::ReplicateCancellations(node, to, life, told));
                 }
-                Output::State(id, call) => {
+                Output::Store(id, call) => {
                     self.after(hop, Event::State(node, life, id, now.time, call))
                 }
                 Output::Watch(after) => self.after(hop, Event::Watch(node, life, after, now.time)),
--- a/crates/core/tests/sim/world/old_version.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -47,16 +47,16 @@
             request: without_dependencies(request),
             sender,
         },
-        Input::State {
+        Input::Store {
             call: id,
             sent_at: sent,
             answer: StoreAnswer::Found(item),
-        } => Input::State {
+        } => Input::Store {
             call: id,
             sent_at: sent,
             answer: StoreAnswer::Found(read_item(item)),
         },
-        Input::State {
+        Input::Store {
             call: id,
             sent_at: sent,
             answer: StoreAnswer::Page(mut page),
@@ -65,17 +65,17 @@
                 .filter(|item| is_known(&item.key))
                 .map(read_item)
                 .collect();
-            Input::State {
+            Input::Store {
                 call: id,
                 sent_at: sent,
                 answer: StoreAnswer::Page(page),
             }
         }
-        Input::State {
+        Input::Store {
             call,
             sent_at,
             answer: StoreAnswer::Changes(changes),
-        } => Input::State {
+        } => Input::Store {
             call,
             sent_at,
             answer: StoreAnswer::Changes(Events {
@@ -99,7 +99,7 @@
 /// An output as production sends it.
 fn sent_by_production(output: Output) -> Output {
     match output {
-        Output::State(id, call) => Output::State(id, written_by_production(call)),
+        Output::Store(id, call) => Output::Store(id, written_by_production(call)),
         Output::Forward {
             peer,
             req,
--- a/crates/core/tests/sim/world/pauses.rs
+++ b/crates/core/tests/sim/world/pauses.rs
@@ -98,7 +98,7 @@
             return input;
         }
         match input {
-            Input::State { call, sent_at, .. } => Input::State {
+            Input::Store { call, sent_at, .. } => Input::Store {
                 call,
                 sent_at,
                 answer: StoreAnswer::Unknown,
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -78,7 +78,7 @@
         Input::Tick => 300,
         Input::ForwardedReports(_, batch) => 3_000 + 600 * batch.reports.len() as u64,
         Input::Direct { .. } => 6_000,
-        Input::State { .. } | Input::Cloud(..) => 3_500,
+        Input::Store { .. } | Input::Cloud(..) => 3_500,
         Input::ForwardedReportsReply(..) | Input::HeartbeatReply(..) => 1_500,
         _ => 3_000,
     }
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -43,7 +43,7 @@
                 let delay = self.rng.random_range(2_000..12_000);
                 self.after(delay, Event::LateTransaction(call));
             }
-            let input = Input::State {
+            let input = Input::Store {
                 call: id,
                 sent_at: sent,
                 answer: StoreAnswer::Unknown,
@@ -60,7 +60,7 @@
                 Event::Input(
                     node,
                     life,
-                    Input::State {
+                    Input::Store {
                         call: id,
                         sent_at: sent,
                         answer: StoreAnswer::Unknown,
@@ -84,7 +84,7 @@
             Event::Input(
                 node,
                 life,
-                Input::State {
+                Input::Store {
                     call: id,
                     sent_at: sent,
                     answer,
