--- a/crates/controller/src/servers/peers.rs
+++ b/crates/controller/src/servers/peers.rs
@@ -96,7 +96,7 @@
 ) -> Option<Response> {
     let request = match method {
         "PUT" if path == SETTINGS_PATH => match serde_json::from_slice(bytes) {
-            Ok(settings) => Some(AdminRequest::Replace(Box::new(settings))),
+            Ok(settings) => Some(AdminRequest::ReplaceSettings(Box::new(settings))),
             Err(e) => return intake.refuse_unreadable(&e.to_string()),
         },
         "GET" => AdminRequest::of_path(path),
--- a/crates/core/src/io/admin_request.rs
+++ b/crates/core/src/io/admin_request.rs
@@ -23,7 +23,7 @@
     /// The operators' settings.
     Settings,
     /// Replace the operators' settings.
-    Replace(Box<Versioned>),
+    ReplaceSettings(Box<Versioned>),
 }
 
 impl AdminRequest {
@@ -36,7 +36,7 @@
             Self::Machines(Some(after)) => format!("{MACHINES}{AFTER}{after}"),
             Self::Job(id) => format!("/admin/jobs/{id}"),
             Self::Stops => "/admin/stops".into(),
-            Self::Settings | Self::Replace(_) => "/admin/settings".into(),
+            Self::Settings | Self::ReplaceSettings(_) => "/admin/settings".into(),
         }
     }
 
--- a/crates/core/src/node/administration.rs
+++ b/crates/core/src/node/administration.rs
@@ -36,7 +36,7 @@
     ) {
         match request {
             AdminRequest::Settings => self.answer_settings(req),
-            AdminRequest::Replace(new) => self.replace_settings(req, *new, now),
+            AdminRequest::ReplaceSettings(new) => self.replace_settings(req, *new, now),
             AdminRequest::Overview if self.leader.is_none() && origin == RequestOrigin::Direct => {
                 let body = to_json(&self.overview(now));
                 self.answer(req, OK, body);
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -170,7 +170,7 @@
         let mut settings = AdminSettings::default();
         change(&mut settings);
         let version = Version(version);
-        AdminRequest::Replace(Box::new(Versioned { version, settings }))
+        AdminRequest::ReplaceSettings(Box::new(Versioned { version, settings }))
     };
     let (status, body) = world.admin(0, replace(0, |s| s.reclaim_multiplier = 0.5));
     assert_eq!(status, 400);
