--- a/crates/core/src/overload/backlog.rs
+++ b/crates/core/src/overload/backlog.rs
@@ -1,38 +1,38 @@
-//! Whether this node keeps up, judged by how long its inputs wait.
+//! Tracks whether this node keeps up with its inputs, judged by how long they wait.
 //!
-//! A node may be slow for many reasons: too many agents, a busy machine, a processor that is shared. Whatever the reason,
-//! it shows in what waits. A node that is behind puts off what can wait, asks for fewer agents by naming a higher load to
-//! its peers, and, if it leads and stays far behind, transfers leadership.
+//! A node may be slow for many reasons: too many agents, a busy machine, a shared processor. Whatever the reason, its
+//! inputs wait longer. A node that is behind postpones work that can wait, asks for fewer agents by reporting a higher
+//! load to its peers, and, if it leads and stays far behind, transfers leadership.
 
 use crate::metrics::LatencyHistogram;
 use crate::units::{Span, Time};
 use serde_json::{json, Value};
 
-/// A node with an input that has waited for so long is behind.
+/// A node is behind if one of its inputs has waited for at least this long.
 const BEHIND_WAIT: Span = Span(300);
-/// It counts as behind for so long after such an input.
+/// Time for which a node counts as behind after such an input.
 const BEHIND_HOLD: Span = Span(300);
-/// A node with an input that has waited for so long is far behind: agents wait 4 s for an answer in all.
+/// A node is far behind if one of its inputs has waited for at least this long. Agents wait 4 s in all for an answer.
 const FAR_BEHIND_WAIT: Span = Span(1_000);
-/// It counts as far behind for so long after such an input.
+/// Time for which a node counts as far behind after such an input.
 const FAR_BEHIND_HOLD: Span = Span(500);
-/// How often the load is estimated.
+/// Interval between two estimates of the load.
 const LOAD_ESTIMATE_INTERVAL: Span = Span(500);
-/// By this factor the load of a node that is behind rises with each estimate.
-const LOAD_RISE: f64 = 1.25;
-/// By this factor the load of a node that keeps up falls with each estimate: more slowly.
-const LOAD_FALL: f64 = 0.97;
-/// The load is so many times what the node's agents make it, at most.
+/// Factor by which the load of a node that is behind rises with each estimate.
+const LOAD_RISE_FACTOR: f64 = 1.25;
+/// Factor by which the load of a node that keeps up falls with each estimate, more slowly than it rises.
+const LOAD_FALL_FACTOR: f64 = 0.97;
+/// Upper bound of a node's load as a multiple of its number of agents.
 const MAX_LOAD_FACTOR: f64 = 8.0;
 
-/// What is known of inputs that wait.
+/// How long inputs wait, and the load that is derived from it.
 pub(crate) struct Backlog {
     behind_until: Time,
     far_behind_since: Time,
     far_behind_until: Time,
     load_factor: f64,
     next_estimate_at: Time,
-    /// How long inputs waited, for administrators.
+    /// Distribution of the waits, for administrators.
     waits: LatencyHistogram,
 }
 
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Whether inputs wait too long, so that only what can't wait should be done.
+    /// Returns whether inputs wait too long, so that only work that can't wait should be done.
     pub fn is_behind(&self, now: Time) -> bool {
         now < self.behind_until
     }
 
-    /// For how long the node has been far behind without a break.
+    /// Returns for how long the node has been far behind without interruption; zero if it is not far behind.
     pub fn far_behind_for(&self, now: Time) -> Span {
         if now < self.far_behind_until {
             now - self.far_behind_since
@@ -78,21 +78,21 @@
         }
     }
 
-    /// Estimates the load if that is due.
+    /// Estimates the load if an estimate is due.
     pub fn update_load(&mut self, now: Time) {
         if now < self.next_estimate_at {
             return;
         }
         self.next_estimate_at = now + LOAD_ESTIMATE_INTERVAL;
         let change = if self.is_behind(now) {
-            LOAD_RISE
+            LOAD_RISE_FACTOR
         } else {
-            LOAD_FALL
+            LOAD_FALL_FACTOR
         };
         self.load_factor = (self.load_factor * change).clamp(1.0, MAX_LOAD_FACTOR);
     }
 
-    /// What administrators see.
+    /// Returns the values for the administrators' overview.
     pub fn summary(&self, now: Time) -> Value {
         json!({
             "behind": self.is_behind(now),
@@ -101,7 +101,7 @@
         })
     }
 
-    /// The load that so many agents are for this node, in agents of a node that keeps up.
+    /// Returns the load of `agents` agents on this node, expressed as a number of agents of a node that keeps up.
     pub fn load_for_agents(&self, agents: u32) -> u32 {
         (f64::from(agents) * self.load_factor).round() as u32
     }
--- a/crates/core/src/overload/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -1,30 +1,31 @@
-//! How large a fleet the process limits carry.
+//! Limits on the size of the fleet that follow from the number of sockets that a process may open.
 //!
-//! Nothing in the program bounds the number of machines. What the platform allows a process does: each agent keeps a
-//! connection to the node that it reports to. A fleet beyond that is served as far as the connections go, and that is
-//! shown at start-up, in the log and in the administrators' overview.
+//! Nothing in the program bounds the number of machines. What the platform allows a process does, because each agent
+//! keeps a connection to the node that it reports to. A larger fleet is served as far as the connections suffice. The
+//! limits are logged at start-up, a fleet that exceeds them is logged as well, and the administrators' overview shows
+//! both.
 
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
 use std::fmt;
 
-/// Connections that a node accepts, by the sockets that it may open.
+/// Numbers of connections that a node accepts, derived from the number of sockets that it may open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// At the public API listener: of users, agents and health checks.
+    /// Connections at the public API listener: those of users, agents and health checks.
     pub public_api: usize,
-    /// Of these, how many of agents.
+    /// Connections of agents, a part of `public_api`.
     pub agents: usize,
-    /// Of peers and administrators.
+    /// Connections of peers and administrators.
     pub peers: usize,
 }
 
-/// So many connections are accepted in any case.
+/// Minimum number of connections that each listener accepts, however few sockets there are.
 const MIN_CONNECTIONS: usize = 16;
 
 impl ConnectionLimits {
-    /// Three quarters of the sockets are for the public API listener, of these three quarters for agents, and an eighth
-    /// is for peers. The last eighth is left for this node's own calls.
+    /// Divides the sockets that a process may open. Three quarters are for the public API listener, and three quarters
+    /// of these are for agents; an eighth is for peers. The last eighth is left for this node's own calls.
     pub fn of_sockets(sockets: usize) -> Self {
         let public_api = (sockets * 3 / 4).max(MIN_CONNECTIONS);
         Self {
@@ -35,19 +36,19 @@
     }
 }
 
-/// How many agents can report at a time.
+/// Largest numbers of agents that can report at the same time, each over a connection of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct FleetLimits {
-    /// To one node alone.
+    /// Agents that can report to one node.
     #[serde(rename = "workers_of_one_node")]
     pub agents_of_one_node: usize,
-    /// To all nodes together.
+    /// Agents that can report to all nodes together.
     #[serde(rename = "workers_of_all_nodes")]
     pub agents_of_all_nodes: usize,
 }
 
 impl FleetLimits {
-    /// By the settings; none if they have no limit of sockets.
+    /// Returns the limits that follow from the settings; `None` if these contain no limit on sockets.
     pub fn of(settings: &Settings) -> Option<Self> {
         let limits = settings.params.limits.as_ref()?;
         let sockets = usize::try_from(limits.fd_limit).ok().filter(|n| *n > 0)?;
@@ -58,17 +59,18 @@
         })
     }
 
-    /// How many machines of a fleet find no connection while the others report.
+    /// Returns how many machines of a fleet of `machines` find no connection while the others report.
     pub fn beyond(&self, machines: usize) -> usize {
         machines.saturating_sub(self.agents_of_all_nodes)
     }
 }
 
+/// Formats the limits as fields of a log line.
 impl fmt::Display for FleetLimits {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(
             f,
-            "connections for {} workers, {} with all nodes",
+            "agents_of_one_node={} agents_of_all_nodes={}",
             self.agents_of_one_node, self.agents_of_all_nodes
         )
     }
--- a/crates/core/src/overload/fleet_limits/tests.rs
+++ b/crates/core/src/overload/fleet_limits/tests.rs
@@ -12,10 +12,10 @@
     FleetLimits::of(&settings)
 }
 
-/// The limit is that of the platform, whatever it is: more sockets carry more machines.
+/// Only the platform's limit on sockets bounds the fleet, whatever it is: more sockets support more machines.
 #[test]
 fn fleet_size_follows_from_the_socket_limit() {
-    assert_eq!(with_sockets(0), None, "no limit is named");
+    assert_eq!(with_sockets(0), None, "the settings contain no limit");
     let limits = with_sockets(8_000).expect("limits");
     assert_eq!(limits.agents_of_one_node, 4_500);
     let nodes = settings().params.nodes as usize;
@@ -24,7 +24,7 @@
     assert_eq!(limits.beyond(4_500 * nodes + 7), 7);
 }
 
-/// Administrators read the limits by these names.
+/// The administrators' overview shows the limits under these names.
 #[test]
 fn json_names_of_the_limits_are_fixed() {
     let limits = with_sockets(8_000).expect("limits");
--- a/crates/core/src/overload/pacing.rs
+++ b/crates/core/src/overload/pacing.rs
@@ -1,43 +1,44 @@
-//! Keeps the leader's long steps to a part of the time.
+//! Limits the leader's long steps to a fraction of the time.
 //!
-//! A reconcile pass over all machines and a scheduling cycle take a few milliseconds of a whole core in a large fleet.
-//! On a node with a small part of a core that is a tenth of a second and more, and something always calls for the next
-//! one. Status reports, heartbeats and users wait behind them, so each is followed by a pause in proportion to the time
-//! that the last one took. On a node that is fast enough the pause is over before the next is due.
+//! In a large fleet a reconcile pass over all machines or a scheduling cycle takes a few milliseconds of a whole core.
+//! On a node with a small share of a core that is a tenth of a second or more, and the next one is always due. Status
+//! reports, heartbeats and users' requests wait meanwhile, so each long step is followed by a pause in proportion to
+//! its duration. On a node that is fast enough the pause is over before the next long step is due.
 
 use crate::units::{Span, Time};
 
-/// Steps of the leader that take long in a large fleet.
+/// A step of the leader that takes long in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LongStep {
     /// A reconcile pass over machines and jobs.
     Reconcile,
-    /// A reconcile pass with a scheduling cycle.
+    /// A reconcile pass that includes a scheduling cycle.
     Cycle,
 }
 
-/// The pause after a reconcile pass, in times of what it took: half of the time is left for what waits.
+/// Pause after a reconcile pass, as a multiple of its duration: half of the time is left for waiting inputs.
 const RECONCILE_PAUSE_FACTOR: u64 = 1;
-/// The pause after a cycle, in times of what it took.
+/// Pause after a cycle until the next one, as a multiple of its duration.
 const CYCLE_PAUSE_FACTOR: u64 = 2;
-/// No pause is longer, or a slow node would stop deciding.
+/// Upper bound of a pause. With longer pauses, a slow node would stop making decisions.
 const MAX_PAUSE: Span = Span(1_000);
 
-/// A node that is behind (see [`backlog`](super::backlog)) answers first, and begins reconcile passes only so often.
+/// Minimum time between the beginnings of two reconcile passes on a node that is behind (see
+/// [`backlog`](super::backlog)). Such a node answers its inputs first.
 const RECONCILE_INTERVAL_BEHIND: Span = Span(500);
-/// How often a node that is behind begins cycles.
+/// Minimum time between the beginnings of two cycles on a node that is behind.
 const CYCLE_INTERVAL_BEHIND: Span = Span(2_000);
 
-/// When the leader's long steps may follow.
+/// Decides when the leader may begin its next long step.
 #[derive(Default)]
 pub(crate) struct Pacing {
-    /// What the current step did, if it is long.
+    /// Kind of the current step, if it is a long one.
     current: Option<LongStep>,
     reconcile: StepPacing,
     cycle: StepPacing,
 }
 
-/// When one kind of long step may follow.
+/// Times that determine when the next long step of one kind may begin.
 #[derive(Default)]
 struct StepPacing {
     last_begun_at: Time,
@@ -49,7 +50,7 @@
         now >= self.paused_until && (!behind || now >= self.last_begun_at + interval_behind)
     }
 
-    /// Begins the pause after a step that took so long.
+    /// Begins the pause after a step that ended at `ended_at` and took `took`.
     fn pause(&mut self, ended_at: Time, took: Span, factor: u64) {
         let pause = Span(took.0.saturating_mul(factor));
         self.paused_until = ended_at + pause.min(MAX_PAUSE);
@@ -57,17 +58,18 @@
 }
 
 impl Pacing {
-    /// Whether a reconcile pass may begin.
+    /// Returns whether a reconcile pass may begin.
     pub fn may_reconcile(&self, now: Time, behind: bool) -> bool {
         (self.reconcile).may_begin(now, behind, RECONCILE_INTERVAL_BEHIND)
     }
 
-    /// Whether a cycle may begin.
+    /// Returns whether a cycle may begin.
     pub fn may_cycle(&self, now: Time, behind: bool) -> bool {
         (self.cycle).may_begin(now, behind, CYCLE_INTERVAL_BEHIND)
     }
 
-    /// Notes what the current step does. A cycle is part of a reconcile pass that has begun before.
+    /// Records that the current step is a long one, and of which kind. A cycle is part of a reconcile pass whose
+    /// beginning has already been recorded.
     pub fn begin(&mut self, step: LongStep, now: Time) {
         self.current = Some(step);
         match step {
@@ -76,12 +78,12 @@
         }
     }
 
-    /// What the current step did, if it was long.
+    /// Returns the kind of the current step, if it is a long one.
     pub fn current(&self) -> Option<LongStep> {
         self.current
     }
 
-    /// Notes how long the step took that has just ended.
+    /// Records the end and the duration of the current step.
     pub fn ended(&mut self, at: Time, took: Span) {
         let Some(step) = self.current.take() else {
             return;
--- a/crates/core/src/overload/pacing/tests.rs
+++ b/crates/core/src/overload/pacing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Runs a leader for which a cycle is always due, and whose cycles take so long. Returns what part of the time is left
-/// for other inputs.
+/// Runs a leader for which a cycle is always due and whose cycles take `cycle` each. Returns the fraction of the time
+/// that is left for other inputs.
 fn fraction_left(cycle: Span) -> f64 {
     let mut pacing = Pacing::default();
     let (mut now, mut idle) = (Time(0), 0);
@@ -18,7 +18,7 @@
     f64::from(idle) / 100_000.0
 }
 
-/// A leader whose cycles took longer than the time between them did nothing else.
+/// A leader whose cycles took longer than the interval between them did nothing but cycles.
 #[test]
 fn cycles_leave_most_of_the_time_for_other_inputs() {
     for cycle_ms in [1, 30, 150, 400] {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A node at a tenth of its speed still decides.
+/// A node at a tenth of its speed must still make decisions.
 #[test]
 fn pause_is_bounded_on_a_slow_node() {
     let mut pacing = Pacing::default();
@@ -37,7 +37,7 @@
     assert!(pacing.may_cycle(Time(10_000), false) && pacing.may_reconcile(Time(10_000), false));
 }
 
-/// Other steps may take long, too, but they are not followed by a pause.
+/// Other steps may also take long, but they are not followed by a pause.
 #[test]
 fn only_reconcile_passes_and_cycles_are_followed_by_a_pause() {
     let mut pacing = Pacing::default();
@@ -48,8 +48,8 @@
     assert!(!pacing.may_reconcile(Time(1_499), false) && pacing.may_cycle(Time(1_000), false));
 }
 
-/// After a failover with all agents at once a leader decided cycle after cycle while their status reports waited, and
-/// their leases ran out.
+/// After a failover, when all agents report at once, a leader ran cycle after cycle while their status reports waited,
+/// and their leases expired.
 #[test]
 fn node_that_is_behind_begins_long_steps_less_often() {
     let mut pacing = Pacing::default();
@@ -65,6 +65,6 @@
         }
     }
     assert_eq!((cycles, reconcile_passes), (10, 40));
-    // Once nothing waits any more, all is as it was.
+    // The longer intervals end as soon as the node is no longer behind.
     assert!(pacing.may_reconcile(Time(25_000), false) && pacing.may_cycle(Time(25_000), false));
 }
--- a/crates/core/src/overload/pauses.rs
+++ b/crates/core/src/overload/pauses.rs
@@ -1,14 +1,15 @@
-//! Pauses of the whole process: the main loop did not run although its clock did.
+//! Pauses of the whole process, during which its main loop did not run although its clock advanced.
 //!
-//! A machine that swaps, a busy hypervisor or a debugger may hold a process up for a minute. Nothing is decided by what
-//! is recorded here. It tells operators why a node that looked alive did nothing, and did everything late afterwards.
+//! A machine that swaps, a busy hypervisor or a debugger may pause a process for a minute. No decision depends on the
+//! pauses recorded here. They tell operators why a node that looked alive did nothing, and afterwards did everything
+//! late.
 
 use crate::units::{Span, Time};
 
-/// Ticks come many times a second; a longer gap between two is a pause.
+/// Minimum gap between two ticks that counts as a pause. Ticks occur many times a second.
 const MIN_PAUSE: Span = Span(1_000);
 
-/// The pauses of this process.
+/// Number of this process's pauses, and the duration of the last one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProcessPauses {
     last_tick_at: Option<Time>,
@@ -17,23 +18,23 @@
 }
 
 impl ProcessPauses {
-    /// A tick comes; logs it if the process has stood still since the one before.
+    /// Records a tick, and logs a warning if the process was paused since the previous one.
     pub fn record_tick(&mut self, now: Time) {
         let gap = self.last_tick_at.map_or(Span(0), |at| now - at);
         self.last_tick_at = Some(now);
         if gap >= MIN_PAUSE {
             self.count += 1;
             self.last = gap;
-            log::warn!("process stood still paused_ms={}", gap.0);
+            log::warn!("process was paused paused_ms={}", gap.0);
         }
     }
 
-    /// How many pauses there were.
+    /// Returns the number of pauses since the process started.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// How long the last one was.
+    /// Returns the duration of the last pause; zero if there was none.
     pub fn last(&self) -> Span {
         self.last
     }
--- a/crates/core/src/overload/processor_share/tests.rs
+++ b/crates/core/src/overload/processor_share/tests.rs
@@ -12,7 +12,7 @@
     ProcessorShare::of(&settings)
 }
 
-/// What runs well on larger nodes stays as it is there.
+/// Nodes with a sufficient share use the intervals and rates as they are written.
 #[test]
 fn intervals_are_unchanged_on_nodes_with_enough_processor() {
     for share in [None, Some(0.064), Some(0.21), Some(64.0)] {
@@ -22,7 +22,7 @@
     assert_eq!(ProcessorShare::of(&settings()), with_share(None));
 }
 
-/// Half of the processor is left with half of the messages.
+/// With half the share of a processor a node does costly work half as often.
 #[test]
 fn intervals_are_stretched_on_nodes_with_less() {
     let half = with_share(Some(0.032));
