--- a/crates/core/src/io/admin_request.rs
+++ b/crates/core/src/io/admin_request.rs
@@ -1,24 +1,25 @@
-//! What administrators ask for, and the paths by which they ask. A node forwards a request to the leader by its path.
+//! Administrators' requests and their paths. A node forwards a request to the leader by its path.
 
 use rudderreel_wire::admin::Versioned;
 use rudderreel_wire::ids::{JobId, MachineId};
 
-/// Path of the list of machines, and what asks for those after a name.
-const MACHINES: &str = "/admin/machines";
-const AFTER: &str = "?after=";
+/// Path of the list of machines.
+const MACHINES_PATH: &str = "/admin/machines";
+/// Query that limits the list to the machines after a name.
+const AFTER_QUERY: &str = "?after=";
 
-/// What an administrator asks for.
+/// An administrator's request.
 #[derive(Clone, Debug)]
 pub enum AdminRequest {
-    /// How the deployment is doing.
+    /// The state of the deployment.
     Overview,
-    /// Who uses what, against quota, limit and share.
+    /// Resources that each team uses, with its quota, limit and share.
     Teams,
-    /// Machines after a name, and what they cost.
+    /// A page of the machines after a name, or from the first, with their prices.
     Machines(Option<MachineId>),
-    /// Why a job is where it is.
+    /// The state of a job, and the reason why its next task is not started.
     Job(JobId),
-    /// Tasks that were stopped lately, and why.
+    /// Tasks that were stopped recently, with the reasons.
     Stops,
     /// The operators' settings.
     Settings,
@@ -27,31 +28,31 @@
 }
 
 impl AdminRequest {
-    /// The path that asks for it.
+    /// Returns the path of the request.
     pub fn path(&self) -> String {
         match self {
             Self::Overview => "/admin/overview".into(),
             Self::Teams => "/admin/teams".into(),
-            Self::Machines(None) => MACHINES.into(),
-            Self::Machines(Some(after)) => format!("{MACHINES}{AFTER}{after}"),
+            Self::Machines(None) => MACHINES_PATH.into(),
+            Self::Machines(Some(after)) => format!("{MACHINES_PATH}{AFTER_QUERY}{after}"),
             Self::Job(id) => format!("/admin/jobs/{id}"),
             Self::Stops => "/admin/stops".into(),
             Self::Settings | Self::ReplaceSettings(_) => "/admin/settings".into(),
         }
     }
 
-    /// The request of a GET path.
+    /// Returns the request that a GET of `path` makes, or `None` if there is none.
     pub fn of_path(path: &str) -> Option<Self> {
         let after = path
-            .strip_prefix(MACHINES)
-            .and_then(|p| p.strip_prefix(AFTER));
+            .strip_prefix(MACHINES_PATH)
+            .and_then(|p| p.strip_prefix(AFTER_QUERY));
         if let Some(after) = after.filter(|name| !name.is_empty()) {
             return Some(Self::Machines(Some(after.into())));
         }
         Some(match path {
             "/admin/overview" => Self::Overview,
             "/admin/teams" => Self::Teams,
-            MACHINES => Self::Machines(None),
+            MACHINES_PATH => Self::Machines(None),
             "/admin/stops" => Self::Stops,
             "/admin/settings" => Self::Settings,
             _ => Self::Job(path.strip_prefix("/admin/jobs/")?.parse().ok()?),
--- a/crates/core/src/io/admin_request/tests.rs
+++ b/crates/core/src/io/admin_request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_page_is_asked_for_by_its_path() {
+fn path_of_a_page_of_machines_is_parsed_back() {
     let after = AdminRequest::Machines(Some("vm-000200".into()));
     for request in [AdminRequest::Machines(None), after] {
         let path = request.path();
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -1,14 +1,15 @@
-//! What goes into a node and what comes out of it.
+//! The inputs and outputs of a node.
 //!
-//! The core does no input or output itself: [`Node::step`](crate::Node::step) takes one [`Input`] and returns
-//! the [`Output`]s that it causes, in order. The shell around it owns sockets, threads and clocks.
+//! The core does no I/O itself: [`Node::step`](crate::Node::step) takes one [`Input`] and returns the [`Output`]s that
+//! it causes, in order. The program around it owns the sockets, threads and clocks.
 //!
-//! - Requests of users, administrators, agents and peers come in with a [`ReqId`], and exactly one answer goes
-//!   out with the same id.
-//! - Calls to the state service and the cloud go out with a [`CallId`], and their answers come back with it. A call
-//!   without a usable answer comes back, too, as `Unknown`: it may have been executed, or may yet be. `Refused`
+//! - A request of a user, an administrator, an agent or a peer arrives with a [`ReqId`], and exactly one answer with
+//!   the same id is returned.
+//! - A call to the store or the cloud is returned with a [`CallId`], and its answer arrives with the same id. A call
+//!   without a usable answer is answered as well, with `Unknown`: it may have been executed, or may yet be. `Refused`
 //!   and `Rejected` say that it was not.
-//! - Messages to peers and direct commands to agents come back with what was sent, or with the peer's name.
+//! - The outcome of a message to a peer or of direct commands to an agent arrives with what was sent, or with the
+//!   peer's name.
 
 mod admin_request;
 
@@ -25,49 +26,49 @@
 use rudderreel_wire::state::{Event, Events, Item, Page, Transaction};
 use rudderreel_wire::worker::{DirectCommands, StatusReport};
 
-/// A JSON value of the state service.
+/// A JSON value in the store.
 pub type Value = serde_json::Value;
 
-/// Identifies a request that waits for its answer.
+/// Identifies a request that waits for this node's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReqId(pub u64);
 
-/// Identifies a call of this node to a service outside.
+/// Identifies a call that this node makes and whose answer it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Where a request has come from.
+/// How a request reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOrigin {
-    /// From its sender.
+    /// Sent by the requester itself.
     Direct,
-    /// From a peer that could not serve it. It is not forwarded again.
+    /// Forwarded by a peer that could not serve it. It is not forwarded again.
     Peer,
 }
 
-/// What a user asks for.
+/// A user's request.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
-    /// Accept this job.
+    /// Submit a job.
     Submit(Box<JobSpec>),
-    /// Ask for a job's state.
+    /// Get a job's state.
     Status(JobId),
     /// Cancel a job.
     Cancel(JobId),
 }
 
-/// A call to the state service.
+/// A call to the store.
 #[derive(Clone, Debug)]
 pub enum StoreCall {
     /// Read a key.
     Get(String),
-    /// Read a page of keys with a prefix, beginning after a key.
+    /// Read a page of the keys with a prefix, beginning after a key if one is given.
     List(String, Option<String>),
     /// Read the changes of keys with a prefix after a revision.
     Changes(String, Version),
     /// Commit a transaction.
     Commit(Transaction<Value>),
-    /// Take a lease of so many milliseconds.
+    /// Acquire a lease with a time to live in milliseconds.
     NewLease(u64),
     /// Renew a lease.
     Renew(LeaseId),
@@ -75,32 +76,32 @@
     EndLease(LeaseId),
 }
 
-/// How a call to the state service ended.
+/// The outcome of a call to the store.
 #[derive(Clone, Debug)]
 pub enum StoreAnswer {
-    /// The key read.
+    /// The key that was read, with its value.
     Found(Item<Value>),
-    /// There is no such key (or lease).
+    /// The key or lease does not exist.
     Missing,
     /// A page of keys.
     Page(Page<Value>),
-    /// The changes read, up to the store's present revision.
+    /// The changes that were read, up to the store's current revision.
     Changes(Events<Value>),
-    /// The transaction was carried out at this revision.
+    /// The transaction was committed at this revision.
     Committed(Version),
-    /// These keys' conditions failed.
+    /// The transaction's conditions on these keys failed.
     Conflict(Vec<String>),
-    /// The lease taken.
+    /// The lease that was acquired.
     Lease(LeaseId),
-    /// Done (renewals and ends of leases).
+    /// The lease was renewed or ended.
     Done,
-    /// The `set` named a lease that has ended.
+    /// A `set` of the transaction named a lease that has ended.
     NoSuchLease,
-    /// Not executed, and never will be as it is: too large for the service's limits.
+    /// The call was not executed, and never will be in this form: it is too large for the store's limits.
     Rejected,
-    /// Not executed: refused for now.
+    /// The call was not executed: it was refused for now.
     Refused,
-    /// No usable answer: it may have been executed, or may yet be.
+    /// No usable answer: the call may have been executed, or may yet be.
     Unknown,
 }
 
@@ -113,60 +114,60 @@
     Rent(Rent),
     /// Return machines.
     Return(MachineNames),
-    /// List machines after a name.
+    /// List the machines after a name if one is given, else from the first.
     List(Option<MachineId>),
 }
 
-/// How a call to the cloud ended.
+/// The outcome of a call to the cloud.
 #[derive(Clone, Debug)]
 pub enum CloudAnswer {
     /// The machine types.
     Catalog(Catalog),
-    /// The machines rented.
+    /// The machines that were rented.
     Rented(MachineNames),
-    /// None available.
+    /// No machine of the requested kind is available.
     NoCapacity,
-    /// The machines are gone.
+    /// The machines were returned and are gone.
     Returned,
-    /// A page of the list.
+    /// A page of the list of machines.
     Page(MachinePage),
     /// The request was malformed.
     Rejected,
-    /// Not executed: refused for now.
+    /// The call was not executed: it was refused for now.
     Refused,
-    /// No usable answer.
+    /// No usable answer: the call may have been executed, or may yet be.
     Unknown,
 }
 
-/// How direct commands to an agent ended.
+/// The outcome of direct commands to an agent.
 #[derive(Clone, Debug)]
 pub enum DirectOutcome {
-    /// Executed; the status report after them.
+    /// The commands were executed; contains the agent's status report after them.
     Executed(Box<StatusReport>),
-    /// Nothing executed; the status report if it was readable.
+    /// None of the commands was executed; contains the agent's status report if it was readable.
     Rejected(Option<Box<StatusReport>>),
     /// No connection was made, so nothing was sent.
     NotSent,
-    /// It was not tried: too many calls wait, or it would have been sent too late.
+    /// No call was attempted: too many calls were waiting, or the commands would have been sent too late.
     NotCalled,
-    /// No usable answer: they may have been executed, or may yet be.
+    /// No usable answer: the commands may have been executed, or may yet be.
     Unknown,
 }
 
 /// An input of a node.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed.
+    /// A tick of the main loop, on which periodic work that is due is done.
     Tick,
     /// A user's request.
     User(ReqId, UserRequest),
     /// A user's request that a peer forwarded.
     ForwardedRequest {
-        /// Which request.
+        /// The id to answer with.
         req: ReqId,
-        /// What is asked.
+        /// The user's request.
         request: UserRequest,
-        /// Which version the peer has.
+        /// The version of the peer that forwarded it.
         sender: SenderVersion,
     },
     /// An agent's status report.
@@ -175,56 +176,56 @@
     Health(ReqId),
     /// An administrator's request.
     Admin {
-        /// Which request.
+        /// The id to answer with.
         req: ReqId,
-        /// What is asked.
+        /// The administrator's request.
         request: AdminRequest,
-        /// Whether a peer forwarded it.
+        /// Whether the requester sent it or a peer forwarded it.
         origin: RequestOrigin,
     },
     /// A peer's heartbeat.
     Heartbeat(ReqId, Heartbeat),
-    /// A peer's answer to a heartbeat sent at the given moment.
+    /// A peer's answer to a heartbeat that was sent at the given time.
     HeartbeatReply(Time, HeartbeatReply),
-    /// Status reports that a peer forwards.
+    /// Status reports that a peer forwarded.
     ForwardedReports(ReqId, ForwardedReports),
-    /// The leader's answer to forwarded status reports; none if it gave none.
+    /// The leader's answer to forwarded status reports; `None` if there was none.
     ForwardedReportsReply(CallId, Option<ForwardedReportsReply>),
-    /// Cancellations that a peer replicates to this node.
+    /// Cancellations that a peer replicated to this node.
     ReplicateCancellations(ReqId, ReplicateCancellations),
-    /// A peer's answer to cancellations that were replicated to it; none if it gave none.
+    /// A peer's answer to cancellations that were replicated to it; `None` if there was none.
     ReplicateCancellationsReply(NodeName, Option<ReplicateCancellationsReply>),
-    /// A peer's answer to a forwarded request; none if it gave none.
+    /// A peer's answer to a forwarded request, as HTTP status and JSON body; `None` if there was none.
     ForwardReply(ReqId, Option<(u16, String)>),
-    /// The state service's answer to a call.
+    /// The outcome of a call to the store.
     Store {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// When it was sent.
+        /// Time at which the call was sent.
         sent_at: Time,
-        /// The answer.
+        /// The outcome.
         answer: StoreAnswer,
     },
-    /// Changes seen by the watch.
+    /// Changes that the watch received.
     Watched {
-        /// When the call was sent that brought them.
+        /// Time at which the call was sent that returned the changes.
         sent_at: Time,
-        /// The revision up to which there are no others.
+        /// Revision up to which there are no other changes.
         revision: Version,
         /// The changes.
         events: Vec<Event<Value>>,
     },
-    /// The watch has lost its place; everything must be read again.
+    /// The watch can't continue from its revision; everything must be read again.
     WatchLost,
-    /// The cloud's answer.
+    /// The outcome of a call to the cloud.
     Cloud(CallId, CloudAnswer),
-    /// How direct commands to an agent ended.
+    /// The outcome of direct commands to an agent.
     Direct {
-        /// Its machine.
+        /// The agent's machine.
         machine: MachineId,
         /// The commands.
         commands: DirectCommands,
-        /// How they ended.
+        /// The outcome.
         outcome: DirectOutcome,
     },
 }
@@ -234,13 +235,13 @@
 pub enum Output {
     /// Answer a request with JSON.
     Answer {
-        /// Which request.
+        /// The request.
         req: ReqId,
         /// HTTP status.
         status: u16,
         /// JSON body.
         body: String,
-        /// When to come back, in seconds.
+        /// Seconds after which the requester should retry.
         retry_after: Option<u32>,
     },
     /// Answer a heartbeat.
@@ -255,26 +256,27 @@
     ForwardReports {
         /// The leader.
         peer: NodeName,
-        /// By what the answer is matched.
+        /// The id with which the leader's answer arrives.
         call: CallId,
         /// The reports.
         reports: ForwardedReports,
     },
-    /// Call the state service.
+    /// Call the store.
     Store(CallId, StoreCall),
-    /// Watch the shared prefix from a revision on.
+    /// Watch the keys with the shared prefix from a revision on.
     Watch(Version),
     /// Call the cloud.
     Cloud(CallId, CloudCall),
     /// Send commands to an agent.
     Direct {
-        /// The machine.
+        /// The agent's machine.
         machine: MachineId,
-        /// Its address.
+        /// The agent's address.
         addr: String,
         /// The commands.
         body: DirectCommands,
-        /// They may be sent until this moment, if there is a bound; then they are answered as not called.
+        /// Time until which the commands may be sent, if there is a bound. Later they are answered with
+        /// [`DirectOutcome::NotCalled`].
         send_until: Option<Time>,
     },
     /// Send a heartbeat to every peer.
@@ -283,14 +285,14 @@
     Forward {
         /// The peer.
         peer: NodeName,
-        /// By what the answer is matched.
+        /// The id with which the peer's answer arrives.
         req: ReqId,
-        /// What is asked.
+        /// The request.
         request: Forward,
     },
 }
 
-/// A body as JSON, with its fields in the order of their declaration.
+/// Serializes a body as JSON, with its fields in the order of their declaration.
 pub(crate) fn json<T: serde::Serialize>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_else(|_| "{}".into())
 }
