--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,5 +1,7 @@
-//! The state machine of rudderreel. It has no clock, socket, thread or randomness of its own:
-//! [`Node::step`] takes an input and the time, and returns what to send, write and answer.
+//! The deterministic state machine of a rudderreel node.
+//!
+//! It has no clock, socket, thread or randomness of its own: [`Node::step`] takes an input and the current time, and
+//! returns the messages, store and cloud calls and answers that the caller is to send.
 #![forbid(unsafe_code)]
 #![cfg_attr(not(test), warn(clippy::too_many_lines))]
 
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -1,49 +1,52 @@
-//! What a leader counts and times, for administrators. Nothing is decided by it.
+//! Counters and latencies that a leader records for administrators. No decision depends on them.
 
 use crate::units::{Span, Wall};
 use rudderreel_wire::ids::{Class, MachineId, TaskId};
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Stops that are remembered.
-const REMEMBERED_STOPS: usize = 100;
-/// A histogram's bounds in milliseconds, and the significant digits that it keeps.
-const LEAST_MS: u64 = 1;
-const MOST_MS: u64 = 3_600_000;
-const DIGITS: u8 = 2;
+/// Number of the latest stops that are kept.
+const MAX_STOP_RECORDS: usize = 100;
+/// Smallest value that a histogram distinguishes; shorter times are recorded as this value.
+const MIN_MS: u64 = 1;
+/// Largest value that a histogram distinguishes; longer times are recorded as this value.
+const MAX_MS: u64 = 3_600_000;
+/// Decimal digits to which a histogram's values are exact.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// A histogram of milliseconds.
+/// A histogram of durations in milliseconds.
 pub struct LatencyHistogram(hdrhistogram::Histogram<u32>);
 
-/// What a histogram says, in milliseconds.
+/// Summary of a histogram, with durations in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LatencySummary {
-    /// How many times were recorded.
+    /// Number of durations that were recorded.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50: u64,
-    /// The 95th percentile.
+    /// 95th percentile.
     pub p95: u64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99: u64,
-    /// The longest.
+    /// Longest duration.
     pub max: u64,
 }
 
 impl Default for LatencyHistogram {
     fn default() -> Self {
-        let bounds = hdrhistogram::Histogram::new_with_bounds(LEAST_MS, MOST_MS, DIGITS);
-        Self(bounds.expect("the bounds are constants that fit"))
+        let histogram =
+            hdrhistogram::Histogram::new_with_bounds(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS);
+        Self(histogram.expect("the bounds are valid constants"))
     }
 }
 
 impl LatencyHistogram {
-    /// Records a time.
+    /// Records a duration.
     pub fn record(&mut self, span: Span) {
-        self.0.saturating_record(span.0.max(LEAST_MS));
+        self.0.saturating_record(span.0.max(MIN_MS));
     }
 
-    /// How many times were recorded, and their quantiles.
+    /// Returns the number of recorded durations and their quantiles.
     pub fn summary(&self) -> LatencySummary {
         LatencySummary {
             count: self.0.len(),
@@ -55,40 +58,40 @@
     }
 }
 
-/// A task that was stopped, as administrators are told.
+/// A stopped task, as shown to administrators.
 #[derive(Clone, Debug, Serialize)]
 pub struct StopRecord {
-    /// Milliseconds since 1970.
+    /// Time of the stop, in milliseconds since 1970.
     pub at_ms: u64,
-    /// The task.
+    /// Id of the task.
     pub task: String,
-    /// Its machine.
+    /// Id of the task's machine.
     pub machine: String,
-    /// Why.
+    /// Reason of the stop.
     pub why: &'static str,
 }
 
-/// What a leader has counted and timed.
+/// The counters and latencies of a leader.
 #[derive(Default)]
 pub struct LeaderMetrics {
-    /// Tasks that were stopped lately, the oldest first.
+    /// Tasks that were stopped recently, the oldest first.
     pub stops: VecDeque<StopRecord>,
-    /// How often things have happened, by the names that administrators see.
+    /// Numbers of events, by the counter names that administrators see.
     pub counters: BTreeMap<&'static str, u64>,
-    /// How long tasks waited for their first start, by class.
+    /// Times that tasks waited for their first start, by class.
     pub start_waits: BTreeMap<Class, LatencyHistogram>,
 }
 
 impl LeaderMetrics {
-    /// Counts something that has happened.
-    pub fn count(&mut self, what: &'static str) {
-        *self.counters.entry(what).or_default() += 1;
+    /// Increments a counter.
+    pub fn count(&mut self, counter: &'static str) {
+        *self.counters.entry(counter).or_default() += 1;
     }
 
-    /// Counts and remembers that a task was stopped.
+    /// Records that a task was stopped: keeps the stop and increments the counter of its reason.
     pub fn record_stop(&mut self, at: Wall, task: &TaskId, machine: &MachineId, why: &'static str) {
         self.count(why);
-        if self.stops.len() >= REMEMBERED_STOPS {
+        if self.stops.len() >= MAX_STOP_RECORDS {
             self.stops.pop_front();
         }
         self.stops.push_back(StopRecord {
--- a/crates/core/src/task_set.rs
+++ b/crates/core/src/task_set.rs
@@ -1,21 +1,21 @@
-//! Sets of task numbers, kept as ranges: most of a large job's tasks are next to one another among those that are done,
+//! Sets of task numbers, stored as ranges, because most tasks of a large job have adjacent numbers among the done tasks
 //! and among those that have not been started.
 //!
-//! Invariant: ranges neither touch nor overlap, so a set has one form, and its size in the placement log follows from
-//! the number of its ranges.
+//! Invariant: ranges neither touch nor overlap, so a set has exactly one representation, and its size in the placement
+//! log follows from the number of its ranges.
 
 use std::collections::BTreeMap;
 
 /// A set of task numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TaskSet {
-    /// The first number of each range, and its last.
+    /// The last number of each range, by its first.
     ranges: BTreeMap<u32, u32>,
     count: u32,
 }
 
 impl TaskSet {
-    /// All numbers below one.
+    /// Returns the set of all numbers below `end`.
     pub fn below(end: u32) -> Self {
         let mut set = Self::default();
         if end > 0 {
@@ -25,23 +25,23 @@
         set
     }
 
-    /// How many numbers it holds.
+    /// Returns how many numbers the set contains.
     pub fn len(&self) -> u32 {
         self.count
     }
 
-    /// Whether a number is in it.
+    /// Returns whether the set contains a number.
     pub fn contains(&self, number: u32) -> bool {
         self.range_of(number).is_some()
     }
 
-    /// The range that holds a number.
+    /// Returns the range that contains a number.
     fn range_of(&self, number: u32) -> Option<(u32, u32)> {
         let (&first, &last) = self.ranges.range(..=number).next_back()?;
         (number <= last).then_some((first, last))
     }
 
-    /// Adds a number; returns whether it is new.
+    /// Adds a number, and returns whether it is new.
     pub fn insert(&mut self, number: u32) -> bool {
         if self.contains(number) {
             return false;
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Removes a number; returns whether it was there.
+    /// Removes a number, and returns whether the set contained it.
     pub fn remove(&mut self, number: u32) -> bool {
         let Some((first, last)) = self.range_of(number) else {
             return false;
@@ -70,17 +70,18 @@
         true
     }
 
-    /// The numbers in order.
+    /// Returns the numbers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.ranges().flat_map(|(first, last)| first..=last)
     }
 
-    /// The ranges in order, both ends included.
+    /// Returns the first and last number of each range, in ascending order.
     pub fn ranges(&self) -> impl Iterator<Item = (u32, u32)> + '_ {
         self.ranges.iter().map(|(&first, &last)| (first, last))
     }
 
-    /// Adds a range, which may hold whole ranges of this set but not parts of others.
+    /// Adds a range, given by its first and last number. It may contain whole ranges of this set but must not overlap
+    /// any range in part.
     fn add_range(&mut self, (first, last): (u32, u32)) {
         let inside: Vec<u32> = (self.ranges.range(first..=last))
             .map(|(&inner_first, _)| inner_first)
@@ -94,19 +95,20 @@
         self.count += last - first + 1;
     }
 
-    /// Of this set at most `max_ranges` ranges, or as many as hold all of `recorded`, a part of this set: what can't be
-    /// recorded this time is recorded later, and nothing that was recorded is dropped.
+    /// Returns a part of this set: at most `max_ranges` of its ranges, or as many as contain all of `recorded`, which
+    /// is a subset of this set. What can't be recorded this time is recorded later, and nothing that was recorded is
+    /// dropped.
     pub fn limited_to_ranges(&self, max_ranges: usize, recorded: &Self) -> Self {
         if self.ranges.len() <= max_ranges {
             return self.clone();
         }
-        let holds_recorded =
+        let contains_recorded =
             |&(first, last): &(u32, u32)| recorded.ranges.range(first..=last).next().is_some();
         let mut part = Self::default();
-        for range in self.ranges().filter(holds_recorded) {
+        for range in self.ranges().filter(contains_recorded) {
             part.add_range(range);
         }
-        for range in self.ranges().filter(|range| !holds_recorded(range)) {
+        for range in self.ranges().filter(|range| !contains_recorded(range)) {
             if part.ranges.len() >= max_ranges {
                 break;
             }
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -1,4 +1,4 @@
-//! A small leader for unit tests.
+//! Fixtures for unit tests: a node, a small leader, machines, jobs and status reports.
 
 use crate::fleet::{Machine, MachineDescription, Phase, PlacedTask};
 use crate::jobs::job::Job;
@@ -13,7 +13,7 @@
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::worker::{StatusReport, TaskState, TaskStatus};
 
-/// The moment that tests begin at.
+/// Time at which tests begin.
 pub const NOW: Now = Now {
     time: Time(1_000_000),
     wall: Wall(1_000_000),
@@ -55,28 +55,28 @@
 list_lag_s = 3.0
 "#;
 
-/// The settings of a node that is alone.
+/// Returns the settings of a deployment with a single node.
 pub fn settings() -> Settings {
     Settings::parse(SETTINGS).expect("settings")
 }
 
-/// A node that is alone.
+/// Returns the node of a deployment with a single node.
 pub fn node() -> Node {
     Node::new(settings())
 }
 
-/// A leader with two teams, one machine type of 4 CPUs in two zones, and nothing else.
+/// Returns a leader with two teams, one machine type of 4 CPUs in two zones, and nothing else.
 pub fn leader() -> Leader {
     let settings = Settings::parse(SETTINGS).expect("settings");
     let tree = TeamTree::from_limits(&settings.params.teams);
-    let won = ElectionWin {
+    let win = ElectionWin {
         epoch: Epoch(1),
         lease: LeaseId(1),
         lease_sent: NOW.time,
         key: LeaderKey::Common,
         version: Version(1),
     };
-    let mut leader = Leader::new(&settings, tree, won, NOW.time);
+    let mut leader = Leader::new(&settings, tree, win, NOW.time);
     leader.recovery.complete();
     let mut cache = CacheConfirmation::default();
     cache.confirm(Version(1), NOW.time);
@@ -88,15 +88,15 @@
     leader
 }
 
-/// Adds a machine that was just heard.
+/// Adds a machine whose agent has just reported, and returns its id.
 pub fn add_live_machine(leader: &mut Leader, id: &str, zone: &str) -> MachineId {
-    let room = leader.policy.capacity_of(&"m4".into());
+    let machine_capacity = leader.policy.capacity_of(&"m4".into());
     let mut machine = Machine::new(MachineDescription {
         id: id.into(),
         machine_type: "m4".into(),
         zone: zone.into(),
         is_spot: false,
-        capacity: room,
+        capacity: machine_capacity,
         known_since: NOW.wall,
     });
     machine.last_heard_at = Some(NOW.time);
@@ -107,12 +107,12 @@
     id
 }
 
-/// A job of four tasks of one CPU.
+/// Returns a job of four tasks of one CPU each.
 pub fn job(n: u32, kind: &str, team: &str, priority: &str) -> Job {
     job_of(n, kind, team, priority, 4, 1.0)
 }
 
-/// A job of so many tasks of so many CPUs.
+/// Returns a job of `tasks` tasks of `cpus` CPUs each.
 pub fn job_of(n: u32, kind: &str, team: &str, priority: &str, tasks: u32, cpus: f64) -> Job {
     let spec = serde_json::json!({
         "id": format!("wk-{n}"), "reel": kind, "crew": team, "rig": kind,
@@ -124,7 +124,7 @@
     Job::new(spec, Version(1), NOW.wall)
 }
 
-/// Has a task of a job run on a machine since long ago.
+/// Adds a task of a job that has been running on a machine for a long time.
 pub fn add_running_task(leader: &mut Leader, job: &Job, index: u32, machine: &MachineId) {
     if !leader.jobs.contains(&job.spec.id) {
         leader.jobs.insert(job.spec.id.clone(), job.clone());
@@ -134,15 +134,15 @@
     job.place(index, machine, attempt);
     job.has_started = true;
     let task = job.spec.id.task(index);
-    let mut entry = PlacedTask::planned(task, attempt, Some(job.spec.clone()), Time(1));
-    entry.phase = Phase::On(TaskState::Running);
-    entry.running_since = Some(Time(1));
+    let mut placed_task = PlacedTask::planned(task, attempt, Some(job.spec.clone()), Time(1));
+    placed_task.phase = Phase::On(TaskState::Running);
+    placed_task.running_since = Some(Time(1));
     if let Some(machine) = leader.fleet.machines.get_mut(machine) {
-        machine.tasks.push(entry);
+        machine.tasks.push(placed_task);
     }
 }
 
-/// A report of a machine on which one task runs.
+/// Returns a status report of a machine on which one task is running.
 pub fn running_task_report(
     machine: &MachineId,
     token: Epoch,
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -1,57 +1,57 @@
-//! Small types for times and amounts, so that milliseconds, times of day and resources can't be mixed up.
+//! Types for times and amounts, so that milliseconds, times of day and resources can't be mixed up.
 //!
-//! * [`Time`] is a moment of the steady clock: everything that is decided by elapsed time uses it.
-//! * [`Wall`] is a time of day: it is stored and shown, and may jump within the bound of the settings.
-//! * [`Span`] is a length of time. Differences saturate at zero: a moment that is not reached yet has not been for long.
+//! * [`Time`] is a moment on the monotonic clock: every decision by elapsed time uses it.
+//! * [`Wall`] is a time of day: it is stored and shown, and may jump within the bound in the settings.
+//! * [`Span`] is a duration. Differences saturate at zero: no time has elapsed since a moment in the future.
 //! * [`Resources`] are amounts in thousandths, so that sums are exact.
 
 use rudderreel_wire::{cloud::MachineType, job::JobSpec};
 use serde::{Deserialize, Serialize};
 
-/// A moment on this process's steady clock, in milliseconds.
+/// A moment on this process's monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
-/// A time of day, in milliseconds since 1970. It may be wrong by the bound in the settings.
+/// A time of day, in milliseconds since 1970. It may be wrong by as much as the bound in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Wall(pub u64);
 
-/// A length of time, in milliseconds.
+/// A duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub u64);
 
 /// Both clocks at the same moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Now {
-    /// Steady clock.
+    /// Time on the monotonic clock.
     pub time: Time,
     /// Time of day.
     pub wall: Wall,
 }
 
 const MS_PER_S: f64 = 1000.0;
-/// Two clocks drift apart by one part in so many at most: each by 0.05%.
-const DRIFT_PARTS: u64 = 1000;
+/// Two clocks drift apart by at most one part in this many: each drifts by at most 0.05%.
+const RELATIVE_DRIFT_DIVISOR: u64 = 1000;
 
 impl Span {
-    /// From seconds, rounded up; a negative number counts as zero.
+    /// Converts from seconds, rounding up; a negative number counts as zero.
     pub fn secs(seconds: f64) -> Self {
         Self((seconds.max(0.0) * MS_PER_S).ceil() as u64)
     }
 
-    /// This span and what two clocks may drift apart meanwhile.
+    /// Returns this span, extended by the time that two clocks may drift apart during it.
     pub fn with_drift(self) -> Self {
-        Self(self.0 + self.0.div_ceil(DRIFT_PARTS))
+        Self(self.0 + self.0.div_ceil(RELATIVE_DRIFT_DIVISOR))
     }
 
-    /// In seconds.
+    /// Converts to seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / MS_PER_S
     }
 }
 
 impl Wall {
-    /// How long it is until a later moment; zero if that is over.
+    /// Returns the time until a later moment; zero if that has passed.
     pub fn until(self, later: Self) -> Span {
         Span(later.0.saturating_sub(self.0))
     }
@@ -73,8 +73,8 @@
 
 impl std::ops::Add<Span> for Span {
     type Output = Span;
-    fn add(self, more: Span) -> Span {
-        Span(self.0.saturating_add(more.0))
+    fn add(self, other: Span) -> Span {
+        Span(self.0.saturating_add(other.0))
     }
 }
 
@@ -85,31 +85,31 @@
     }
 }
 
-/// An amount of each resource, in thousandths, so that sums are exact.
+/// An amount of each resource, in thousandths of its unit, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
-    /// CPUs.
+    /// Thousandths of a CPU.
     pub cpus: i64,
-    /// GPUs.
+    /// Thousandths of a GPU.
     pub gpus: i64,
-    /// Memory in GB.
+    /// Memory, in thousandths of a GB.
     pub memory: i64,
 }
 
-const THOUSANDTHS: f64 = 1000.0;
-/// Amounts that are so close to a whole number of thousandths are not rounded to the next.
+const THOUSANDTHS_PER_UNIT: f64 = 1000.0;
+/// An amount this close to a whole number of thousandths is rounded to that number, not to the next one.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 fn thousandths_rounded_up(amount: f64) -> i64 {
-    (amount * THOUSANDTHS - ROUNDING_TOLERANCE).ceil() as i64
+    (amount * THOUSANDTHS_PER_UNIT - ROUNDING_TOLERANCE).ceil() as i64
 }
 
 fn thousandths_rounded_down(amount: f64) -> i64 {
-    (amount * THOUSANDTHS + ROUNDING_TOLERANCE).floor() as i64
+    (amount * THOUSANDTHS_PER_UNIT + ROUNDING_TOLERANCE).floor() as i64
 }
 
 impl Resources {
-    /// What one task of a job takes, rounded up.
+    /// Returns the resources that one task of a job needs, rounded up.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self {
             cpus: thousandths_rounded_up(spec.cpus),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What a machine offers, rounded down.
+    /// Returns the resources of a machine of a type, rounded down.
     pub fn of_machine(machine_type: &MachineType) -> Self {
         Self {
             cpus: thousandths_rounded_down(machine_type.cpus),
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Whether `other` fits into this.
+    /// Returns whether `other` fits into these resources.
     pub fn holds(&self, other: &Self) -> bool {
         self.cpus >= other.cpus && self.gpus >= other.gpus && self.memory >= other.memory
     }
 
-    /// This, `n` times.
+    /// Returns these resources multiplied by `n`.
     pub fn times(&self, n: u32) -> Self {
         let n = i64::from(n);
         Self {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// How many times `other` fits into this; what `other` does not need sets no limit.
+    /// Returns how many times `other` fits into these resources. A resource that `other` does not need sets no limit.
     pub fn fit_count(&self, other: &Self) -> u32 {
         let times = |have: i64, need: i64| {
             if need <= 0 {
