--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job, leader, run, up, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, NOW};
 use proptest::prelude::*;
 use rudderreel_wire::worker::Cause;
 
@@ -24,7 +24,7 @@
 
 fn fleet(jobs: &[u32]) -> Leader {
     let mut leader = leader();
-    (0..5).for_each(|n| drop(up(&mut leader, &format!("vm-{n}"), "a")));
+    (0..5).for_each(|n| drop(add_live_machine(&mut leader, &format!("vm-{n}"), "a")));
     for &n in jobs {
         let job = job(n, "sweep", "red", "normal");
         leader.jobs.insert(job.spec.id.clone(), job);
@@ -97,7 +97,7 @@
     fail(&mut leader, 1, "vm-1", 11);
     assert!(!suspected(&leader, 1));
     let service = job(2, "standing", "red", "prod");
-    run(&mut leader, &service, 1, &"vm-3".into());
+    add_running_task(&mut leader, &service, 1, &"vm-3".into());
     (0..3).for_each(|n| fail(&mut leader, 2, &format!("vm-{n}"), 40 + n));
     assert!(!suspected(&leader, 2));
 }
--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 use crate::store::records::JobRecord;
-use crate::testing::{job, leader, run, running, up, NOW};
+use crate::testing::{add_live_machine, add_running_task, job, leader, running_task_report, NOW};
 use rudderreel_wire::ids::Attempt;
 use rudderreel_wire::ids::{Epoch, Seq, Version};
 use rudderreel_wire::job::JobState;
 
 fn report(machine: &MachineId, seq: u64, task: &TaskId) -> StatusReport {
-    running(machine, Epoch(1), Seq(seq), task, Attempt(1))
+    running_task_report(machine, Epoch(1), Seq(seq), task, Attempt(1))
 }
 
 /// The answer to a report that came late was empty, and renewed the agent's lease all the same.
 #[test]
 fn the_answer_to_a_late_report_stops_what_is_cancelled() {
     let mut leader = leader();
-    let id = up(&mut leader, "vm-1", "a");
+    let id = add_live_machine(&mut leader, "vm-1", "a");
     let job = job(1, "sweep", "red", "normal");
-    run(&mut leader, &job, 0, &id);
+    add_running_task(&mut leader, &job, 0, &id);
     let mut job_cache = JobCache::default();
     let mut record = JobRecord::queued(&job.spec, NOW.wall);
     record.state = JobState::Cancelled;
--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -76,14 +76,14 @@
 
     /// Returns how many tasks of a job fit on each machine.
     pub(super) fn tasks_per_machine(&self, job: &Job) -> u32 {
-        let tasks = self.free.count(&job.need);
+        let tasks = self.free.fit_count(&job.need);
         if job.is_preemptible() {
             return tasks;
         }
         // An empty machine takes one task even if that needs more than the reduced resources.
         let is_empty = self.non_preemptible_free.cpus == self.free.cpus / NON_PREEMPTIBLE_DIVISOR;
         let at_least = u32::from(tasks > 0 && is_empty);
-        tasks.min(self.non_preemptible_free.count(&job.need).max(at_least))
+        tasks.min(self.non_preemptible_free.fit_count(&job.need).max(at_least))
     }
 
     /// Returns whether the job's node affinity allows these machines.
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -258,7 +258,7 @@
     fn unclaimed_room_in(&self, gang: &Job, zone: &Zone) -> u32 {
         (0..self.unclaimed.len())
             .filter(|&index| self.is_claimable(gang, index, zone))
-            .map(|index| self.snapshot.candidates[index].free.count(&gang.need))
+            .map(|index| self.snapshot.candidates[index].free.fit_count(&gang.need))
             .sum()
     }
 
@@ -267,7 +267,7 @@
         let mut tasks = 0;
         for index in 0..self.unclaimed.len() {
             if tasks < gang.spec.tasks && self.is_claimable(gang, index, zone) {
-                tasks += self.snapshot.candidates[index].free.count(&gang.need);
+                tasks += self.snapshot.candidates[index].free.fit_count(&gang.need);
                 self.unclaimed[index] = false;
             }
         }
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -2,7 +2,7 @@
 use crate::dispatch::team_usage::TeamUsage;
 use crate::leader::recovery_progress::RecoveryProgress;
 use crate::node::completions::completed_record;
-use crate::testing::{job, leader, running, NOW};
+use crate::testing::{job, leader, running_task_report, NOW};
 use crate::units::Resources;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, Seq, Version};
 use rudderreel_wire::job::JobState;
@@ -71,7 +71,7 @@
             && !leader.placement_log.is_dead(SegmentId(1))
     );
     // One of the tasks is on the machine and is stopped; the other is not, and is surely gone.
-    let report = running(&machine, Epoch(5), Seq(1), &unknown.task(1), Attempt(3));
+    let report = running_task_report(&machine, Epoch(5), Seq(1), &unknown.task(1), Attempt(3));
     leader.reconcile_report(&report, NOW);
     let stop = Command::Stop {
         task: unknown.task(1),
@@ -91,11 +91,11 @@
 #[test]
 fn remaining_tasks_of_a_job_that_is_done_count_after_a_failover() {
     let mut before = leader();
-    let machine = crate::testing::up(&mut before, "vm-1", "a");
+    let machine = crate::testing::add_live_machine(&mut before, "vm-1", "a");
     let gang = job(1, "gang", "red", "normal");
     let id = gang.spec.id.clone();
     for index in 0..2 {
-        crate::testing::run(&mut before, &gang, index, &machine);
+        crate::testing::add_running_task(&mut before, &gang, index, &machine);
     }
     let done = completed_record(&before.jobs[&id], &before.store_limits, NOW);
     assert_eq!(done.state, JobState::Done);
--- a/crates/core/src/node/mod.rs
+++ b/crates/core/src/node/mod.rs
@@ -45,7 +45,7 @@
 use crate::overload::backlog::Backlog;
 use crate::overload::fleet_limits::FleetLimits;
 use crate::overload::pacing::{LongStep, Pacing};
-use crate::overload::pauses::Pauses;
+use crate::overload::pauses::ProcessPauses;
 use crate::overload::processor_share::ProcessorShare;
 use crate::store::calls::StoreCalls;
 use crate::store::limits::StoreLimits;
@@ -125,7 +125,7 @@
     /// Tracks whether this node keeps up with its inputs.
     backlog: Backlog,
     /// Pauses of the whole process.
-    pauses: Pauses,
+    pauses: ProcessPauses,
 
     /// Outputs of the current step.
     out: Vec<Output>,
@@ -191,7 +191,7 @@
             next_reconcile_at: Time(0),
             pacing: Pacing::default(),
             backlog: Backlog::default(),
-            pauses: Pauses::default(),
+            pauses: ProcessPauses::default(),
             last_report_at: None,
             peers_reached_since: None,
             out: Vec::new(),
@@ -233,7 +233,7 @@
                 self.replication_answered(peer, reply, now)
             }
             Input::ForwardReply(req, answer) => self.forward_answered(req, answer),
-            Input::State {
+            Input::Store {
                 call,
                 sent_at,
                 answer,
@@ -278,7 +278,7 @@
 
     /// Runs the periodic work that is due.
     fn tick(&mut self, now: Now) {
-        self.pauses.tick(now.time);
+        self.pauses.record_tick(now.time);
         self.begin_cache_sync_if_due(now);
         self.backlog.update_load(now.time);
         self.election_tick(now);
--- a/crates/core/src/scheduling/actions/gang_reservation.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation.rs
@@ -119,10 +119,10 @@
     /// have ended.
     fn of(gang: &Job, candidate: &CandidateMachine) -> Self {
         let free = candidate.unreserved();
-        match free.count(&gang.need) {
+        match free.fit_count(&gang.need) {
             0 => Self {
                 ready_in_s: candidate.finite_tasks_end_in_s,
-                tasks: (free + candidate.finite_tasks_need).count(&gang.need),
+                tasks: (free + candidate.finite_tasks_need).fit_count(&gang.need),
             },
             tasks => Self {
                 ready_in_s: 0.0,
--- a/crates/core/src/scheduling/actions/gang_reservation/tests.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use crate::units::{Now, Span};
 
 /// Returns a leader with two machines in each of two zones, one machine of each zone full for four seconds, and a
@@ -7,11 +7,11 @@
 fn full_fleet() -> (Leader, Job) {
     let mut leader = leader();
     for zone in ["a", "b"] {
-        let full = up(&mut leader, &format!("vm-{zone}1"), zone);
-        up(&mut leader, &format!("vm-{zone}2"), zone);
+        let full = add_live_machine(&mut leader, &format!("vm-{zone}1"), zone);
+        add_live_machine(&mut leader, &format!("vm-{zone}2"), zone);
         let n = u32::from(zone == "b") + 1;
         let running = job_of(n, "sweep", "red", "normal", 1, 4.0);
-        run(&mut leader, &running, 0, &full);
+        add_running_task(&mut leader, &running, 0, &full);
     }
     for placed in leader
         .fleet
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rudderreel_wire::ids::TaskId;
@@ -10,7 +10,7 @@
 fn crowded_fleet(rng: &mut StdRng) -> (Leader, Job) {
     let mut leader = leader();
     let machines: Vec<MachineId> = (0..rng.random_range(8..24))
-        .map(|n| up(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n:02}"), ["a", "b"][n % 2]))
         .collect();
     let quota = f64::from(rng.random_range(2..6u32)) * 4.0;
     for node in leader.policy.teams.nodes.iter_mut().skip(1) {
@@ -34,7 +34,7 @@
         for index in 0..tasks {
             let position = rng.random_range(0..free.len());
             let machine = free.remove(position);
-            run(&mut leader, &running, index, &machine);
+            add_running_task(&mut leader, &running, index, &machine);
         }
     }
     let tasks = rng.random_range(2..5);
@@ -62,7 +62,7 @@
             for e in m.tasks.iter().filter(|e| !without.contains(&e.task)) {
                 free -= e.need;
             }
-            free.count(&job.need)
+            free.fit_count(&job.need)
         })
         .sum()
 }
@@ -204,7 +204,7 @@
 fn unneeded_victims_are_spared_and_room_is_not_reclaimed_back() {
     let mut leader = leader();
     let ids: Vec<MachineId> = (0..8)
-        .map(|n| up(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
+        .map(|n| add_live_machine(&mut leader, &format!("vm-{n}"), ["a", "b"][n / 4]))
         .collect();
     let quotas = [("red", 4.0), ("blue", 12.0)];
     for (team, quota) in quotas {
@@ -216,9 +216,9 @@
     leader.policy.teams.nodes[red].limit[0] = 16.0;
     let single = |n: u32| job_of(n, "sweep", "red", "normal", 1, 4.0);
     let borrowing_gang = job_of(2, "gang", "red", "normal", 3, 4.0);
-    run(&mut leader, &single(1), 0, &ids[0]);
-    (0..3).for_each(|i| run(&mut leader, &borrowing_gang, i, &ids[1 + i as usize]));
-    (4..8).for_each(|i| run(&mut leader, &single(i as u32), 0, &ids[i]));
+    add_running_task(&mut leader, &single(1), 0, &ids[0]);
+    (0..3).for_each(|i| add_running_task(&mut leader, &borrowing_gang, i, &ids[1 + i as usize]));
+    (4..8).for_each(|i| add_running_task(&mut leader, &single(i as u32), 0, &ids[i]));
     let waiting = job_of(99, "gang", "blue", "normal", 3, 4.0);
     leader.jobs.insert(waiting.spec.id.clone(), waiting.clone());
     let stopped = evicted(&leader, &waiting);
@@ -235,6 +235,6 @@
     leader
         .jobs
         .insert(borrowing_gang.spec.id.clone(), borrowing_gang.clone());
-    (0..3).for_each(|i| run(&mut leader, &waiting, i, &ids[1 + i as usize]));
+    (0..3).for_each(|i| add_running_task(&mut leader, &waiting, i, &ids[1 + i as usize]));
     assert_eq!(evicted(&leader, &borrowing_gang), BTreeSet::new());
 }
--- a/crates/core/src/scheduling/snapshot/reservations.rs
+++ b/crates/core/src/scheduling/snapshot/reservations.rs
@@ -40,7 +40,7 @@
             .filter(|(candidate_index, candidate)| {
                 Some(*candidate_index) != without && candidate.has_image(image)
             })
-            .map(|(_, candidate)| (candidate.free + candidate.preemptible).count(need))
+            .map(|(_, candidate)| (candidate.free + candidate.preemptible).fit_count(need))
             .sum()
     }
 
@@ -57,7 +57,7 @@
             let mut left = reserve.tasks;
             for candidate_index in self.machines_for_reserve(&reserve) {
                 let candidate = &mut self.candidates[candidate_index];
-                let tasks = candidate.unreserved().count(&reserve.need).min(left);
+                let tasks = candidate.unreserved().fit_count(&reserve.need).min(left);
                 candidate.reserved_for_arrivals += reserve.need.times(tasks);
                 left -= tasks;
             }
--- a/crates/core/src/scheduling/spot_reclaim/tests.rs
+++ b/crates/core/src/scheduling/spot_reclaim/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 use crate::jobs::job::Job;
-use crate::testing::{job_of, leader, run, up, NOW};
+use crate::testing::{add_live_machine, add_running_task, job_of, leader, NOW};
 use rudderreel_wire::ids::Version;
 
 /// Returns a leader with one spot machine that will be reclaimed after `left_ms` milliseconds and runs one task.
 fn leader_with_reclaimed_machine(estimate_s: f64, checkpoint_s: f64, left_ms: u64) -> Leader {
     let mut leader = leader();
-    let machine = up(&mut leader, "vm-1", "a");
+    let machine = add_live_machine(&mut leader, "vm-1", "a");
     let mut spec = (*job_of(1, "sweep", "red", "low", 1, 1.0).spec).clone();
     spec.estimate_s = estimate_s;
     spec.checkpoint_s = checkpoint_s;
     spec.save_s = 5.0;
     let job = Job::new(spec, Version(1), NOW.wall);
-    run(&mut leader, &job, 0, &machine);
+    add_running_task(&mut leader, &job, 0, &machine);
     let machine = leader.fleet.machines.get_mut(&machine).expect("a machine");
     machine.tasks[0].running_since = Some(NOW.time);
     machine.reclaim_at = Some(NOW.time + Span(left_ms));
