--- a/crates/core/src/dispatch/direct_calls.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -93,7 +93,7 @@
     fn may_call_directly(&mut self, now: Time) -> bool {
         let calls_per_s = DirectCallBudget::calls_per_s(self.fleet.machines.len());
         let calls_per_s = self.processor_share.slowed(calls_per_s);
-        self.fleet.direct_calls.has_call(calls_per_s, now)
+        self.fleet.direct_calls.has_token(calls_per_s, now)
     }
 
     /// Whether commands are waiting that a direct call would speed up.
--- a/crates/core/src/fleet/direct_calls.rs
+++ b/crates/core/src/fleet/direct_calls.rs
@@ -36,7 +36,7 @@
     }
 
     /// Adds what was earned since, and returns whether a call may be made now.
-    pub fn has_call(&mut self, calls_per_s: f64, now: Time) -> bool {
+    pub fn has_token(&mut self, calls_per_s: f64, now: Time) -> bool {
         let earned = (now - self.refilled_at).as_secs() * calls_per_s;
         self.tokens = (self.tokens + earned).min(calls_per_s);
         self.refilled_at = now;
--- a/crates/core/src/fleet/direct_calls/tests.rs
+++ b/crates/core/src/fleet/direct_calls/tests.rs
@@ -8,7 +8,7 @@
     let calls_per_s = DirectCallBudget::calls_per_s(0);
     let take_all = |budget: &mut DirectCallBudget, now: Time| {
         let mut calls = 0;
-        while budget.has_call(calls_per_s, now) {
+        while budget.has_token(calls_per_s, now) {
             budget.take_call();
             calls += 1;
         }
