--- a/crates/core/src/dispatch/direct_calls.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -69,7 +69,7 @@
         if commands.is_empty() {
             return None;
         }
-        self.fleet.direct_calls.take_call();
+        self.fleet.direct_calls.take_token();
         let epoch = self.term.epoch();
         // A start is checked now, and may wait in the process: the right that it was checked by must not lapse meanwhile.
         let send_until = has_start(&commands).then(|| self.term.may_act_until());
--- a/crates/core/src/fleet/direct_calls.rs
+++ b/crates/core/src/fleet/direct_calls.rs
@@ -44,7 +44,7 @@
     }
 
     /// Takes the token of a call that is made.
-    pub fn take_call(&mut self) {
+    pub fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 }
--- a/crates/core/src/fleet/direct_calls/tests.rs
+++ b/crates/core/src/fleet/direct_calls/tests.rs
@@ -9,7 +9,7 @@
     let take_all = |budget: &mut DirectCallBudget, now: Time| {
         let mut calls = 0;
         while budget.has_token(calls_per_s, now) {
-            budget.take_call();
+            budget.take_token();
             calls += 1;
         }
         calls
