--- a/crates/core/src/api/admin/overview.rs
+++ b/crates/core/src/api/admin/overview.rs
@@ -100,7 +100,7 @@
         Self {
             jobs_unfinished: Some(leader.jobs.len()),
             machines: Some(leader.fleet.machines.len()),
-            machines_beyond_connections: Some(leader.fleet.beyond_connections),
+            machines_beyond_connections: Some(leader.fleet.machines_beyond_connections),
             placement_log_segments: Some(leader.placement_log.len()),
             counters: Some(&leader.metrics.counters),
             start_waits_ms: Some(
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -37,7 +37,7 @@
     /// Zones that are partitioned from this node.
     pub partitioned_zones: ZonePartitions,
     /// Machines that the nodes' connections don't suffice for.
-    pub beyond_connections: usize,
+    pub machines_beyond_connections: usize,
     /// Until when machines are suspect that have not missed a status report yet.
     pub suspect_until: Time,
     /// The budget of direct calls to agents.
@@ -54,7 +54,7 @@
         Self {
             machines: BTreeMap::new(),
             partitioned_zones: ZonePartitions::default(),
-            beyond_connections: 0,
+            machines_beyond_connections: 0,
             suspect_until: now,
             direct_calls: DirectCallBudget::new(now),
             reachability: AgentReachability::new(now),
@@ -77,11 +77,11 @@
     /// some.
     pub(crate) fn update_beyond_connections(&mut self, limits: Option<FleetLimits>) {
         let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
-        if beyond > 0 && self.beyond_connections == 0 {
+        if beyond > 0 && self.machines_beyond_connections == 0 {
             let machines = self.machines.len();
             log::warn!("more machines than connections machines={machines} beyond={beyond}");
         }
-        self.beyond_connections = beyond;
+        self.machines_beyond_connections = beyond;
     }
 }
 
