--- a/crates/core/src/agents/probing.rs
+++ b/crates/core/src/agents/probing.rs
@@ -75,7 +75,9 @@
     }
 
     fn may_have_failed_with_others(&self, machine: &Machine, silent_for: Span, now: Time) -> bool {
-        now < self.fleet.suspect_until && silent_for > JUST_HEARD && machine.runs_non_preemptible()
+        now < self.fleet.early_probing_until
+            && silent_for > JUST_HEARD
+            && machine.runs_non_preemptible()
     }
 
     /// Whether a machine should stop something that may be gone already. It is asked at once: until its agent has
@@ -98,7 +100,7 @@
         let missed_report =
             (machine.last_heard_at).is_some_and(|heard| now - heard > report_timeout);
         if missed_report && !self.fleet.partitioned_zones.contains(&machine.zone) {
-            self.fleet.suspect_until = now + SUSPECT_PERIOD;
+            self.fleet.early_probing_until = now + SUSPECT_PERIOD;
         }
     }
 }
--- a/crates/core/src/fleet/blame.rs
+++ b/crates/core/src/fleet/blame.rs
@@ -1,32 +1,34 @@
-//! Failures as evidence against a machine (see `agents::fault_attribution`): which jobs failed on it, whether that
-//! makes it suspect, and how long it is quarantined.
+//! Failures as evidence against a machine (see `agents::fault_attribution`): which jobs failed on it, whether it is
+//! suspected to be faulty, and how long it is quarantined.
 
 use super::machine::Machine;
 use crate::jobs::failures::{EVIDENCE_TTL, MAX_DOUBLINGS, MAX_EVIDENCE};
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::JobId;
 
-/// A job that failed on a machine.
+/// The failure of a job on a machine.
 #[derive(Clone, Debug)]
 pub struct JobFailure {
-    /// The job.
+    /// Job that failed.
     pub job: JobId,
-    /// When it failed there first.
+    /// Time of the job's first failure on the machine.
     pub at: Time,
 }
 
-/// A machine is suspected after failures of so many jobs that are not.
+/// Number of failed jobs, not suspected themselves, after which a machine is suspected.
 pub const JOBS_TO_SUSPECT_MACHINE: usize = 2;
-/// The first quarantine of a machine; it doubles with each further job.
+/// Duration of a machine's first quarantine. It doubles with each further job that fails on the machine.
 const FIRST_QUARANTINE: Span = Span(4_000);
 
 impl Machine {
-    /// Whether so many jobs have failed on it that it is probably faulty.
+    /// Returns whether so many jobs have failed on the machine that it is probably faulty.
     pub fn is_suspected(&self) -> bool {
         self.failed_jobs.len() >= JOBS_TO_SUSPECT_MACHINE
     }
 
-    /// Records that a job failed on it. `job_is_proven`: some task of the job has completed or run for long.
+    /// Records that a job failed on the machine, and quarantines the machine unless the job is more likely at fault.
+    ///
+    /// `job_is_proven`: whether some task of the job has completed or run for long.
     pub fn record_failure(&mut self, job: &JobId, job_is_proven: bool, now: Time) {
         self.failed_jobs
             .retain(|failure| now - failure.at < EVIDENCE_TTL);
@@ -37,7 +39,7 @@
                 at: now,
             });
         }
-        // A job that never succeeded, on a machine where others do, is the likelier to blame.
+        // A job that never succeeded is more likely at fault than a machine on which tasks of others succeed.
         if job_is_proven || !self.has_completed_task || self.is_suspected() {
             let doublings = (self.failed_jobs.len() as u32)
                 .saturating_sub(1)
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Drops a job's failures: the machine is not to blame for them.
+    /// Removes a job's failures from the evidence: the machine is not at fault for them.
     pub fn clear_blame(&mut self, job: &JobId, now: Time) {
         let before = self.failed_jobs.len();
         self.failed_jobs.retain(|failure| failure.job != *job);
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Records that a task was completed on it, which clears it.
+    /// Records that a task was completed on the machine, which clears the machine of all suspicion.
     pub fn task_succeeded(&mut self, now: Time) {
         self.failed_jobs.clear();
         self.has_completed_task = true;
--- a/crates/core/src/fleet/direct_calls/tests.rs
+++ b/crates/core/src/fleet/direct_calls/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn no_agent_counts_as_reached_only_after_several_calls_over_some_time() {
+fn agents_count_as_unreachable_only_after_several_unanswered_calls_over_some_time() {
     let mut reachability = AgentReachability::new(NOW);
     let later = NOW + Span(3_001);
     reachability.call_unanswered();
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -1,15 +1,16 @@
-//! A machine, as the leader knows it: what may be on it, and what its agent's reports and answers show.
+//! A machine, as the leader knows it: the tasks that may be on it, and what its agent's reports and answers show.
 //!
 //! **Which tasks may be on which machine is decided here and nowhere else.** An attempt may be on a machine from
-//! the moment its record is committed until
-//! 1. a report of that machine's agent, the newest by incarnation and sequence number, shows it as exited; or omits
-//!    it although no start for it can still be under way: the report belongs to a later incarnation than the start,
-//!    or acknowledges a later epoch than the start was sent under, so that a delayed start would be refused;
-//! 2. the cloud has answered that the machine is returned;
-//! 3. the agent's lease has surely expired: nobody has answered its reports for the lease, clock drift and a margin,
-//!    nor has the agent been heard in that time. (An incarnation's lease also runs from its beginning, and an agent
-//!    is heard by answers to direct calls too, which renew nothing: a task started in an incarnation that has just
-//!    begun lives on although no report was answered lately.)
+//! the moment its record is committed until one of these conditions holds:
+//! 1. A report of that machine's agent, the newest by incarnation and sequence number, shows the attempt as exited; or
+//!    omits it when no start for it can still be in flight: the report belongs to a later incarnation than the start,
+//!    or acknowledges a later epoch than the start was sent under, so that a delayed start would be refused.
+//! 2. The cloud has answered that the machine is returned.
+//! 3. The agent's lease has surely expired: nobody has answered its reports for the lease, clock drift and a margin,
+//!    nor has the leader heard from the agent in that time. Both are required, because an incarnation's lease also runs
+//!    from the beginning of the incarnation, and the leader also hears from an agent by its answers to direct calls,
+//!    which renew nothing: a task started in an incarnation that has just begun is alive although no report was
+//!    answered lately.
 
 use super::blame::JobFailure;
 use super::placed_task::{Phase, PlacedTask, TaskChange};
@@ -22,90 +23,90 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Beyond the lease and clock drift, what an answer and a timer may be late by.
+/// Time by which an answer and a timer may be late, in addition to the lease and clock drift.
 const LEASE_EXPIRY_MARGIN: Span = Span(500);
 
-/// What a machine is, whatever happens on it.
+/// The properties of a machine that do not depend on the tasks on it.
 #[derive(Clone, Debug)]
 pub struct MachineDescription {
-    /// Its name.
+    /// Id of the machine.
     pub id: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: TypeName,
-    /// Its zone.
+    /// Zone that the machine is in.
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub is_spot: bool,
-    /// What it offers; nothing while its type is unknown.
+    /// Resources that the machine offers; none while its type is unknown.
     pub capacity: Resources,
-    /// When it was rented or first seen.
+    /// Time at which the machine was rented or first seen.
     pub known_since: Wall,
 }
 
-/// A machine and all that may be on it.
+/// A machine and all tasks that may be on it.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Id of the machine.
     pub id: MachineId,
-    /// Its type.
+    /// Machine type.
     pub machine_type: TypeName,
-    /// Its zone.
+    /// Zone that the machine is in.
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub is_spot: bool,
-    /// What it offers; nothing while its type is unknown.
+    /// Resources that the machine offers; none while its type is unknown.
     pub capacity: Resources,
-    /// Where its agent takes direct calls, once it has reported.
+    /// Address at which its agent takes direct calls; none until the agent has reported or the cloud has listed it.
     pub addr: Option<String>,
-    /// The newest message that was applied.
+    /// Newest message of its agent that was applied.
     pub last_message: MessageOrder,
-    /// The highest epoch that its agent has acknowledged.
+    /// Highest epoch that its agent has acknowledged.
     pub acknowledged_epoch: Epoch,
-    /// What may be on it.
+    /// Tasks that are planned for the machine or may be on it. Exited ones are kept until the agent has forgotten them.
     pub tasks: Vec<PlacedTask>,
-    /// The committed segment that names it.
+    /// Committed segment of the placement log that names the machine.
     pub segment: SegmentId,
-    /// A segment that names it and whose commit is open.
+    /// Segment that names the machine and whose commit is open.
     pub pending_segment: SegmentId,
-    /// The last full list of tasks that was applied.
+    /// Last full list of tasks that was applied.
     pub reported_tasks: ReportedTasks,
-    /// When a report of its agent was last answered.
+    /// Time at which a report of its agent was last answered.
     pub last_answered_at: Option<Time>,
-    /// When its agent was last heard.
+    /// Time at which its agent was last heard from: at which a new report, or answer to a direct call, was received.
     pub last_heard_at: Option<Time>,
-    /// When the cloud will reclaim it.
+    /// Time at which the cloud will reclaim the machine; none without a notice.
     pub reclaim_at: Option<Time>,
-    /// Images that it should have in its cache.
+    /// Images that should be in the machine's cache.
     pub cached_images: BTreeSet<Image>,
-    /// A direct call to its agent is open.
+    /// Whether a direct call to its agent is open.
     pub direct_call_open: bool,
-    /// No direct call before this moment, after one without an answer.
+    /// Time before which no direct call is made, after one without an answer.
     pub next_direct_call_at: Time,
-    /// Direct calls in a row that its agent has not answered. Reports alone don't show that it can be commanded:
-    /// they may arrive while nothing reaches it.
+    /// Number of direct calls in a row that its agent has not answered. Reports alone don't show that the agent can be
+    /// commanded: they may arrive while nothing reaches the agent.
     pub unanswered_calls: u32,
-    /// When the first of them was sent.
+    /// Time at which the first of these calls was found to be unanswered.
     pub unreachable_since: Option<Time>,
-    /// Why it is to be emptied and returned; none while it is kept.
+    /// Reason for which the machine is to be emptied and returned to the cloud; none while it is kept.
     pub retire_reason: Option<RetireReason>,
-    /// When the cloud was last asked to return it.
+    /// Time at which the cloud was last asked to return the machine.
     pub return_requested_at: Option<Time>,
-    /// When it was rented or first seen.
+    /// Time at which the machine was rented or first seen.
     pub known_since: Wall,
-    /// Since when nothing has been on it.
+    /// Time since which nothing has been on the machine.
     pub idle_since: Option<Time>,
-    /// Jobs that failed on it and that nothing else speaks against.
+    /// Failures on the machine of jobs that are not suspected themselves.
     pub failed_jobs: Vec<JobFailure>,
-    /// Whether a task was ever completed on it.
+    /// Whether a task was ever completed on the machine.
     pub has_completed_task: bool,
-    /// Quarantine after failures: no starts before this moment.
+    /// End of the quarantine after failures: no task is started on the machine before this time.
     pub quarantined_until: Time,
-    /// No new placements before this moment, while it is being emptied.
+    /// Time before which the machine gets no new placements, while it is being emptied.
     pub cordoned_until: Time,
 }
 
 impl Machine {
-    /// A machine of which nothing else is known.
+    /// Returns a machine of which nothing but the description is known.
     pub fn new(description: MachineDescription) -> Self {
         Self {
             id: description.id,
@@ -142,18 +143,18 @@
         }
     }
 
-    /// Whether it may hold non-preemptible work.
+    /// Returns whether the machine may hold non-preemptible work.
     pub fn runs_non_preemptible(&self) -> bool {
         (self.tasks.iter()).any(|task| task.occupies_capacity() && task.is_non_preemptible())
     }
 
-    /// Whether a start of non-preemptible work is planned on it.
+    /// Returns whether a start of non-preemptible work is planned on the machine.
     pub fn awaits_non_preemptible_start(&self) -> bool {
         (self.tasks.iter()).any(|task| task.phase == Phase::Planned && task.is_non_preemptible())
     }
 
-    /// The capacity that is free. Nothing that may still be there is counted as free, and nothing at all while there
-    /// may be a task of which it is not known what it takes.
+    /// Returns the free capacity. The capacity of a task that may still be on the machine is never counted as free, and
+    /// nothing is free while a task whose resource needs are unknown may be on the machine.
     pub fn free(&self) -> Resources {
         let mut free = self.capacity;
         for task in self.tasks.iter().filter(|task| task.occupies_capacity()) {
@@ -165,27 +166,27 @@
         free
     }
 
-    /// The entry of a task's attempt.
+    /// Returns the entry of a task's attempt.
     pub fn task_mut(&mut self, task: &TaskId, attempt: Attempt) -> Option<&mut PlacedTask> {
-        (self.tasks.iter_mut()).find(|placed| placed.is(task, attempt))
+        (self.tasks.iter_mut()).find(|placed| placed.is_attempt(task, attempt))
     }
 
-    /// Has it emptied and returned to the cloud. An earlier reason stays.
+    /// Marks the machine to be emptied and returned to the cloud. An earlier reason is kept.
     pub fn retire(&mut self, reason: RetireReason) {
         self.retire_reason.get_or_insert(reason);
     }
 
-    /// Whether it is up and its contents are known under this epoch.
+    /// Returns whether the machine is up and the tasks on it are known under this epoch.
     pub fn is_reconciled(&self, epoch: Epoch) -> bool {
         self.last_heard_at.is_some() && self.acknowledged_epoch == epoch
     }
 
-    /// Whether its agent was heard within a time.
+    /// Returns whether the leader has heard from the agent within a time.
     pub fn is_heard_within(&self, span: Span, now: Time) -> bool {
         self.last_heard_at.is_some_and(|heard| now - heard < span)
     }
 
-    /// Applies a status report and returns what it changed. One that is not newer than the last changes nothing.
+    /// Applies a status report and returns the changes. A report that is not newer than the last one changes nothing.
     pub fn apply_report(
         &mut self,
         report: &StatusReport,
@@ -204,7 +205,7 @@
         self.reclaim_at = report.notice_s.map(|s| now + Span::secs(s));
         let mut changes = Vec::new();
         self.tasks.retain_mut(|placed| {
-            let status = (report.tasks.iter()).find(|t| placed.is(&t.task, t.attempt));
+            let status = (report.tasks.iter()).find(|t| placed.is_attempt(&t.task, t.attempt));
             match status {
                 Some(status) => {
                     placed.apply_status(status, now, &mut changes);
@@ -214,48 +215,49 @@
             }
         });
         for status in &report.tasks {
-            if !(self.tasks.iter()).any(|placed| placed.is(&status.task, status.attempt)) {
+            if !(self.tasks.iter()).any(|placed| placed.is_attempt(&status.task, status.attempt)) {
                 changes.push(TaskChange::Unknown(status.clone()));
             }
         }
         changes
     }
 
-    /// What a newer report shows of whether calls and answers reach the agent.
+    /// Updates whether calls and answers reach the agent, as far as a newer report shows it.
     fn update_reachability(&mut self, report: &StatusReport, now: Time) {
         let is_first = self.last_message.incarnation == Incarnation(0);
         let new_incarnation = report.incarnation > self.last_message.incarnation && !is_first;
         if report.token > self.acknowledged_epoch {
             self.call_answered();
         } else if new_incarnation && self.last_answered_at.is_some() {
-            // Its lease ran out although it was answered: perhaps nothing reaches it. Until it
-            // has answered a call it gets nothing new.
+            // The agent's lease expired although its reports were answered: perhaps nothing reaches the agent. It gets
+            // nothing new until it has answered a call.
             self.call_unanswered(now);
         }
     }
 
-    /// Its agent has acknowledged an epoch: starts that were sent under older ones are refused from now on.
+    /// Records that its agent has acknowledged an epoch: starts that were sent under older epochs are refused from now
+    /// on.
     pub fn epoch_acknowledged(&mut self, epoch: Epoch) {
         for task in &mut self.tasks {
             task.epoch_acknowledged(epoch);
         }
     }
 
-    /// Its agent has answered a call, or shown that it got an answer.
+    /// Records that its agent has answered a call, or has shown that it received an answer.
     pub fn call_answered(&mut self) {
         self.unanswered_calls = 0;
         self.unreachable_since = None;
     }
 
-    /// Its agent has left a call unanswered.
+    /// Records that its agent has left a call unanswered.
     pub fn call_unanswered(&mut self, now: Time) {
         self.unanswered_calls += 1;
         self.unreachable_since.get_or_insert(now);
     }
 
-    /// Whether nobody can have answered its agent for so long that everything on it is gone.
+    /// Returns whether nobody can have answered its agent for so long that everything on the machine is gone.
     ///
-    /// `old_leaders_fenced_at`: since when no older leader can have answered; none while that is not known.
+    /// `old_leaders_fenced_at`: time since which no older leader can have answered; none while that is not known.
     pub fn is_lease_expired(
         &self,
         now: Time,
@@ -271,7 +273,7 @@
         now > last_renewal + lease.with_drift() + LEASE_EXPIRY_MARGIN
     }
 
-    /// Takes away all tasks, since everything on it is surely gone. Returns those that took up capacity.
+    /// Removes all tasks, since everything on the machine is surely gone. Returns those that occupied capacity.
     pub fn take_tasks(&mut self) -> Vec<(TaskId, Attempt)> {
         let gone = self.tasks.drain(..).filter(PlacedTask::occupies_capacity);
         gone.map(|e| (e.task, e.attempt)).collect()
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn omission_of_a_start_under_way_proves_nothing() {
+fn omission_of_a_task_whose_start_is_in_flight_proves_nothing() {
     let mut m = machine();
     m.tasks.push(sent(Phase::Sent));
     assert_eq!(m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW), vec![]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_later_epoch_or_incarnation_rules_a_start_out() {
+fn omission_in_a_later_epoch_or_incarnation_proves_a_task_gone() {
     for proof in [report(1, 2, 6, vec![]), report(2, 1, 5, vec![])] {
         let mut m = machine();
         m.tasks.push(sent(Phase::Sent));
@@ -100,8 +100,8 @@
     assert_eq!(m.tasks[0].phase, Phase::On(TaskState::Running));
 }
 
-/// A late copy of a report does not make a machine heard, does not take a spot notice back, and says nothing of what
-/// its agent has acknowledged or whether calls reach it.
+/// A late copy of a report does not count as hearing from the machine, does not withdraw a spot notice, and does not
+/// show what the agent has acknowledged or whether calls reach it.
 #[test]
 fn a_late_copy_changes_nothing() {
     let mut m = machine();
@@ -118,10 +118,10 @@
     }
 }
 
-/// Its lease expired although it was answered: it may be that nothing reaches it, and so it is suspect until it has
-/// shown that something does.
+/// The agent's lease expired although its reports were answered: perhaps nothing reaches the agent, so the machine is
+/// suspect until the agent has shown that something does.
 #[test]
-fn a_new_incarnation_in_spite_of_answers_makes_a_machine_suspect() {
+fn a_new_incarnation_despite_answers_makes_a_machine_suspect() {
     let mut m = machine();
     m.apply_report(&report(1, 1, 5, vec![]), EPOCH, NOW);
     m.last_answered_at = Some(NOW);
@@ -145,8 +145,8 @@
     m.last_answered_at = Some(NOW + Span(5_000));
     assert!(!over(&m, 17_400, Some(NOW)));
     assert!(over(&m, 17_600, Some(NOW)));
-    // Its lease expired, and a task was started in the incarnation that began then: the agent was heard by a direct
-    // call. Seen as a task running twice in the simulated world (seed 1060).
+    // The lease expired, and a task was started in the incarnation that began then: the leader heard from the agent by
+    // a direct call. Without this condition the task ran twice in the simulated world (seed 1060).
     m.last_heard_at = Some(NOW + Span(17_000));
     assert!(!over(&m, 17_600, Some(NOW)));
 }
--- a/crates/core/src/fleet/mod.rs
+++ b/crates/core/src/fleet/mod.rs
@@ -1,13 +1,13 @@
-//! The machines of the fleet, as the leader knows them, and what its calls to their agents show.
+//! The machines of the fleet, as the leader knows them, and the outcomes of its direct calls to their agents.
 //!
-//! **What it owns.** [`Machine`]s with the tasks that may be on them ([`PlacedTask`]); the machines that the cloud
-//! has taken back; partitioned zones; the budget and the outcome of direct calls to agents.
+//! **Owns** [`Machine`]s with the tasks that may be on them ([`PlacedTask`]); the set of machines that were returned to
+//! the cloud; partitioned zones; the budget and the outcomes of direct calls to agents.
 //!
-//! **Invariants.** Capacity is free only once what took it is surely gone (see `machine`). A machine that was
-//! returned is never added again: whatever still names it is late.
+//! **Invariants.** Capacity is free only once the task that occupied it is surely gone (see `machine`). A machine that
+//! was returned is never added again: every message that still names it is late.
 //!
 //! **In and out.** `agents` applies status reports and answers, `placement_log` marks what is recorded, `dispatch`
-//! what is sent, `scheduling` and `capacity` what is decided. Nothing here sends anything.
+//! marks what is sent, `scheduling` and `capacity` apply their decisions. This module sends nothing.
 
 pub mod blame;
 pub mod direct_calls;
@@ -30,39 +30,39 @@
 use rudderreel_wire::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The machines, and what is known of reaching them.
+/// The machines, and whether their agents can be reached.
 pub struct Fleet {
-    /// Machines by name.
+    /// Machines by id.
     pub machines: BTreeMap<MachineId, Machine>,
     /// Zones that are partitioned from this node.
     pub partitioned_zones: ZonePartitions,
-    /// Machines that the nodes' connections don't suffice for.
+    /// Number of machines in excess of the connections that all nodes together accept from agents.
     pub machines_beyond_connections: usize,
-    /// Until when machines are suspect that have not missed a status report yet.
-    pub suspect_until: Time,
+    /// Time until which machines with non-preemptible work are probed before they have missed a status report.
+    pub early_probing_until: Time,
     /// The budget of direct calls to agents.
     pub direct_calls: DirectCallBudget,
-    /// Whether this node reaches agents at all.
+    /// Whether this node reaches any agents.
     pub reachability: AgentReachability,
     /// Machines that were returned to the cloud.
     returned: BTreeSet<MachineId>,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known yet.
+    /// Returns a fleet of which nothing is known yet.
     pub fn new(now: Time) -> Self {
         Self {
             machines: BTreeMap::new(),
             partitioned_zones: ZonePartitions::default(),
             machines_beyond_connections: 0,
-            suspect_until: now,
+            early_probing_until: now,
             direct_calls: DirectCallBudget::new(now),
             reachability: AgentReachability::new(now),
             returned: BTreeSet::new(),
         }
     }
 
-    /// Whether a machine was returned to the cloud: a message that names it is late.
+    /// Returns whether a machine was returned to the cloud: any message that names it is late.
     pub fn is_returned(&self, id: &MachineId) -> bool {
         self.returned.contains(id)
     }
@@ -73,8 +73,8 @@
         self.machines.remove(id);
     }
 
-    /// Updates how many machines the connections of all nodes don't suffice for, and warns when there are first
-    /// some.
+    /// Updates the number of machines in excess of the connections of all nodes, and logs a warning when it rises
+    /// from zero.
     pub(crate) fn update_beyond_connections(&mut self, limits: Option<FleetLimits>) {
         let beyond = limits.map_or(0, |limits| limits.beyond(self.machines.len()));
         if beyond > 0 && self.machines_beyond_connections == 0 {
@@ -85,13 +85,13 @@
     }
 }
 
-/// The deadlines that agents keep, as the platform's settings say.
+/// Timings of agents, from the platform's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentTimings {
-    /// How long an agent keeps its tasks running without an answer to its status reports.
+    /// Time for which an agent keeps its tasks running without an answer to its status reports.
     pub lease: Span,
-    /// Interval of status reports.
+    /// Interval between an agent's status reports.
     pub report_interval: Span,
-    /// How long a cancelled job's tasks may remain.
+    /// Time within which the tasks of a cancelled job must be gone.
     pub cancel_deadline: Span,
 }
--- a/crates/core/src/fleet/placed_task.rs
+++ b/crates/core/src/fleet/placed_task.rs
@@ -1,8 +1,9 @@
 //! A task on a machine, as far as the leader knows, and what status reports show of it.
 //!
-//! An attempt goes one way: `Planned` (decided), `Sent` (a start may be under way or carried out), `On` (reported),
-//! `Exited` (reported as ended, or shown to be gone). It takes up capacity until then. The entry of an exited
-//! attempt is kept until its agent may forget it (see [`PlacedTask::may_forget`]).
+//! The phase of an attempt never goes back: `Planned` (decided), `Sent` (a start may be in flight or carried out),
+//! `On` (reported), `Exited` (reported as ended, or shown to be gone). The attempt occupies capacity until it is
+//! `Exited`. The entry of an exited attempt is kept until its agent may forget the attempt (see
+//! [`PlacedTask::may_forget`]).
 
 use super::reasons::StopReason;
 use crate::store::records::SegmentId;
@@ -12,7 +13,7 @@
 use rudderreel_wire::worker::{Cause, StatusReport, TaskState, TaskStatus};
 use std::sync::Arc;
 
-/// How far a task has come on its machine.
+/// Progress of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Decided, but no start has been sent: surely not on the machine.
@@ -25,33 +26,34 @@
     Exited(Cause),
 }
 
-/// What a start was last sent under. The agent refuses it under a higher epoch or in a later incarnation.
+/// The epoch and incarnation under which a start was last sent. The agent refuses the start under a higher epoch or in
+/// a later incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartSent {
-    /// The epoch of the leader that sent it.
+    /// Epoch of the leader that sent the start.
     pub epoch: Epoch,
-    /// The incarnation of the agent that it was sent to.
+    /// Incarnation of the agent that the start was sent to.
     pub incarnation: Incarnation,
 }
 
-/// Why and how a task is stopped.
+/// A decision to stop a task.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stop {
-    /// Time for a checkpoint, in seconds.
+    /// Time that the task gets for a checkpoint, in seconds.
     pub grace_s: f64,
-    /// When it was decided.
+    /// Time of the decision.
     pub since: Time,
-    /// Why.
+    /// Reason for the stop.
     pub why: StopReason,
 }
 
 impl Stop {
-    /// A stop at once.
+    /// Returns a stop without time for a checkpoint.
     pub fn without_grace(why: StopReason, since: Time) -> Self {
         Self::with_grace(why, 0.0, since)
     }
 
-    /// A stop with time for a checkpoint, in seconds.
+    /// Returns a stop with time for a checkpoint, in seconds.
     pub fn with_grace(why: StopReason, grace_s: f64, since: Time) -> Self {
         Self {
             grace_s,
@@ -64,66 +66,66 @@
 /// A task on a machine, as far as the leader knows.
 #[derive(Clone, Debug)]
 pub struct PlacedTask {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Its attempt.
+    /// Attempt of the task.
     pub attempt: Attempt,
-    /// What its job's owner submitted; none if the job is not known.
+    /// Specification of the task's job; none if the job is not known.
     pub spec: Option<Arc<JobSpec>>,
-    /// What it takes.
+    /// Resources that the task needs; none if its job is not known.
     pub need: Resources,
-    /// How far it has come.
+    /// Progress of the attempt.
     pub phase: Phase,
-    /// The committed segment that names it.
+    /// Committed segment of the placement log that names the attempt.
     pub segment: SegmentId,
-    /// A segment that names it and whose commit is open.
+    /// Segment that names the attempt and whose commit is open.
     pub pending_segment: SegmentId,
-    /// What a start was last sent under.
+    /// Epoch and incarnation under which a start was last sent.
     pub start_sent: StartSent,
-    /// Direct calls with a start of it whose outcome is open.
+    /// Number of direct calls with a start of the attempt whose outcome is open.
     pub open_direct_starts: u32,
-    /// A direct call with a start of it ended without an answer and may still be carried out.
+    /// Whether a direct call with a start of the attempt ended without an answer and may still be carried out.
     pub start_may_arrive_late: bool,
-    /// Set once it is to be stopped.
+    /// The stop that was decided, if the task is to be stopped.
     pub stop: Option<Stop>,
-    /// Its outcome is recorded, so that nobody needs the agent's reports of it any more.
+    /// Whether the outcome is recorded, so that nobody needs the agent's reports of the attempt any more.
     pub outcome_recorded: bool,
-    /// When it was placed.
+    /// Time at which the task was placed.
     pub placed_at: Time,
-    /// Since when it has been running.
+    /// Time since which the task has been running; none if it was never seen running.
     pub running_since: Option<Time>,
-    /// Since when the newest reports omit it although it should be on the machine.
+    /// Time since which the newest reports omit the task although it should be on the machine.
     pub missing_since: Option<Time>,
 }
 
-/// What a status report changed.
+/// A change that a status report shows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskChange {
-    /// A task has its image and runs.
+    /// A task has its image and is running.
     Started(TaskId),
     /// A task exited.
     Exited(TaskExit),
-    /// A task is gone, and nobody knows how it ended.
+    /// A task is gone, and its outcome is unknown.
     Lost(TaskId, Attempt),
-    /// A task is on the machine that the leader has not placed there.
+    /// A task is reported that the leader has not placed on the machine.
     Unknown(TaskStatus),
 }
 
 /// The end of a task's attempt, as an agent reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskExit {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Its attempt.
+    /// Attempt that has ended.
     pub attempt: Attempt,
-    /// Why it ended.
+    /// Cause of the exit.
     pub cause: Cause,
-    /// How long it ran; none if it was never seen running.
+    /// Time for which the attempt ran; none if it was never seen running.
     pub ran: Option<Span>,
 }
 
 impl PlacedTask {
-    /// A task about to be placed.
+    /// Returns the entry of a task that is about to be placed.
     pub fn planned(task: TaskId, attempt: Attempt, spec: Option<Arc<JobSpec>>, now: Time) -> Self {
         Self {
             task,
@@ -144,32 +146,32 @@
         }
     }
 
-    /// Whether this is a task's attempt.
-    pub fn is(&self, task: &TaskId, attempt: Attempt) -> bool {
+    /// Returns whether this is the entry of a task's attempt.
+    pub fn is_attempt(&self, task: &TaskId, attempt: Attempt) -> bool {
         self.attempt == attempt && self.task == *task
     }
 
-    /// Whether a committed segment names it.
+    /// Returns whether a committed segment names the attempt.
     pub fn is_recorded(&self) -> bool {
         self.segment != SegmentId::NONE
     }
 
-    /// Whether it has to be recorded and no open commit names it.
+    /// Returns whether the attempt has to be recorded and no open commit names it.
     pub fn awaits_recording(&self) -> bool {
         self.occupies_capacity() && !self.is_recorded() && self.pending_segment == SegmentId::NONE
     }
 
-    /// Whether it takes up capacity: everything that is not surely gone does.
+    /// Returns whether the attempt occupies capacity: everything that is not surely gone does.
     pub fn occupies_capacity(&self) -> bool {
         !self.has_exited()
     }
 
-    /// Whether it is reported as exited.
+    /// Returns whether the attempt is reported as exited.
     pub fn has_exited(&self) -> bool {
         matches!(self.phase, Phase::Exited(_))
     }
 
-    /// Whether it is running, as far as is known.
+    /// Returns whether the task is running, as far as is known.
     pub fn is_running(&self) -> bool {
         matches!(
             self.phase,
@@ -177,27 +179,28 @@
         )
     }
 
-    /// Whether its job is never evicted to make room.
+    /// Returns whether the job's tasks are never evicted to make room.
     pub fn is_non_preemptible(&self) -> bool {
         (self.spec.as_deref()).is_some_and(crate::jobs::job::is_non_preemptible)
     }
 
-    /// Whether its agent has yet to be sent a stop: to stop it, or to end a checkpoint that has no time left.
+    /// Returns whether its agent has yet to be sent a stop: to stop the task, or to end a checkpoint that gets no more
+    /// time.
     pub fn awaits_stop(&self) -> bool {
         let checkpoints = self.phase == Phase::On(TaskState::Saving);
         (self.stop)
             .is_some_and(|stop| self.occupies_capacity() && !(checkpoints && stop.grace_s > 0.0))
     }
 
-    /// Decides that it is stopped. It keeps the reason and time of an earlier stop; a second one without grace ends
-    /// a checkpoint.
+    /// Records the decision to stop the task. The reason and time of an earlier decision are kept; a second one without
+    /// grace ends a checkpoint.
     pub fn request_stop(&mut self, stop: Stop) {
         let requested = self.stop.get_or_insert(stop);
         requested.grace_s = requested.grace_s.min(stop.grace_s);
     }
 
-    /// Whether the agent may forget it: no start for it may be under way, since after that a repeated start would
-    /// run it again.
+    /// Returns whether the agent may forget the attempt. No start for it may be in flight, because once the agent has
+    /// forgotten the attempt, a repeated start would run it again.
     pub fn may_forget(&self) -> bool {
         self.has_exited()
             && self.outcome_recorded
@@ -205,7 +208,7 @@
             && !self.start_may_arrive_late
     }
 
-    /// The newest report shows it.
+    /// Applies the status that the newest report shows of the task.
     pub(super) fn apply_status(
         &mut self,
         status: &TaskStatus,
@@ -234,7 +237,8 @@
         self.phase = Phase::On(status.state);
     }
 
-    /// The newest report omits it. Returns whether it may still be on the machine, or a start may still arrive.
+    /// Applies that the newest report omits the task. Returns whether the entry is kept, since the task may still be on
+    /// the machine, or a start may still arrive.
     pub(super) fn apply_omission(
         &mut self,
         report: &StatusReport,
@@ -248,21 +252,23 @@
         let later_incarnation = report.incarnation > self.start_sent.incarnation;
         let later_epoch = report.token == epoch && report.token > self.start_sent.epoch;
         if later_incarnation || later_epoch {
-            // A start that is still under way would be refused: it is surely gone.
+            // A start that is still in flight would be refused: the task is surely gone.
             if self.occupies_capacity() {
                 changes.push(TaskChange::Lost(self.task.clone(), self.attempt));
             }
             return false;
         }
         if self.has_exited() {
-            // The agent has forgotten it as it was told to. No start is under way, or it would not have been told.
+            // The agent has forgotten the attempt on command. No start is in flight, or the command would not have been
+            // sent.
             return !self.may_forget();
         }
         self.missing_since.get_or_insert(now);
         true
     }
 
-    /// Its agent has acknowledged an epoch: a start that was sent under an older one is refused from now on.
+    /// Records that its agent has acknowledged an epoch: a start that was sent under an older one is refused from now
+    /// on.
     pub(super) fn epoch_acknowledged(&mut self, epoch: Epoch) {
         if epoch > self.start_sent.epoch {
             self.start_may_arrive_late = false;
--- a/crates/core/src/fleet/placed_task/tests.rs
+++ b/crates/core/src/fleet/placed_task/tests.rs
@@ -7,10 +7,10 @@
     placed
 }
 
-/// After a `Forget` command an agent no longer knows the attempt: a start that arrives late would run it again, so
-/// nothing is forgotten while one may be under way.
+/// After a `Forget` command an agent no longer knows the attempt, and a start that arrives late would run it again. So
+/// no attempt is forgotten while a start of it may be in flight.
 #[test]
-fn nothing_is_forgotten_while_a_start_may_be_under_way() {
+fn nothing_is_forgotten_while_a_start_may_be_in_flight() {
     let mut placed = in_phase(Phase::Exited(Cause::Done));
     placed.outcome_recorded = true;
     assert!(placed.may_forget());
@@ -21,7 +21,7 @@
     assert!(!placed.may_forget());
 }
 
-/// The outcome of a task may be needed until it is committed.
+/// The agent's report of a task's outcome may be needed until the outcome is committed.
 #[test]
 fn nothing_is_forgotten_before_its_outcome_is_recorded() {
     assert!(!in_phase(Phase::Exited(Cause::Done)).may_forget());
--- a/crates/core/src/fleet/reasons.rs
+++ b/crates/core/src/fleet/reasons.rs
@@ -1,42 +1,42 @@
-//! Why a task is stopped, and why a machine is returned.
+//! Reasons for stopping a task, and for returning a machine.
 //!
 //! The texts are shown to administrators, and stops are counted under them: they are part of the administration
-//! interface and stay as they are.
+//! interface and must not change.
 
 use serde::{Serialize, Serializer};
 use std::fmt;
 
-/// Why a task is stopped before it exits by itself.
+/// Reason for stopping a task before it exits by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its job was cancelled, or is done without it.
+    /// The task's job was cancelled, or is done without the task.
     JobCancelled,
-    /// Its job fails wherever it is tried.
+    /// The task's job is suspected: it fails wherever it is tried.
     JobSuspected,
-    /// Its job is not known to the leader.
+    /// The task's job is not known to the leader.
     JobUnknown,
-    /// Another task of its gang was lost or failed.
+    /// Another task of the gang was lost or failed.
     GangBroken,
-    /// It was reported, but the placement log does not name it.
+    /// The task was reported, but the placement log does not name it.
     NotInPlacementLog,
-    /// It waited too long for the room that it was planned on.
+    /// The task waited too long for the capacity that it was planned on.
     Stalled,
-    /// The cloud takes its spot machine back.
+    /// The cloud reclaims the task's spot machine.
     MachineReclaimed,
-    /// Its machine is idle but for it, and is returned.
+    /// The task's machine is idle except for this task, and is returned.
     MachineReturned,
-    /// It is moved so that a machine becomes empty.
+    /// The task is moved so that a machine becomes empty.
     Moved,
-    /// A team that is below its share gets the room back.
+    /// A team that is below its share gets the capacity back.
     Reclaimed,
-    /// Work of higher priority in its team gets the room.
+    /// Work of higher priority in the same team gets the capacity.
     Preempted,
-    /// Nobody stopped it: it was lost with its machine.
+    /// Nobody stopped the task: it was lost with its machine.
     LostWithMachine,
 }
 
 impl StopReason {
-    /// The text that administrators see, and the name of the counter.
+    /// Returns the text that administrators see, which is also the name of the counter.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::JobCancelled => "cancelled",
@@ -55,31 +55,32 @@
     }
 }
 
-/// Why a machine gets no work any more and is returned to the cloud.
+/// Reason for which a machine gets no more work and is returned to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireReason {
-    /// Nothing has run on it for long enough. Any other reason is urgent: the machine does not have to be empty.
+    /// Nothing has run on the machine for long enough. Any other reason is urgent: the machine does not have to be
+    /// empty.
     Idle,
-    /// Its agent did not report in the time that a boot takes.
+    /// The machine's agent did not report in the time that a boot takes.
     NeverCameUp,
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// A cancelled job's task on it does not end in time.
+    /// A cancelled job's task on the machine does not end in time.
     HoldsCancelledJob,
-    /// Its zone is partitioned, and it is not worth while to wait for it any longer.
+    /// The machine's zone is partitioned, and it is not worthwhile to wait any longer for the partition to end.
     BehindPartition,
-    /// Its agent answers no calls and has missed a report.
+    /// The machine's agent answers no calls and has missed a report.
     DoesNotAnswer,
-    /// Its agent reports, but answers no calls: what it runs can't be stopped.
+    /// The machine's agent reports, but answers no calls: the tasks that it runs can't be stopped.
     UnreachableForCommands,
-    /// Its agent has not reported for longer than a change of node takes.
+    /// The machine's agent has not reported for longer than a failover to another node takes.
     Silent,
-    /// Its lease has expired twice over.
+    /// Twice the lease of the machine's agent has expired.
     LeaseExpired,
 }
 
 impl RetireReason {
-    /// The text that administrators see.
+    /// Returns the text that administrators see.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Idle => "idle",
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether the machine is returned as soon as it is empty, and no sooner.
+    /// Returns whether the machine is returned as soon as it is empty, and no sooner.
     pub fn waits_until_empty(self) -> bool {
         self == Self::Idle
     }
--- a/crates/core/src/fleet/reasons/tests.rs
+++ b/crates/core/src/fleet/reasons/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Administrators and their tools know the texts, and stops are counted under them.
+/// Administrators and their tools depend on these texts, and stops are counted under them.
 #[test]
 fn the_texts_that_administrators_see_are_fixed() {
     let stops = [
--- a/crates/core/src/fleet/recording.rs
+++ b/crates/core/src/fleet/recording.rs
@@ -1,4 +1,4 @@
-//! What the placement log has recorded of a machine and its tasks.
+//! Tracking of which parts of a machine and its tasks the placement log has recorded.
 
 use super::machine::Machine;
 use super::placed_task::Phase;
@@ -7,12 +7,13 @@
 use rudderreel_wire::worker::Cause;
 
 impl Machine {
-    /// Whether a segment names it, committed or not.
+    /// Returns whether a segment names the machine, committed or not.
     pub fn is_named_in_log(&self) -> bool {
         self.segment != SegmentId::NONE || self.pending_segment != SegmentId::NONE
     }
 
-    /// A segment of the placement log is committed. Returns whether it records any task for the first time.
+    /// Records that a segment of the placement log is committed. Returns whether the segment records any task for the
+    /// first time.
     pub fn segment_committed(&mut self, segment: SegmentId) -> bool {
         if self.pending_segment == segment {
             (self.segment, self.pending_segment) = (segment, SegmentId::NONE);
@@ -25,7 +26,8 @@
         first_recorded
     }
 
-    /// A segment of the placement log will never be written: what it names waits for another one.
+    /// Records that a segment of the placement log will never be written: the machine and tasks that it names wait for
+    /// another one.
     pub fn segment_rejected(&mut self, segment: SegmentId) {
         if self.pending_segment == segment {
             self.pending_segment = SegmentId::NONE;
@@ -35,8 +37,8 @@
         }
     }
 
-    /// Lets the agent forget completed tasks, of those that `is_recorded` says are recorded as done: only now
-    /// nobody needs its reports of them any more.
+    /// Lets the agent forget those completed tasks that are recorded as done according to `is_recorded`: only then does
+    /// nobody need the agent's reports of them any more.
     pub fn mark_recorded_outcomes(&mut self, is_recorded: impl Fn(&TaskId) -> bool) {
         for task in self.tasks.iter_mut().filter(|t| !t.outcome_recorded) {
             if task.phase == Phase::Exited(Cause::Done) {
--- a/crates/core/src/fleet/report_order.rs
+++ b/crates/core/src/fleet/report_order.rs
@@ -5,17 +5,17 @@
 use rudderreel_wire::worker::{StatusReport, TaskStatus};
 use std::sync::Arc;
 
-/// Which of two messages of an agent is the newer one: incarnations first, then sequence numbers.
+/// Position of a message in the order of its agent's messages: by incarnation, then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageOrder {
-    /// The incarnation of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// The message's number in it.
+    /// Sequence number of the message within the incarnation.
     pub seq: Seq,
 }
 
 impl MessageOrder {
-    /// Of a status report.
+    /// Returns the position of a status report.
     pub fn of(report: &StatusReport) -> Self {
         Self {
             incarnation: report.incarnation,
@@ -24,17 +24,17 @@
     }
 }
 
-/// A full list of tasks that an agent reported.
+/// A full list of tasks that an agent has reported.
 #[derive(Clone, Debug)]
 pub struct ReportedTasks {
-    /// The message that a later one may refer to instead of repeating the list.
+    /// Message that a later one may refer to instead of repeating the list.
     pub message: MessageOrder,
-    /// The tasks.
+    /// Tasks on the list.
     pub tasks: Arc<[TaskStatus]>,
 }
 
 impl Machine {
-    /// Keeps the list of tasks of the newest report, for later reports that refer to it.
+    /// Stores the list of tasks of the newest report, for later reports that refer to it.
     pub fn remember_reported_tasks(&mut self, report: &StatusReport) {
         let message = MessageOrder::of(report);
         let is_same_list = self.reported_tasks.message.incarnation == report.incarnation
--- a/crates/core/src/fleet/zone_partitions.rs
+++ b/crates/core/src/fleet/zone_partitions.rs
@@ -1,51 +1,51 @@
-//! Zones that are partitioned from this node, and those that lately were.
+//! Zones that are partitioned from this node, and those whose partition has ended.
 //!
-//! Which zones are is found out by `agents::zone_partitions`. In a partitioned zone work goes on as long as the
+//! Partitions are detected by `agents::zone_partitions`. In a partitioned zone tasks keep running as long as the
 //! agents' leases last, and its machines are neither probed nor given work.
 
 use crate::units::{Span, Time};
 use rudderreel_wire::ids::Zone;
 use std::collections::BTreeMap;
 
-/// The zones that are partitioned, and since when.
+/// The zones that are partitioned, and the times since which nothing was heard from them.
 #[derive(Default, Debug)]
 pub struct ZonePartitions {
-    /// By zone: when a machine there was last heard, by this leader or, if that is known, an earlier one.
+    /// By zone: time at which a machine there was last heard from, by this leader or, if that is known, an earlier one.
     silent_since: BTreeMap<Zone, Time>,
-    /// The same, as an earlier leader saw it, as long as this one has heard of nobody there.
+    /// The same, as seen by an earlier leader, as long as this leader has heard from no machine there.
     seen_by_earlier_leader: BTreeMap<Zone, Time>,
-    /// When partitions ended that lasted longer than a report interval.
+    /// By zone: time at which the last partition ended that lasted longer than the report timeout.
     healed_at: BTreeMap<Zone, Time>,
 }
 
 impl ZonePartitions {
-    /// Whether a zone is partitioned.
+    /// Returns whether a zone is partitioned.
     pub fn contains(&self, zone: &Zone) -> bool {
         self.silent_since.contains_key(zone)
     }
 
-    /// Since when nothing was heard of a partitioned zone.
+    /// Returns the time since which nothing was heard from a partitioned zone.
     pub fn silent_since(&self, zone: &Zone) -> Option<Time> {
         self.silent_since.get(zone).copied()
     }
 
-    /// When a zone's last long partition ended.
+    /// Returns the time at which a zone's last long partition ended.
     pub fn healed_at(&self, zone: &Zone) -> Option<Time> {
         self.healed_at.get(zone).copied()
     }
 
-    /// The partitioned zones, with the time since when nothing was heard of each.
+    /// Returns the partitioned zones, each with the time since which nothing was heard from it.
     pub fn iter(&self) -> impl Iterator<Item = (&Zone, Time)> {
         self.silent_since.iter().map(|(zone, since)| (zone, *since))
     }
 
-    /// Takes over what an earlier leader saw.
+    /// Sets the partitioned zones that an earlier leader saw, each with the time since which it heard nothing.
     pub fn set_seen_by_earlier_leader(&mut self, zones: BTreeMap<Zone, Time>) {
         self.seen_by_earlier_leader = zones;
     }
 
-    /// Replaces the partitioned zones by those that were detected now. `heard`: zones that this leader has heard of.
-    /// A partition that lasted less than `report_timeout` made no report late.
+    /// Replaces the partitioned zones by those that were detected now. `heard`: zones that this leader has heard from.
+    /// A partition that lasted no longer than `report_timeout` made no report late.
     pub fn update(
         &mut self,
         mut detected: BTreeMap<Zone, Time>,
