--- a/crates/core/src/agents/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -1,9 +1,9 @@
 //! Detects machines that have failed, or that can't be commanded.
 //!
-//! To return a machine is the fastest proof that what was on it is gone, so one that has surely failed is returned
-//! soon. It costs all that runs there. So nothing is concluded when it may as well be this node that hears or
-//! reaches nobody, or when a whole zone is partitioned: there work goes on as long as its leases last, and to
-//! return the machines would end what the partition does not.
+//! Returning a machine is the fastest proof that the tasks on it are gone, so a machine that has surely failed is
+//! returned soon. The return ends every task that runs there. So nothing is concluded when it may as well be this node
+//! that hears from no agent or reaches none, or when a whole zone is partitioned: there tasks keep running as long as
+//! the leases last, and returning the machines would end tasks that the partition does not end.
 
 use crate::fleet::{Machine, PlacedTask, RetireReason};
 use crate::leader::Leader;
@@ -11,28 +11,29 @@
 use rudderreel_wire::ids::{MachineId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that has missed a report is declared dead when its agent has left so many calls unanswered.
+/// Number of unanswered calls at which a machine that has missed a report is declared dead.
 const UNANSWERED_CALLS_AFTER_MISSED_REPORT: u32 = 2;
-/// One that has not missed a report yet, only when its agent has left so many unanswered.
+/// Least number of unanswered calls for declaring a machine dead that has not missed a report yet.
 const UNANSWERED_CALLS_WITHOUT_MISSED_REPORT: u32 = 3;
-/// And when it has answered no calls for so long, and was silent for so long before.
+/// Time for which such a machine must also have answered no calls, and have been silent before that.
 const UNANSWERED_TIME: Span = Span(1_200);
-/// If nobody has answered a direct call for so long, it is not known whether anybody would.
+/// Time without any answer to a direct call after which it is not known whether any agent would answer.
 const MAX_TIME_SINCE_ANY_ANSWER: Span = Span(2_000);
-/// What a status report may be late by, beside a quarter of the interval.
+/// Time by which a status report may be late, in addition to a quarter of the interval.
 const REPORT_DELAY: Span = Span(500);
-/// What most reports are late by at most.
+/// Time by which most reports are late at most.
 const SHORT_REPORT_DELAY: Span = Span(100);
-/// An agent waits 4 s for an answer and one more before it tries another node.
+/// Time for an agent's failover: it waits 4 s for an answer and one more before it tries another node.
 const AGENT_FAILOVER: Span = Span(6_500);
-/// What is left to an agent of its lease when it is silent for three quarters of that, and a little more.
+/// Margin after three quarters of the lease: only the rest of the lease is left to an agent that is silent for longer.
 const SILENCE_MARGIN: Span = Span(1_000);
-/// Machines in a partitioned zone are kept for so many leases.
+/// Number of leases for which machines in a partitioned zone are kept.
 const LEASES_KEPT_IN_PARTITION: u64 = 4;
-/// What a lease in a partitioned zone may last longer, beside clock drift.
+/// Time by which a lease in a partitioned zone may last longer, in addition to clock drift.
 const PARTITION_LEASE_MARGIN: Span = Span(1_000);
 
-/// Whether this node itself hears and reaches agents, so that a silent one can be told apart.
+/// Whether this node itself hears from agents and reaches them, so that a machine's failure can be told apart from a
+/// failure of this node's connection.
 #[derive(Clone, Copy)]
 struct OwnConnection {
     hears_most_machines: bool,
@@ -40,7 +41,7 @@
 }
 
 impl Leader {
-    /// Machines that have surely failed or can't be commanded, and why.
+    /// Returns the machines that have surely failed or can't be commanded, and the reasons.
     pub fn machines_declared_dead(&self, now: Time) -> BTreeMap<MachineId, RetireReason> {
         let connection = OwnConnection {
             hears_most_machines: self.hears_most_machines(now),
@@ -58,31 +59,32 @@
             .collect()
     }
 
-    /// A machine that was not heard for so long has missed a report.
+    /// Returns the time after which a machine that was not heard from has missed a report.
     pub(super) fn report_timeout(&self) -> Span {
         Span(self.agent_timings.report_interval.0 * 5 / 4) + REPORT_DELAY
     }
 
-    /// A machine that was not heard for so long is silent. An agent whose node is gone or cut off waits for its
-    /// answer, finds another node and reports again, which takes this long without anything being wrong with it.
+    /// Returns the time after which a machine that was not heard from counts as silent. An agent whose node is gone or
+    /// cut off waits for its answer, finds another node and reports again, which takes this long without anything being
+    /// wrong with the agent.
     pub(crate) fn silence_timeout(&self) -> Span {
         let failover = Span(self.agent_timings.report_interval.0 * 3 / 2) + AGENT_FAILOVER;
         let most_of_lease = Span(self.agent_timings.lease.0 * 3 / 4) + SILENCE_MARGIN;
         failover.min(most_of_lease)
     }
 
-    /// Whether any agent has lately answered a direct call.
+    /// Returns whether any agent has lately answered a direct call.
     pub(super) fn has_recent_answer(&self, now: Time) -> bool {
         self.fleet.reachability.since_last_answer(now) < MAX_TIME_SINCE_ANY_ANSWER
     }
 
-    /// Whether no agent has answered a direct call for so long that it may be this node that reaches nobody.
+    /// Returns whether no agent has answered a direct call for so long that it may be this node that reaches no agent.
     pub(super) fn lacks_recent_answer(&self, now: Time) -> bool {
         self.fleet.reachability.since_last_answer(now) > MAX_TIME_SINCE_ANY_ANSWER
     }
 
-    /// Whether most machines that were ever heard were heard lately, and some this moment: if not, it is rather this
-    /// node that is cut off. Partitioned zones don't count.
+    /// Returns whether most machines that were ever heard from were heard from lately, and some just now: if not, it is
+    /// more likely that this node is cut off. Machines in partitioned zones don't count.
     fn hears_most_machines(&self, now: Time) -> bool {
         let heard_at: Vec<Time> = (self.fleet.machines.values())
             .filter(|machine| !self.fleet.partitioned_zones.contains(&machine.zone))
@@ -95,7 +97,8 @@
         heard_lately * 3 >= heard_at.len() * 2 && heard_just_now * 5 >= heard_at.len()
     }
 
-    /// When a machine was last heard. After a partition its reports count as late only from its end on.
+    /// Returns the time at which a machine was last heard from. After a partition its reports count as late only from
+    /// the end of the partition on.
     pub(super) fn last_heard_or_healed(&self, machine: &Machine) -> Option<Time> {
         let healed_at = self.fleet.partitioned_zones.healed_at(&machine.zone);
         (machine.last_heard_at).map(|heard| healed_at.map_or(heard, |healed| healed.max(heard)))
@@ -115,7 +118,8 @@
         let Some(last_heard) = self.last_heard_or_healed(machine) else {
             return self.why_unheard_declared_dead(machine, connection, now);
         };
-        // A leader that hears most, or reaches some, can tell; else it may be this node.
+        // A leader that hears from most machines, or reaches some, can tell whether this machine has failed. Otherwise
+        // it may be this node that is cut off.
         let silent_for = now - last_heard;
         let missed_report = machine.unanswered_calls >= UNANSWERED_CALLS_AFTER_MISSED_REPORT
             && silent_for > self.report_timeout();
@@ -131,7 +135,7 @@
             && unanswered
             && unreachable_for > Span(self.agent_timings.lease.0 / 2)
         {
-            // It is heard, but nothing reaches it: what it runs can't be stopped.
+            // The agent is heard from, but nothing reaches it: the tasks that it runs can't be stopped.
             Some(RetireReason::UnreachableForCommands)
         } else if machine.is_lease_expired(
             now,
@@ -144,8 +148,8 @@
         }
     }
 
-    /// The same for a machine that this leader has never heard. What an earlier one had it run may be gone with it:
-    /// it is called by the address that the cloud lists.
+    /// Returns why a machine that this leader has never heard from is declared dead, if it is. Tasks that an earlier
+    /// leader started there may be gone with the machine: it is called at the address that the cloud lists.
     fn why_unheard_declared_dead(
         &self,
         machine: &Machine,
@@ -160,21 +164,21 @@
         (is_unanswered && can_tell && is_report_due).then_some(RetireReason::DoesNotAnswer)
     }
 
-    /// Whether a machine in a partitioned zone should be returned.
+    /// Returns whether a machine in a partitioned zone should be returned.
     ///
-    /// When the leases there have expired, the leader that heard of it last knows that nothing runs there any more.
-    /// One that was elected since can't tell for another lease; if replicas may run elsewhere, a return is the
-    /// sooner proof. Otherwise the machine is kept for a while although nothing runs there: when the partition ends
+    /// When the leases there have expired, the leader that heard from the zone last knows that nothing runs there any
+    /// more. A leader that was elected since can't tell for another lease; if replicas may run elsewhere, a return is
+    /// the sooner proof. Otherwise the machine is kept for a while although nothing runs there: when the partition ends
     /// it is needed at once.
     fn is_declared_dead_in_partition(&self, machine: &Machine, since: Time, now: Time) -> bool {
-        let leases_over = |leases: u64| {
+        let leases_expired = |leases: u64| {
             let expiry = Span(self.agent_timings.lease.0 * leases).with_drift();
             now > since + expiry + PARTITION_LEASE_MARGIN
         };
-        if leases_over(LEASES_KEPT_IN_PARTITION) {
+        if leases_expired(LEASES_KEPT_IN_PARTITION) {
             return true;
         }
-        leases_over(1) && {
+        leases_expired(1) && {
             let reachable_zones: BTreeSet<Zone> = (self.zones().into_iter())
                 .filter(|zone| !self.fleet.partitioned_zones.contains(zone))
                 .collect();
@@ -183,7 +187,7 @@
     }
 }
 
-/// Whether a task is a replica that must not wait, and all replicas of its job may run in some zones.
+/// Returns whether a task is a replica that must not wait, and all replicas of its job may run in `zones`.
 fn is_movable(task: &PlacedTask, zones: &BTreeSet<Zone>) -> bool {
     let Some(spec) = &task.spec else {
         return false;
--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -2,8 +2,9 @@
 use crate::fleet::ZonePartitions;
 use crate::testing::{job, leader, run, up, NOW};
 
-/// A leader with a zone of six machines and another, where all but `heard` are silent since.
-fn half_silent(heard: &[&str], after: Span) -> (Leader, Time) {
+/// Returns a leader of two zones with six machines each, and the time `after` the start. All machines in zone `b` but
+/// `heard` have been silent since the start.
+fn leader_with_silent_machines(heard: &[&str], after: Span) -> (Leader, Time) {
     let mut leader = leader();
     let now = NOW.time + after;
     for n in 0..6 {
@@ -28,12 +29,12 @@
 }
 
 #[test]
-fn a_zone_of_which_nothing_is_heard_is_partitioned() {
-    let (mut leader, now) = half_silent(&[], Span(5_000));
+fn a_zone_without_any_report_is_partitioned() {
+    let (mut leader, now) = leader_with_silent_machines(&[], Span(5_000));
     assert!(leader.fleet.partitioned_zones.contains(&"b".into()));
     assert_eq!(leader.machines_declared_dead(now), BTreeMap::new());
     assert_eq!(leader.machines_to_probe(now), Vec::<MachineId>::new());
-    // One machine is heard again: the others get time to report.
+    // One machine is heard from again: the others get time to report.
     let id = MachineId::from("vm-b3");
     leader
         .fleet
@@ -46,8 +47,8 @@
     assert_eq!(leader.machines_declared_dead(now), BTreeMap::new());
 }
 
-/// After a failover all agents report at once and then nobody for a while; the first of one zone to report again
-/// does not make the other one partitioned.
+/// After a failover all agents report at once, and then none for a while. When the first agent of one zone reports
+/// again, the other zone does not count as partitioned yet.
 #[test]
 fn a_pause_after_a_failover_is_no_partition() {
     let mut leader = leader();
@@ -57,7 +58,7 @@
         }
     }
     let now = NOW.time + Span(1_600);
-    let hear = |leader: &mut Leader, n: u32| {
+    let report = |leader: &mut Leader, n: u32| {
         let id = MachineId::from(format!("vm-a{n}").as_str());
         leader
             .fleet
@@ -66,19 +67,19 @@
             .expect("a machine")
             .last_heard_at = Some(now);
     };
-    hear(&mut leader, 0);
+    report(&mut leader, 0);
     leader.detect_partitioned_zones(now);
     assert_eq!(leader.fleet.partitioned_zones.iter().count(), 0);
-    (0..30).for_each(|n| hear(&mut leader, n));
+    (0..30).for_each(|n| report(&mut leader, n));
     leader.detect_partitioned_zones(now);
     assert!(leader.fleet.partitioned_zones.contains(&"b".into()));
 }
 
-/// Machines that are silent while others of their zone are heard have failed.
+/// Machines that are silent while others of their zone are heard from have failed.
 #[test]
 fn silent_machines_among_others_are_declared_dead() {
     let heard = ["vm-b0", "vm-b1", "vm-b2", "vm-b3", "vm-b4"];
-    let (leader, now) = half_silent(&heard, Span(5_600));
+    let (leader, now) = leader_with_silent_machines(&heard, Span(5_600));
     assert_eq!(leader.fleet.partitioned_zones.iter().count(), 0);
     assert_eq!(
         leader.machines_declared_dead(now),
@@ -86,17 +87,18 @@
     );
 }
 
-/// A new leader knows from the one before when the leases in a partitioned zone are over; then replicas move, and
-/// not before. The zone stays partitioned when nothing is left there.
+/// A new leader knows from the previous one when the leases in a partitioned zone have expired. Replicas move then, and
+/// not before. The zone stays partitioned when no task is left there.
 #[test]
-fn replicas_in_a_partitioned_zone_move_once_their_leases_are_over() {
-    let (mut leader, _) = half_silent(&[], Span(2_000));
+fn replicas_in_a_partitioned_zone_move_once_their_leases_have_expired() {
+    let (mut leader, _) = leader_with_silent_machines(&[], Span(2_000));
     leader.fleet.partitioned_zones = ZonePartitions::default();
     leader.term.set_elected_at(NOW.time + Span(2_000));
     let seen = BTreeMap::from([("b".into(), NOW.time)]);
     (leader.fleet.partitioned_zones).set_seen_by_earlier_leader(seen);
-    let there: Vec<MachineId> = (0..6).map(|n| format!("vm-b{n}").as_str().into()).collect();
-    for (n, id) in there.iter().enumerate() {
+    let machines_in_b: Vec<MachineId> =
+        (0..6).map(|n| format!("vm-b{n}").as_str().into()).collect();
+    for (n, id) in machines_in_b.iter().enumerate() {
         leader
             .fleet
             .machines
@@ -132,8 +134,8 @@
         )
     };
     assert_eq!(later(6_500), (1, Vec::new()));
-    assert_eq!(later(7_500), (1, there[..4].to_vec()));
-    for id in &there {
+    assert_eq!(later(7_500), (1, machines_in_b[..4].to_vec()));
+    for id in &machines_in_b {
         leader
             .fleet
             .machines
@@ -146,11 +148,12 @@
     assert_eq!(leader.fleet.partitioned_zones.iter().count(), 1);
 }
 
-/// A new leader probes machines that it has never heard, but that an earlier one had run something, by the address
-/// that the cloud lists, and declares them dead if they don't answer.
+/// A new leader probes machines that it has never heard from but on which an earlier one ran tasks, at the address that
+/// the cloud lists, and declares them dead if they don't answer.
 #[test]
-fn a_new_leader_probes_machines_it_never_heard() {
-    let (mut leader, _) = half_silent(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
+fn a_new_leader_probes_machines_it_never_heard_from() {
+    let (mut leader, _) =
+        leader_with_silent_machines(&["vm-b0", "vm-b1", "vm-b2", "vm-b4"], Span(5_000));
     let id = MachineId::from("vm-b3");
     run(&mut leader, &job(7, "sweep", "blue", "normal"), 0, &id);
     leader
@@ -171,11 +174,11 @@
     );
 }
 
-/// When one machine is found silent, those that run replicas are probed before they miss a report.
+/// When one machine is found silent, other machines that run replicas are probed before they miss a report.
 #[test]
 fn a_failure_makes_machines_with_replicas_suspect() {
     let heard = ["vm-b0", "vm-b1", "vm-b2", "vm-b3"];
-    let (mut leader, now) = half_silent(&heard, Span(5_000));
+    let (mut leader, now) = leader_with_silent_machines(&heard, Span(5_000));
     for (id, kind, priority) in [("vm-a1", "standing", "prod"), ("vm-a2", "sweep", "normal")] {
         let n = u32::from(id == "vm-a1") + 1;
         run(&mut leader, &job(n, kind, "red", priority), 0, &id.into());
@@ -194,10 +197,10 @@
     assert!(!probed.contains(&"vm-a2".into()));
 }
 
-/// At most 64 machines were probed at a time, so of several hundred that hang the last were probed many seconds
+/// With a fixed limit of 64 open probes, the last of several hundred hanging machines would be probed many seconds
 /// after the first.
 #[test]
-fn a_large_fleet_is_probed_by_its_size() {
+fn the_number_of_open_probes_grows_with_the_fleet() {
     for (machines, least) in [(30, 20), (1_000, 64), (4_000, 250), (6_000, 375)] {
         let mut leader = leader();
         for n in 0..machines {
--- a/crates/core/src/agents/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -1,10 +1,11 @@
 //! Attributes the failures of tasks to machines or to jobs.
 //!
-//! A task's error speaks against its machine and against its job. A job that has failed on several machines and
-//! never got anywhere was probably submitted with a mistake; a machine on which several jobs have failed that nothing
-//! else speaks against is probably faulty. Only the suspected side pays: a machine is not blamed for what a suspected
-//! job does there; a suspected job is tried with one task (a gang with all) after growing pauses, holds no room and
-//! causes no scale-out. It is never given up, since faulty machines may have misled us: its first success clears it.
+//! A task's error is evidence against its machine and against its job. A job that has failed on several machines, and
+//! of which no task has ever completed or run for long, was probably submitted with a mistake; a machine on which
+//! several jobs have failed that are not suspected themselves is probably faulty. Only the suspected side is
+//! restricted: a machine is not blamed for the failures of a suspected job; a suspected job is tried with one task (a
+//! gang with all) after growing pauses, has no capacity reserved for it and causes no scale-out. It is never given up,
+//! since faulty machines may have misled the leader: its first success clears it.
 
 use crate::fleet::blame::JOBS_TO_SUSPECT_MACHINE;
 use crate::fleet::{Fleet, Phase, Stop, StopReason, TaskExit};
@@ -15,18 +16,20 @@
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TaskId};
 use rudderreel_wire::job::Kind;
 
-/// A job is suspected after failures on so many machines that nothing else speaks against, or on one more of any.
+/// A job is suspected after failures on this number of machines that are not suspected because of other jobs, or on one
+/// more of any machines.
 const MACHINES_TO_SUSPECT_JOB: usize = 2;
-/// A job with a task that has run for so long has no mistake.
-const PROVEN_AFTER: Span = Span(30_000);
-/// The counter of jobs that have become suspected.
+/// Run time of a task that proves that its job has no mistake.
+const PROVEN_RUN_TIME: Span = Span(30_000);
+/// Counter of jobs that have become suspected.
 const SUSPECTED_JOBS_COUNTER: &str = "suspected jobs";
 
 impl Leader {
-    /// A task failed on a machine.
+    /// Records the failure of a task on a machine as evidence against its job and, unless the job is suspected, against
+    /// the machine.
     pub(super) fn task_failed(&mut self, machine: &MachineId, exit: &TaskExit, now: Now) {
         let job_id = &exit.task.job;
-        let ran_long = exit.ran.is_some_and(|ran| ran >= PROVEN_AFTER)
+        let ran_long = exit.ran.is_some_and(|ran| ran >= PROVEN_RUN_TIME)
             || self.replica_runs_long(&exit.task, now.time);
         let Some(job) = self.jobs.get_mut(job_id) else {
             return;
@@ -36,7 +39,7 @@
         }
         let was_suspected = job.is_suspected();
         let is_first_of_attempt = job.failures.record(machine, exit.attempt, now.time);
-        if !job.failures.is_proven() && fails_wherever_tried(job, &self.fleet) {
+        if !job.failures.is_proven() && has_failed_on_enough_machines(job, &self.fleet) {
             job.failures.suspect();
         }
         let became_suspected = job.is_suspected() && !was_suspected;
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Whether some replica of a task's service has been running for long.
+    /// Returns whether some replica of a task's service has been running for long.
     fn replica_runs_long(&self, task: &TaskId, now: Time) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
@@ -65,7 +68,7 @@
                 (machine.tasks.iter())
                     .filter(|placed| placed.attempt == attempt && placed.task.job == task.job)
                     .filter_map(|placed| placed.running_since)
-                    .any(|since| now - since >= PROVEN_AFTER)
+                    .any(|since| now - since >= PROVEN_RUN_TIME)
             })
         };
         job.spec.kind == Kind::Service
@@ -73,8 +76,8 @@
                 .any(|(machine, attempt)| runs_long(machine, *attempt))
     }
 
-    /// A job has become suspected: no machine is blamed for it, and what of it has not been recorded yet is taken
-    /// back.
+    /// Handles that a job has become suspected: no machine is blamed for its failures, and those of its planned tasks
+    /// that have not been recorded yet are withdrawn.
     fn job_became_suspected(&mut self, id: &JobId, now: Time) {
         log::info!("job suspected: it fails wherever it is tried job={id}");
         self.metrics.count(SUSPECTED_JOBS_COUNTER);
@@ -91,12 +94,13 @@
             self.stop_attempt_on(&machine, id, attempt, stop);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            // So that the next leader knows.
+            // The suspicion is recorded for the next leader.
             job.has_unrecorded_progress = true;
         }
     }
 
-    /// A task was completed on a machine: neither is to blame for what failed before.
+    /// Records that a task was completed on a machine: neither its job nor the machine is to blame for earlier
+    /// failures.
     pub(super) fn clear_suspicions(&mut self, machine: &MachineId, job: &JobId, now: Time) {
         if let Some(machine) = self.fleet.machines.get_mut(machine) {
             machine.task_succeeded(now);
@@ -108,8 +112,9 @@
     }
 }
 
-/// Whether a job has failed on enough machines. One that several other jobs failed on counts for less.
-fn fails_wherever_tried(job: &Job, fleet: &Fleet) -> bool {
+/// Returns whether a job has failed on enough machines to be suspected. A machine on which several other jobs failed
+/// counts for less.
+fn has_failed_on_enough_machines(job: &Job, fleet: &Fleet) -> bool {
     let failed_others = |id: &MachineId| {
         fleet.machines.get(id).map_or(0, |machine| {
             (machine.failed_jobs.iter())
--- a/crates/core/src/agents/fault_attribution/tests.rs
+++ b/crates/core/src/agents/fault_attribution/tests.rs
@@ -10,7 +10,7 @@
     }
 }
 
-/// Tries a job on machines in turn, in its own attempt each time.
+/// Records a failure of a job's task on a machine, in an attempt of its own.
 fn fail(leader: &mut Leader, n: u32, machine: &str, at: u64) {
     let task = format!("wk-{n}/0").parse().expect("a task");
     let exit = TaskExit {
@@ -46,7 +46,7 @@
         .count()
 }
 
-/// Broken jobs quarantined every machine of a small fleet, and nobody else's work could start.
+/// Broken jobs must not quarantine every machine of a small fleet, because then no other work could start.
 #[test]
 fn broken_jobs_quarantine_no_machines() {
     let mut leader = fleet(&[1, 2]);
@@ -55,13 +55,13 @@
         fail(&mut leader, 1, &machine, at + 1);
         fail(&mut leader, 2, &machine, at + 1);
         if at == 2 {
-            // The third machine is enough, and the first two are given back at once.
+            // Failures on a third machine are enough, and the first two machines leave quarantine at once.
             assert_eq!(usable(&leader, 3), 5);
         }
     }
     assert!(suspected(&leader, 1) && suspected(&leader, 2));
     assert_eq!(usable(&leader, 21), 5);
-    // It is tried again, one task at a time, after growing pauses.
+    // A broken job is tried again, one task at a time, after growing pauses.
     let broken = &leader.jobs[&"wk-1".parse().expect("an id")];
     assert_eq!(broken.startable_tasks(), 1);
     assert!(broken.retry_at >= now(21).time + Span(32_000));
@@ -83,8 +83,8 @@
     assert!(!job.failures.avoids_machine(&"vm-1".into(), now(4).time));
 }
 
-/// Faulty machines may mislead the leader; the first success clears the job, and a service whose replicas
-/// run elsewhere is never suspected.
+/// Faulty machines may mislead the leader. The first success clears the job, and a service whose replicas run elsewhere
+/// is never suspected.
 #[test]
 fn a_success_clears_a_job() {
     let mut leader = fleet(&[1]);
@@ -105,11 +105,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(60) })]
 
-    /// Against who is really to blame: whatever the order in which broken jobs and up to two faulty
-    /// machines of five meet, broken jobs end up suspected, sound ones done, and sound machines in
-    /// use, with a bounded number of failures.
+    /// Compares with the actual faults: in whatever order jobs, some of them broken, are tried on five machines, up to
+    /// two of them faulty, broken jobs end up suspected, sound ones done, and sound machines in use, with a bounded
+    /// number of failures.
     #[test]
-    fn faults_are_attributed_in_whatever_order_jobs_and_machines_meet(
+    fn faults_are_attributed_in_whatever_order_jobs_are_tried_on_machines(
         broken in prop::collection::vec(any::<bool>(), 6),
         faulty in prop::collection::btree_set(0usize..5, 0..3),
         order in prop::collection::vec((0usize..6, 0usize..5), 400),
@@ -142,7 +142,7 @@
         let late = now(400 + 8);
         for n in (0..5).filter(|n| !faulty.contains(n)) {
             let machine = &leader.fleet.machines[&format!("vm-{n}").as_str().into()];
-            prop_assert!(machine.quarantined_until <= late.time, "vm-{n} is kept out");
+            prop_assert!(machine.quarantined_until <= late.time, "vm-{n} is still quarantined");
         }
     }
 }
--- a/crates/core/src/agents/forwarded_reports.rs
+++ b/crates/core/src/agents/forwarded_reports.rs
@@ -1,4 +1,4 @@
-//! Status reports that a peer forwards to the leader.
+//! Applies the status reports that peers forward to the leader.
 
 use crate::cache::job_cache::JobCache;
 use crate::fleet::MessageOrder;
@@ -10,7 +10,7 @@
 use rudderreel_wire::worker::{StatusReport, StatusReportReply};
 
 impl Leader {
-    /// Reconciles a forwarded report, and decides what the peer answers the agent.
+    /// Reconciles a forwarded report, and returns what the peer has to answer the agent.
     pub(crate) fn apply_forwarded_report(
         &mut self,
         forwarded: ForwardedReport,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The agent's report, or what to answer the peer without one.
+    /// Returns the agent's report, or the answer to the peer if the report can't be restored.
     fn restore_report(&self, forwarded: ForwardedReport) -> Result<StatusReport, ForwardedAnswer> {
         let id = MachineId::from(forwarded.machine.as_str());
         match forwarded.tasks {
@@ -59,7 +59,8 @@
         }
     }
 
-    /// A report with the list of tasks of an earlier message, if that is the last list that this leader has applied.
+    /// Returns a report with the list of tasks of an earlier message, if that is the last list that this leader has
+    /// applied.
     fn report_with_list(&self, id: &MachineId, list: MessageOrder) -> Option<StatusReport> {
         let machine = self.fleet.machines.get(id)?;
         if machine.reported_tasks.message != list || !self.recovery.is_complete() {
@@ -79,7 +80,8 @@
         })
     }
 
-    /// The peer refers to the list of a whole report from now on, also if an earlier message had the same list.
+    /// Records that the peer refers to the list of a whole report from now on, also if an earlier message had the same
+    /// list.
     fn remember_forwarded_list(&mut self, report: &StatusReport) {
         if let Some(machine) = self.fleet.machines.get_mut(&report.machine) {
             if machine.last_message == MessageOrder::of(report) {
--- a/crates/core/src/agents/mod.rs
+++ b/crates/core/src/agents/mod.rs
@@ -1,9 +1,10 @@
-//! What the leader concludes from its agents: their status reports, their answers to calls, and their silence.
+//! The leader's conclusions from its agents' status reports, their answers to calls, and their silence.
 //!
 //! **Parts.** `reconciliation` compares a report with the placements; `task_outcomes` draws the consequences of
-//! exits and losses; `fault_attribution` says whether a machine or a job is to blame; `failure_detection`,
+//! exits and losses; `fault_attribution` decides whether a machine or a job is to blame; `failure_detection`,
 //! `zone_partitions` and `probing` deal with machines that are silent or can't be reached; `peer_selection`,
-//! `report_forwarding` and `forwarded_reports` bring the reports of a large fleet to the leader by way of all nodes.
+//! `report_forwarding` and `forwarded_reports` spread the reports of a large fleet over all nodes, which forward them
+//! to the leader.
 //!
 //! **Invariants.** Nothing counts as gone without proof (see `fleet::machine`). An agent is answered only when the
 //! leader's term allows it, since an answer renews the agent's lease.
--- a/crates/core/src/agents/peer_selection.rs
+++ b/crates/core/src/agents/peer_selection.rs
@@ -1,12 +1,13 @@
-//! Which node an agent should report to: the load of a large fleet's status reports is spread over all nodes.
+//! Selects the node that an agent should report to: the load of a large fleet's status reports is spread over all
+//! nodes.
 //!
-//! Each node counts the agents that report to it and tells its peers with its heartbeats. An agent that reports to a
-//! node with far more load than another is redirected there.
+//! Each node counts the agents that report to it and sends the count to its peers with its heartbeats. An agent that
+//! reports to a node with far more load than another is redirected to that other node.
 //!
-//! **Guards.** Agents are moved only if it is worth while, so that they don't go back and forth. A node that no agent
-//! reaches looks idle; if it can't be reached, every agent sent there would be lost time, so only one is sent now
-//! and then on trial. A leader that was cut off from agents looked idle to the others, which sent it all of theirs,
-//! again and again, until their leases expired.
+//! **Guards.** An agent is moved only if the loads differ enough to make it worthwhile, so that agents don't move back
+//! and forth. A node that no agent reaches seems idle; if it can't be reached, every agent sent there loses time, so
+//! only one is sent there on trial from time to time. Otherwise a leader that is cut off from agents seems idle to the
+//! other nodes, which redirect all of their agents to it, again and again, until the leases expire.
 
 use crate::leadership::peers::{PeerStatus, PeerTable};
 use crate::overload::backlog::Backlog;
@@ -14,58 +15,58 @@
 use rudderreel_wire::ids::{MachineId, NodeName};
 use std::collections::BTreeMap;
 
-/// A peer that is silent for so long has probably failed: an agent that tries it next loses time.
+/// Silence after which a peer has probably failed: an agent that tries it next loses time.
 const PEER_FAILURE_TIMEOUT: Span = Span(3_000);
-/// A report weighs so much more at the leader, which has other things to do.
+/// Factor of the weight of a report at the leader, which has other work to do.
 const LEADER_WEIGHT: u32 = 3;
-/// And at a node if the one that an agent would try after it has probably failed.
+/// Factor of the weight of a report at a node if the node that an agent would try next has probably failed.
 const FAILED_SUCCESSOR_WEIGHT: u32 = 4;
-/// How uneven the nodes' loads may be, in agents, beside a quarter of the smaller one.
+/// Difference between the loads of two nodes that is accepted, in agents, in addition to a quarter of the smaller load.
 const MAX_IMBALANCE: u32 = 8;
-/// An agent that has missed a report by so much reports elsewhere, ...
-const AGENT_LEFT_MARGIN: Span = Span(2_000);
-/// ... but does not count as gone before this.
-const MIN_TIME_TO_LEAVE: Span = Span(8_000);
-/// How often agents that have left are looked for: the count is asked for with every report, so to look through all
-/// of them each time would cost by the square of the fleet.
+/// Time by which a report is late when its agent counts as reporting elsewhere, but see [`MIN_AGENT_TIMEOUT`].
+const AGENT_TIMEOUT_MARGIN: Span = Span(2_000);
+/// Time since an agent's last report before which the agent does not count as reporting elsewhere.
+const MIN_AGENT_TIMEOUT: Span = Span(8_000);
+/// Interval at which agents that report elsewhere are removed. The count is needed with every report, so looking
+/// through all agents each time would have a cost that is quadratic in the size of the fleet.
 const PRUNE_INTERVAL: Span = Span(200);
-/// A node that none of its agents has reached for so long is perhaps cut off from them; ...
+/// Time without any agent reaching a node after which the node is perhaps cut off from its agents.
 const MAX_AGENT_SILENCE: Span = Span(1_500);
-/// ... with few agents, for so many times the usual pause between their reports.
-const PAUSES_OF_AGENT_SILENCE: u64 = 5;
-/// How often an agent is sent on trial to a node that none reaches.
+/// The same for a node with few agents, as a multiple of the mean time between their reports.
+const AGENT_SILENCE_IN_REPORT_GAPS: u64 = 5;
+/// Interval at which an agent is sent on trial to a node that no agent reaches.
 const TRIAL_INTERVAL: Span = Span(1_000);
 
 /// The agents that report to this node, and those that it has redirected.
 #[derive(Default)]
 pub struct AgentBalancer {
-    /// When each agent last reported here.
+    /// Time at which each agent last reported here.
     reporting: BTreeMap<MachineId, Time>,
     pruned_at: Time,
-    /// Agents redirected to each peer since it last said how many it has.
+    /// Number of agents redirected to each peer since the peer last sent its own count.
     redirected: BTreeMap<NodeName, u32>,
-    /// When an agent was last redirected to each peer.
+    /// Time at which an agent was last redirected to each peer.
     redirected_at: BTreeMap<NodeName, Time>,
 }
 
-/// What is known of all nodes, when an agent reports.
+/// The load and state of all nodes at the time when an agent reports.
 pub(crate) struct ClusterLoad<'a> {
-    /// This node's name.
+    /// Name of this node.
     pub(crate) own_name: &'a NodeName,
     /// Whether this node leads.
     pub(crate) own_leads: bool,
-    /// How far this node is behind with its own work.
+    /// Backlog of this node's own work.
     pub(crate) backlog: &'a Backlog,
-    /// The other nodes.
+    /// State of the other nodes.
     pub(crate) peers: &'a PeerTable,
-    /// The interval of an agent's reports.
+    /// Interval between an agent's reports.
     pub(crate) report_interval: Span,
-    /// When it reports.
+    /// Time of the report.
     pub(crate) now: Time,
 }
 
 impl ClusterLoad<'_> {
-    /// How much a report weighs at a node.
+    /// Returns the weight of a report at a node.
     fn weight(&self, name: &NodeName, leads: bool) -> u32 {
         let leader_weight = if leads { LEADER_WEIGHT } else { 1 };
         let successor_weight = if self.has_failed_successor(name) {
@@ -76,8 +77,9 @@
         leader_weight * successor_weight
     }
 
-    /// Whether the node after one, by name, has probably failed. An agent whose node ends or freezes waits 4 s for its
-    /// answer and then tries the next; if that is gone, too, its lease is nearly over before it finds a third.
+    /// Returns whether the node after the named one, in the order of names, has probably failed. An agent whose node
+    /// ends or freezes waits 4 s for its answer and then tries the next node; if that one is gone, too, the agent's
+    /// lease has nearly expired before it finds a third.
     fn has_failed_successor(&self, name: &NodeName) -> bool {
         let names = || self.peers.names().chain([self.own_name]);
         let successor = (names().filter(|other| *other > name).min()).or_else(|| names().min());
@@ -87,35 +89,35 @@
 }
 
 impl AgentBalancer {
-    /// An agent reports here.
+    /// Records that an agent reports to this node.
     pub fn agent_reported(&mut self, machine: &MachineId, now: Time) {
         self.reporting.insert(machine.clone(), now);
     }
 
-    /// An agent was refused, and reports elsewhere.
+    /// Records that an agent was refused, and reports elsewhere.
     pub fn agent_left(&mut self, machine: &MachineId) {
         self.reporting.remove(machine);
     }
 
-    /// A peer has said how many agents it has, with those that were redirected to it.
+    /// Records that a peer has sent its number of agents, which includes those that were redirected to it.
     pub fn peer_load_updated(&mut self, peer: &NodeName) {
         self.redirected.remove(peer);
     }
 
-    /// How many agents report here.
+    /// Returns the number of agents that report to this node.
     pub fn agent_count(&mut self, report_interval: Span, now: Time) -> u32 {
         if now - self.pruned_at >= PRUNE_INTERVAL {
-            let missed_report = Span(report_interval.0 * 5 / 4) + AGENT_LEFT_MARGIN;
-            let time_to_leave = MIN_TIME_TO_LEAVE.max(missed_report);
+            let missed_report = Span(report_interval.0 * 5 / 4) + AGENT_TIMEOUT_MARGIN;
+            let agent_timeout = MIN_AGENT_TIMEOUT.max(missed_report);
             self.reporting
-                .retain(|_, heard| now - *heard < time_to_leave);
+                .retain(|_, heard| now - *heard < agent_timeout);
             self.pruned_at = now;
         }
         self.reporting.len() as u32
     }
 
-    /// A peer that an agent should rather report to, since that has far less load. The agent counts as redirected
-    /// there.
+    /// Returns a peer that the agent should report to instead of this node, since the peer has far less load. The agent
+    /// then counts as redirected to that peer.
     pub(crate) fn redirect(
         &mut self,
         machine: &MachineId,
@@ -126,7 +128,7 @@
         let load = cluster.backlog.load_for_agents(agents) + u32::from(!is_counted);
         let own_load = load * cluster.weight(cluster.own_name, cluster.own_leads);
         let (peer_load, peer) = self.least_loaded_peer(cluster)?;
-        // Agents that are here already move only if it is worth while.
+        // An agent that reports here already is moved only if the loads differ enough to make it worthwhile.
         let slack = if is_counted {
             MAX_IMBALANCE * 3 + peer_load / 2
         } else {
@@ -142,7 +144,7 @@
         Some(peer)
     }
 
-    /// The peer with the least weighted load of those that may take an agent, and that load.
+    /// Returns the peer with the least weighted load of those that an agent may be redirected to, and that load.
     fn least_loaded_peer<'a>(&self, cluster: &ClusterLoad<'a>) -> Option<(u32, &'a NodeName)> {
         (cluster.peers.iter())
             .filter(|(_, peer)| peer.is_reachable(cluster.now) && peer.forwards_reports)
@@ -157,8 +159,8 @@
             .min()
     }
 
-    /// Whether an agent may be redirected to a peer: if none reaches it, only one now and then, to see whether it
-    /// can be reached again.
+    /// Returns whether an agent may be redirected to a peer. If no agent reaches the peer, only one is redirected from
+    /// time to time, to find out whether the peer can be reached again.
     fn may_redirect_to(
         &self,
         name: &NodeName,
@@ -167,7 +169,7 @@
         now: Time,
     ) -> bool {
         let usual_silence =
-            Span(PAUSES_OF_AGENT_SILENCE * report_interval.0 / u64::from(peer.workers.max(1)));
+            Span(AGENT_SILENCE_IN_REPORT_GAPS * report_interval.0 / u64::from(peer.workers.max(1)));
         let is_reached =
             peer.workers > 0 && peer.agent_silence < MAX_AGENT_SILENCE.max(usual_silence);
         is_reached || (self.redirected_at.get(name)).is_none_or(|at| now - *at > TRIAL_INTERVAL)
--- a/crates/core/src/agents/peer_selection/tests.rs
+++ b/crates/core/src/agents/peer_selection/tests.rs
@@ -3,9 +3,9 @@
 const NOW: Time = Time(1_000_000);
 const REPORT_INTERVAL: Span = Span(6_000);
 
-/// A leader that no agent reached looked idle, and the others sent it all of theirs.
+/// A leader that no agent reaches seems idle, and the other nodes must not redirect all of their agents to it.
 #[test]
-fn to_a_node_that_no_agent_reaches_one_is_sent_on_trial() {
+fn only_one_agent_is_redirected_on_trial_to_a_node_that_no_agent_reaches() {
     let mut balancer = AgentBalancer::default();
     let name = NodeName::from("n1");
     let peer = |workers: u32, silence: u64| PeerStatus {
@@ -26,11 +26,11 @@
         .any(|p| balancer.may_redirect_to(&name, p, REPORT_INTERVAL, soon)));
     let later = NOW + Span(1_100);
     assert!(balancer.may_redirect_to(&name, &unreached[1], REPORT_INTERVAL, later));
-    // One with few agents is not always heard of.
+    // A peer with few agents is reached less often.
     assert!(balancer.may_redirect_to(&name, &peer(4, 7_000), REPORT_INTERVAL, soon));
 }
 
-/// Each report looked through all agents of the node: at 4,000 machines that cost more than the rest.
+/// Looking through all agents of the node with each report costs more than all other work at 4,000 machines.
 #[test]
 fn agents_that_have_left_are_not_counted() {
     let mut balancer = AgentBalancer::default();
@@ -39,6 +39,6 @@
         balancer.agent_reported(&machine, NOW);
     }
     assert_eq!(balancer.agent_count(REPORT_INTERVAL, NOW), 4_000);
-    let left = NOW + MIN_TIME_TO_LEAVE + Span(REPORT_INTERVAL.0 * 5 / 4) + AGENT_LEFT_MARGIN;
+    let left = NOW + MIN_AGENT_TIMEOUT + Span(REPORT_INTERVAL.0 * 5 / 4) + AGENT_TIMEOUT_MARGIN;
     assert_eq!(balancer.agent_count(REPORT_INTERVAL, left), 0);
 }
--- a/crates/core/src/agents/reconciliation.rs
+++ b/crates/core/src/agents/reconciliation.rs
@@ -1,10 +1,10 @@
 //! Reconciles an agent's status report with the placements, and answers it.
 //!
 //! **In:** status reports, from agents directly, forwarded by other nodes, or as answers to direct calls.
-//! **Out:** the answer, or none. An answer renews the agent's lease, so only a leader gives one whose term allows
-//! it, and each carries the stops of what must not go on.
+//! **Out:** the answer, or none. An answer renews the agent's lease, so only a leader whose term allows it answers,
+//! and each answer carries the stops of tasks that must not keep running.
 //!
-//! Until a new leader has recovered its state it keeps the reports and reconciles them afterwards: before, a task
+//! Until a new leader has recovered its state it holds the reports and reconciles them afterwards: before that, a task
 //! that it has not read back yet would be taken for an unknown one and stopped.
 
 use crate::cache::job_cache::JobCache;
@@ -17,11 +17,11 @@
 use rudderreel_wire::ids::{MachineId, TaskId};
 use rudderreel_wire::worker::{Command, StatusReport};
 
-/// The counter of tasks that were seen running for the first time.
+/// Counter of tasks that were seen running for the first time.
 const STARTED_COUNTER: &str = "started";
 
 impl Leader {
-    /// Reconciles an agent's report and decides its answer: commands, or none if it must not be answered.
+    /// Reconciles an agent's report and returns the commands of its answer, or none if it must not be answered.
     pub fn answer_report(
         &mut self,
         report: &StatusReport,
@@ -29,8 +29,8 @@
         now: Now,
     ) -> Option<Vec<Command>> {
         if report.token > self.term.epoch() || self.fleet.is_returned(&report.machine) {
-            // Under a higher epoch another node leads. A machine that was returned is gone, so this is a late copy;
-            // to answer it would help nobody.
+            // Under a higher epoch another node leads. A machine that was returned is gone, so this is a late copy,
+            // and an answer to it would have no use.
             log::debug!(
                 "report refused machine={} epoch={}",
                 report.machine,
@@ -45,13 +45,14 @@
         };
         machine.last_answered_at = Some(now.time);
         if machine.last_message != MessageOrder::of(report) {
-            // It renews the agent's lease all the same, so it carries the stops of what must not go on.
+            // The answer renews the agent's lease all the same, so it carries the stops of tasks that must not keep
+            // running.
             return Some(job_cache.stops_for_cancelled_tasks(report));
         }
         Some(self.answer_commands(&report.machine, now.time))
     }
 
-    /// An agent has answered a direct call.
+    /// Records that an agent has answered a direct call, and reconciles the report in its answer.
     pub fn direct_call_answered(&mut self, report: &StatusReport, now: Now) {
         self.fleet.reachability.call_answered(now.time);
         self.reconcile_report(report, now);
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Reconciles a report with the placements: what it shows to be gone, to have exited, to run, or to be there
-    /// without having been placed.
+    /// Reconciles a report with the placements, according to the tasks that it shows to be gone, to have exited, to
+    /// run, or to be on the machine without having been placed there.
     pub fn reconcile_report(&mut self, report: &StatusReport, now: Now) {
         if self.fleet.is_returned(&report.machine) {
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The machine that a report is of. One that was not known is added.
+    /// Returns the machine that a report is from. A machine that was not known is added.
     fn machine_of_report(&mut self, report: &StatusReport, now: Now) -> &mut Machine {
         if !self.fleet.machines.contains_key(&report.machine) {
             let type_is_known = self.policy.machine_type(&report.machine_type).is_some();
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A task was seen running for the first time: its image is in the machine's cache from now on.
+    /// Records that a task was seen running for the first time: its image is in the machine's cache from now on.
     fn task_started(&mut self, machine: &MachineId, task: &TaskId, now: Now) {
         self.metrics.count(STARTED_COUNTER);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -147,7 +148,7 @@
     }
 }
 
-/// Stops tasks that a report shows to run of jobs that are not known: nothing else would end them.
+/// Stops the tasks that a report shows on the machine and whose jobs are not known: nothing else would end them.
 fn stop_tasks_of_unknown_jobs(machine: &mut Machine, now: Time) {
     for task in &mut machine.tasks {
         if matches!(task.phase, Phase::On(_)) && task.spec.is_none() {
--- a/crates/core/src/agents/reconciliation/tests.rs
+++ b/crates/core/src/agents/reconciliation/tests.rs
@@ -9,7 +9,7 @@
     running(machine, Epoch(1), Seq(seq), task, Attempt(1))
 }
 
-/// The answer to a report that came late was empty, and renewed the agent's lease all the same.
+/// The answer to a late report renews the agent's lease, so an empty answer would keep cancelled tasks running.
 #[test]
 fn the_answer_to_a_late_report_stops_what_is_cancelled() {
     let mut leader = leader();
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -1,16 +1,15 @@
 //! Forwards status reports from a node that does not lead to the leader.
 //!
-//! Several hundred agents are too many for one node, so from a certain size of the fleet on every node takes
-//! reports. It forwards them to the leader, many at once and shortened, and answers each agent only with what the
-//! leader says.
+//! Several hundred agents are too many for one node, so in a fleet above a certain size every node accepts reports. It
+//! forwards them to the leader, batched and shortened, and answers each agent only with the leader's answer.
 //!
 //! **Safety.** Whether an agent is answered stays a decision of the leader alone. An agent's lease counts from the
 //! sending of its report, which came before that decision; so however late this node answers, it does not renew a
-//! lease for longer than the leader reckons with. If the leader says nothing, agents get 503 at once and try another
+//! lease for longer than the leader assumes. If the leader does not answer, agents get 503 at once and try another
 //! node.
 //!
-//! **Shortening.** A report whose list of tasks the leader has applied already refers to that list. A leader that
-//! does not have it asks for the whole report.
+//! **Shortening.** A report whose list of tasks the leader has already applied refers to that list. A leader that
+//! does not have the list asks for the whole report.
 
 use crate::fleet::MessageOrder;
 use crate::io::{json, CallId, ReqId};
@@ -22,35 +21,35 @@
 use rudderreel_wire::worker::{StatusReport, StatusReportReply, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Bytes that the reports of a batch have, roughly.
+/// Approximate limit on the size of the reports of a batch, in bytes.
 const MAX_BATCH_BYTES: usize = MAX_MESSAGE_BYTES / 2;
-/// Reports of a batch: their answers have to fit into a message, too.
+/// Limit on the number of reports of a batch: their answers have to fit into a message, too.
 const MAX_BATCH_REPORTS: usize = 1_000;
-/// Bytes of a forwarded report without its list of tasks.
+/// Approximate size of a forwarded report without its list of tasks, in bytes.
 const REPORT_BYTES: usize = 80;
-/// Batches that may be open at once.
+/// Limit on the number of batches that are open at once.
 const MAX_OPEN_BATCHES: usize = 3;
-/// An agent gives up after 4 s. While the oldest report has waited for so long, another would only be answered too
-/// late, and is refused at once. How many wait follows from how fast they are forwarded, and from the connections
-/// that agents may have: each has one report under way.
+/// Wait of the oldest report beyond which another report is refused at once: an agent gives up after 4 s, so the other
+/// report would only be answered too late. The number of waiting reports follows from the rate at which they are
+/// forwarded, and from the number of connections that agents may have: each agent has one report in flight.
 pub(crate) const MAX_WAIT: Span = Span(2_000);
 
 /// A report whose agent waits for an answer.
 pub(crate) struct HeldReport {
     req: ReqId,
     report: StatusReport,
-    /// Whether the leader has asked for its whole list of tasks.
+    /// Whether the leader has asked for the whole list of tasks.
     must_be_whole: bool,
     received_at: Time,
 }
 
 impl HeldReport {
-    /// The request to answer.
+    /// Returns the request to answer.
     pub(crate) fn req(&self) -> ReqId {
         self.req
     }
 
-    /// The machine whose agent waits.
+    /// Returns the machine whose agent waits.
     pub(crate) fn machine(&self) -> &MachineId {
         &self.report.machine
     }
@@ -59,9 +58,9 @@
 /// The leader that reports are forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ForwardingTarget {
-    /// Its node.
+    /// Node that leads.
     pub(crate) node: NodeName,
-    /// Its epoch.
+    /// Epoch of the leader.
     pub(crate) epoch: Epoch,
 }
 
@@ -84,29 +83,29 @@
 }
 
 impl ReportBatch {
-    /// The reports, if they can't be forwarded.
+    /// Returns the held reports of a batch that can't be forwarded.
     pub(crate) fn into_held(self) -> Vec<HeldReport> {
         self.held
     }
 }
 
-/// What an agent is answered after its report was forwarded.
+/// The answer to an agent whose report was forwarded.
 pub(crate) struct AgentAnswer {
-    /// Its request.
+    /// Request of the agent.
     pub(crate) req: ReqId,
-    /// The body of the answer; none if the leader refuses to answer.
+    /// Body of the answer; none if the leader refuses to answer.
     pub(crate) body: Option<String>,
 }
 
-/// What the end of a forwarded batch means.
+/// Outcome of a forwarded batch.
 pub(crate) enum BatchResult {
-    /// The leader gave no answer: nobody is answered.
+    /// The leader gave no answer: no agent is answered.
     Unanswered(Vec<HeldReport>),
-    /// The leader has answered under an epoch.
+    /// The leader has answered.
     Answered {
-        /// Its epoch.
+        /// Epoch under which the leader has answered.
         epoch: Epoch,
-        /// The answers. Reports that it asked for whole wait again.
+        /// Answers to the agents. Reports that the leader asked for in whole wait again.
         answers: Vec<AgentAnswer>,
     },
 }
@@ -114,24 +113,24 @@
 /// Reports that wait to be forwarded, or for the leader's answer.
 #[derive(Default)]
 pub struct ReportForwarding {
-    /// The oldest first.
+    /// Reports to be forwarded, in the order in which they were queued.
     waiting: Vec<HeldReport>,
-    /// Since when reports are collected for the next batch.
+    /// Time since which reports are collected for the next batch.
     collecting_since: Option<Time>,
     open: BTreeMap<CallId, Vec<HeldReport>>,
     last_call: u64,
-    /// By machine: the last list that `applied_by` has applied in whole.
+    /// By machine: the last list that was forwarded whole and that `applied_by` has applied.
     applied: BTreeMap<MachineId, AppliedList>,
     applied_by: Option<ForwardingTarget>,
 }
 
 impl ReportForwarding {
-    /// Whether reports wait for so long that another would be answered too late.
+    /// Returns whether reports have waited for so long that another one would be answered too late.
     pub(crate) fn is_overloaded(&self, now: Time) -> bool {
         (self.waiting.first()).is_some_and(|held| now > held.received_at + MAX_WAIT)
     }
 
-    /// Keeps a report until it is forwarded and answered. Another leader than before knows no lists.
+    /// Holds a report until it is forwarded and answered. If `target` is another leader than before, it knows no lists.
     pub(crate) fn enqueue(
         &mut self,
         req: ReqId,
@@ -159,7 +158,7 @@
         self.waiting.push(held);
     }
 
-    /// Takes the batch that is due: the reports that wait longest, as many as a message holds.
+    /// Takes the batch that is due, if any: the reports that have waited longest, as many as fit into a message.
     pub(crate) fn take_due_batch(&mut self, interval: Span, now: Time) -> Option<ReportBatch> {
         let is_due = (self.collecting_since).is_some_and(|since| now >= since + interval);
         if !is_due || self.open.len() >= MAX_OPEN_BATCHES {
@@ -170,7 +169,7 @@
         Some(batch)
     }
 
-    /// Takes one report at least, if any wait.
+    /// Takes a batch of at least one report, if any reports wait.
     fn take_batch(&mut self) -> ReportBatch {
         let mut bytes = 0;
         let mut reports = Vec::new();
@@ -187,7 +186,7 @@
         ReportBatch { held, reports }
     }
 
-    /// A report as it is forwarded: with its list of tasks, or by reference to one that the leader has.
+    /// Returns a report as it is forwarded: with its list of tasks, or with a reference to a list that the leader has.
     fn shorten(&self, held: &HeldReport) -> ForwardedReport {
         let report = &held.report;
         let applied = (self.applied.get(&report.machine))
@@ -206,7 +205,7 @@
         }
     }
 
-    /// A batch is sent: returns the call and what to send.
+    /// Records that a batch is sent. Returns the call and the reports to send.
     pub(crate) fn open_batch(&mut self, batch: ReportBatch) -> (CallId, Vec<ForwardedReport>) {
         self.last_call += 1;
         let call = CallId(self.last_call);
@@ -214,7 +213,7 @@
         (call, batch.reports)
     }
 
-    /// A batch was answered, or was not. None if the call is not open.
+    /// Handles the answer to a batch, or the lack of one. Returns none if the call is not open.
     pub(crate) fn batch_answered(
         &mut self,
         call: CallId,
@@ -235,7 +234,8 @@
         Some(BatchResult::Answered { epoch, answers })
     }
 
-    /// The leader's answer to one report; none if it is to be sent again.
+    /// Handles the leader's answer to one report. Returns the answer to the agent, or none if the report is to be sent
+    /// again.
     fn report_answered(
         &mut self,
         mut held: HeldReport,
@@ -260,7 +260,7 @@
         Some(AgentAnswer { req, body })
     }
 
-    /// The leader has applied a report. Its list is the last one that was forwarded whole.
+    /// Records that the leader has applied a report. The recorded list stays the last one that was forwarded whole.
     fn remember_applied(&mut self, held: HeldReport) {
         let report = held.report;
         let is_known = (self.applied.get(&report.machine))
@@ -275,7 +275,7 @@
     }
 }
 
-/// The body of an answer without commands.
+/// Returns the body of an answer without commands.
 fn no_commands(epoch: Epoch) -> String {
     json(&StatusReportReply {
         token: epoch,
@@ -283,7 +283,7 @@
     })
 }
 
-/// Bytes of a report in a message, roughly.
+/// Returns the approximate size of a report in a message, in bytes.
 fn estimated_bytes(report: &ForwardedReport) -> usize {
     let list = match &report.tasks {
         ForwardedTasks::SameAs(_) => 0,
--- a/crates/core/src/agents/report_forwarding/tests.rs
+++ b/crates/core/src/agents/report_forwarding/tests.rs
@@ -23,7 +23,7 @@
     report
 }
 
-/// Forwards a report and answers it; returns how its list was sent, and the answers.
+/// Forwards a report and answers it. Returns the form in which its list was sent, and the answers.
 fn forward(
     forwarding: &mut ReportForwarding,
     report: StatusReport,
@@ -50,7 +50,7 @@
     (reports[0].tasks.clone(), answers)
 }
 
-/// The number of tasks bounded a batch, and not what their names take.
+/// A batch is bounded by bytes: a bound on the number of tasks ignores the length of their names.
 #[test]
 fn a_batch_of_long_reports_fits_into_a_message() {
     let mut forwarding = ReportForwarding::default();
@@ -78,7 +78,7 @@
     let (second, _) = forward(&mut forwarding, report(1, 2, 3), answered());
     assert!(matches!(second, ForwardedTasks::SameAs(1)));
     let (_, answers) = forward(&mut forwarding, report(1, 3, 3), ForwardedAnswer::Whole);
-    assert!(answers.is_empty(), "it waits to be sent again");
+    assert!(answers.is_empty(), "the report waits to be sent again");
     let (again, answers) = forward_waiting(&mut forwarding, answered());
     assert!(matches!(again, ForwardedTasks::Whole(_)));
     assert!(answers[0].body.is_some());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_reply_that_does_not_answer_each_report_answers_nobody() {
+fn a_reply_that_does_not_answer_each_report_answers_no_agent() {
     for (token, answers) in [(None, 1), (Some(Epoch(1)), 0), (Some(Epoch(1)), 2)] {
         let mut forwarding = ReportForwarding::default();
         forwarding.enqueue(ReqId(1), report(1, 1, 3), target(), NOW.time);
--- a/crates/core/src/agents/task_outcomes.rs
+++ b/crates/core/src/agents/task_outcomes.rs
@@ -1,8 +1,8 @@
-//! What follows when a task exits, is lost with its machine, or is found where it was not placed.
+//! Consequences for a job when a task exits, is lost with its machine, or is found where it was not placed.
 //!
-//! **Invariants.** A task of a job is free to be placed again only once its attempt is surely gone (`Job::unplace`).
+//! **Invariants.** A task of a job may be placed again only once its attempt is surely gone (`Job::unplace`).
 //! The outcome of a completed task counts as recorded, so that the agent may forget it, only after the placement
-//! log has committed it; other outcomes need no record. A gang that lost a task goes on only as a whole, with a
+//! log has committed it; other outcomes need no record. A gang that lost a task continues only as a whole, with a
 //! new attempt.
 
 use crate::fleet::{Phase, PlacedTask, StartSent, Stop, StopReason, TaskExit};
@@ -12,16 +12,17 @@
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::worker::{Cause, TaskState, TaskStatus};
 
-/// A machine whose agent found no room for a task gets no starts for so long.
+/// Time for which a machine whose agent had no room for a task gets no starts.
 const NO_ROOM_QUARANTINE: Span = Span(1_000);
-/// A job is tried again after so long when its task ended in a way that nobody knows.
+/// Pause before a job is tried again whose task exited for an unknown cause.
 const UNKNOWN_EXIT_RETRY_PAUSE: Span = Span(2_000);
-/// Counters of tasks that exited without having been stopped.
+/// Counter of tasks that completed without having been stopped.
 const DONE_COUNTER: &str = "done";
+/// Counter of tasks that exited for any other cause without having been stopped.
 const FAILED_COUNTER: &str = "failed";
 
 impl Leader {
-    /// A task's attempt has exited.
+    /// Handles the exit of a task's attempt.
     pub(crate) fn task_exited(&mut self, machine: &MachineId, exit: &TaskExit, now: Now) {
         log::debug!(
             "task exited job={} task={} attempt={} machine={machine} cause={:?}",
@@ -39,7 +40,7 @@
             self.mark_outcome_recorded(machine, exit);
         }
         let Some(job) = self.jobs.get_mut(&exit.task.job) else {
-            // Nobody will record it.
+            // No job is left that would record the outcome.
             return self.mark_outcome_recorded(machine, exit);
         };
         job.unplace(exit.task.index, machine, exit.attempt);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// The agent had no room for a task: something is on the machine that this leader does not know of yet.
+    /// Quarantines a machine whose agent had no room for a task: something is on the machine that this leader does not
+    /// know of yet.
     fn quarantine_full_machine(&mut self, machine: &MachineId, now: Time) {
         if let Some(machine) = self.fleet.machines.get_mut(machine) {
             machine.quarantined_until = machine.quarantined_until.max(now + NO_ROOM_QUARANTINE);
@@ -93,7 +95,7 @@
         self.clear_suspicions(machine, &exit.task.job, now);
     }
 
-    /// A task is gone with its machine, or without a trace.
+    /// Handles the loss of a task that is gone with its machine, or without a reported exit.
     pub(crate) fn task_lost(
         &mut self,
         machine: &MachineId,
@@ -110,7 +112,7 @@
         self.request_cycle(now.time);
     }
 
-    /// Stops the rest of a gang that lost a task.
+    /// Stops the remaining tasks of a gang that lost a task.
     fn stop_broken_gang(&mut self, task: &TaskId, attempt: Attempt, now: Time) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Stops all tasks of a job's attempt on a machine. Those of which no start was sent are dropped at once.
+    /// Stops all tasks of a job's attempt on a machine. Those for which no start was sent are dropped at once.
     pub(crate) fn stop_attempt_on(
         &mut self,
         machine: &MachineId,
@@ -159,7 +161,7 @@
     }
 
     /// Adopts a task that an agent reports and the leader did not place there: a late start, or one whose record was
-    /// dropped. It takes up capacity until it is stopped.
+    /// dropped. The task occupies capacity until it is stopped.
     pub(super) fn adopt_unknown_task(&mut self, machine: &MachineId, status: TaskStatus, now: Now) {
         let spec = (self.jobs.get(&status.task.job)).map(|job| job.spec.clone());
         let mut placed = PlacedTask::planned(status.task.clone(), status.attempt, spec, now.time);
--- a/crates/core/src/agents/task_outcomes/tests.rs
+++ b/crates/core/src/agents/task_outcomes/tests.rs
@@ -3,8 +3,8 @@
 use crate::testing::{job, leader, run, up, NOW};
 use rudderreel_wire::worker::Command;
 
-/// A task that writes a checkpoint was stopped with time for that. When its job is cancelled it is ended, and not
-/// left to write until its machine hangs.
+/// A task that was stopped with time for a checkpoint is writing it. When its job is cancelled, the task is ended, and
+/// not left to write until its machine hangs.
 #[test]
 fn a_checkpoint_is_ended_when_its_job_is_cancelled() {
     let mut leader = leader();
--- a/crates/core/src/agents/zone_partitions.rs
+++ b/crates/core/src/agents/zone_partitions.rs
@@ -1,7 +1,7 @@
 //! Detects zones that are partitioned from this node: all machines there that should report are silent.
 //!
-//! Such silence is no failure of the machines. If nobody at all is heard, it is this node that is cut off, and no
-//! zone is said to be partitioned.
+//! Such silence is not a failure of the machines. If no machine of any zone is heard from, it is this node that is cut
+//! off, and no zone counts as partitioned.
 
 use crate::fleet::Fleet;
 use crate::leader::Leader;
@@ -9,26 +9,27 @@
 use rudderreel_wire::ids::Zone;
 use std::collections::BTreeMap;
 
-/// A zone is partitioned only if at least so many machines there should report.
+/// Least number of machines that should report from a zone for the zone to count as partitioned.
 const MIN_MACHINES_OF_PARTITIONED_ZONE: usize = 4;
-/// In a zone with so many machines, a silence of less than a report interval shows something.
+/// Number of machines in a zone from which on a silence of less than a report interval is significant.
 const MIN_MACHINES_FOR_EARLY_DETECTION: usize = 24;
-/// The least silence of such a zone that counts, and how many times the usual pause between two reports from there.
+/// Least silence of such a zone that is significant.
 const MIN_ZONE_SILENCE: Span = Span(1_000);
-const PAUSES_OF_ZONE_SILENCE: u64 = 10;
+/// Least silence of such a zone as a multiple of the mean time between two reports from there.
+const ZONE_SILENCE_IN_REPORT_GAPS: u64 = 10;
 
-/// What was heard of a zone.
+/// The status reports from a zone.
 struct ZoneReports {
-    /// Machines that should report.
+    /// Number of machines that should report.
     expected: usize,
-    /// All machines that are not being returned.
+    /// Number of all machines that are not being returned.
     machines: usize,
-    /// When one of them was last heard, or when this leader was elected.
+    /// Time at which one of them was last heard from, or at which this leader was elected.
     last_heard_at: Time,
 }
 
 impl Leader {
-    /// Finds out which zones are partitioned.
+    /// Updates the set of partitioned zones.
     pub fn detect_partitioned_zones(&mut self, now: Time) {
         let zones = reports_by_zone(&self.fleet, self.term.elected_at());
         let mut detected = self.silent_zones(&zones, now);
@@ -39,14 +40,14 @@
             .map(|(zone, _)| (*zone).clone())
             .collect();
         if detected.len() == zones.len() {
-            // If nobody is heard anywhere it is this node that is cut off.
+            // If no machine of any zone is heard from, it is this node that is cut off.
             detected.clear();
         }
         let report_timeout = self.report_timeout();
         (self.fleet.partitioned_zones).update(detected, &heard, report_timeout, now);
     }
 
-    /// Zones of which nothing was heard for too long, and since when.
+    /// Returns the zones from which nothing was heard for too long, each with the time since which.
     fn silent_zones(
         &self,
         zones: &BTreeMap<&Zone, ZoneReports>,
@@ -54,7 +55,7 @@
     ) -> BTreeMap<Zone, Time> {
         let expected_in_all: usize = zones.values().map(|reports| reports.expected).sum();
         let is_silent = |zone: &Zone, reports: &ZoneReports| {
-            // A partition lasts until some machine is heard again, also if all that ran there is gone.
+            // A partition lasts until some machine is heard from again, also if all tasks that ran there are gone.
             let was_partitioned = self.fleet.partitioned_zones.contains(zone);
             let machines = if was_partitioned {
                 reports.machines
@@ -74,19 +75,19 @@
             .collect()
     }
 
-    /// How long nothing may be heard of a zone with so many machines that should report.
+    /// Returns the time for which nothing may be heard from a zone with this many machines that should report.
     fn max_zone_silence(&self, machines: usize) -> Span {
         if machines < MIN_MACHINES_FOR_EARLY_DETECTION {
-            // They may all report at about the same moment.
+            // All of these machines may report at about the same time.
             return self.report_timeout();
         }
         MIN_ZONE_SILENCE.max(Span(
-            PAUSES_OF_ZONE_SILENCE * self.agent_timings.report_interval.0 / machines as u64,
+            ZONE_SILENCE_IN_REPORT_GAPS * self.agent_timings.report_interval.0 / machines as u64,
         ))
     }
 
-    /// Whether a third of the reports came that other zones should send within a time. After a failover all agents
-    /// report at once, and then nobody for a while.
+    /// Returns whether at least a third of the reports arrived that the machines of other zones should send within a
+    /// time. After a failover all agents report at once, and then none for a while.
     fn hears_other_zones(&self, zone: &Zone, within: Span, expected: usize, now: Time) -> bool {
         let heard = (self.fleet.machines.values())
             .filter(|machine| machine.zone != *zone && machine.is_heard_within(within, now))
@@ -100,7 +101,7 @@
     let mut zones: BTreeMap<&Zone, ZoneReports> = BTreeMap::new();
     let kept = (fleet.machines.values()).filter(|machine| machine.return_requested_at.is_none());
     for machine in kept {
-        // What an earlier leader has started tasks on was up.
+        // A machine on which an earlier leader has started tasks was up.
         let is_expected = machine.last_heard_at.is_some() || !machine.tasks.is_empty();
         let heard_at = machine.last_heard_at.unwrap_or(elected_at);
         let reports = zones.entry(&machine.zone).or_insert(ZoneReports {
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -6,7 +6,7 @@
 //!    omits it when no start for it can still be in flight: the report belongs to a later incarnation than the start,
 //!    or acknowledges a later epoch than the start was sent under, so that a delayed start would be refused.
 //! 2. The cloud has answered that the machine is returned.
-//! 3. The agent's lease has surely expired: nobody has answered its reports for the lease, clock drift and a margin,
+//! 3. The agent's lease has surely expired: no node has answered its reports for the lease, clock drift and a margin,
 //!    nor has the leader heard from the agent in that time. Both are required, because an incarnation's lease also runs
 //!    from the beginning of the incarnation, and the leader also hears from an agent by its answers to direct calls,
 //!    which renew nothing: a task started in an incarnation that has just begun is alive although no report was
@@ -255,7 +255,7 @@
         self.unreachable_since.get_or_insert(now);
     }
 
-    /// Returns whether nobody can have answered its agent for so long that everything on the machine is gone.
+    /// Returns whether no node can have answered its agent for such a long time that everything on the machine is gone.
     ///
     /// `old_leaders_fenced_at`: time since which no older leader can have answered; none while that is not known.
     pub fn is_lease_expired(
--- a/crates/core/src/fleet/placed_task.rs
+++ b/crates/core/src/fleet/placed_task.rs
@@ -88,7 +88,7 @@
     pub start_may_arrive_late: bool,
     /// The stop that was decided, if the task is to be stopped.
     pub stop: Option<Stop>,
-    /// Whether the outcome is recorded, so that nobody needs the agent's reports of the attempt any more.
+    /// Whether the outcome is recorded, so that the agent's reports of the attempt are not needed any more.
     pub outcome_recorded: bool,
     /// Time at which the task was placed.
     pub placed_at: Time,
--- a/crates/core/src/fleet/reasons.rs
+++ b/crates/core/src/fleet/reasons.rs
@@ -31,7 +31,7 @@
     Reclaimed,
     /// Work of higher priority in the same team gets the capacity.
     Preempted,
-    /// Nobody stopped the task: it was lost with its machine.
+    /// The task was not stopped: it was lost with its machine.
     LostWithMachine,
 }
 
--- a/crates/core/src/fleet/recording.rs
+++ b/crates/core/src/fleet/recording.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Lets the agent forget those completed tasks that are recorded as done according to `is_recorded`: only then does
-    /// nobody need the agent's reports of them any more.
+    /// Lets the agent forget those completed tasks that are recorded as done according to `is_recorded`: only then are
+    /// the agent's reports of them not needed any more.
     pub fn mark_recorded_outcomes(&mut self, is_recorded: impl Fn(&TaskId) -> bool) {
         for task in self.tasks.iter_mut().filter(|t| !t.outcome_recorded) {
             if task.phase == Phase::Exited(Cause::Done) {
