--- a/crates/core/src/dispatch/direct_calls.rs
+++ b/crates/core/src/dispatch/direct_calls.rs
@@ -70,7 +70,7 @@
         if commands.is_empty() {
             return None;
         }
-        self.fleet.direct_calls.take_call();
+        self.fleet.direct_calls.take_token();
         let epoch = self.term.epoch();
         // A start is checked now and may wait in this process before it is sent. The right to act under which it was
         // checked must not lapse meanwhile.
@@ -96,7 +96,7 @@
     fn may_call_directly(&mut self, now: Time) -> bool {
         let calls_per_s = DirectCallBudget::calls_per_s(self.fleet.machines.len());
         let calls_per_s = self.processor_share.slowed(calls_per_s);
-        self.fleet.direct_calls.has_call(calls_per_s, now)
+        self.fleet.direct_calls.has_token(calls_per_s, now)
     }
 
     /// Returns whether a machine may be called now and has commands waiting that a direct call would deliver sooner.
