--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -67,7 +67,7 @@
     Scenario {
         nodes,
         jobs: 60,
-        pace: 300,
+        user_interval_ms: 300,
         pipelines: true,
         upgrade: true,
         comes_back_old: true,
@@ -80,7 +80,7 @@
         crowd: true,
         jobs: 150,
         machines: 20,
-        pace: 200,
+        user_interval_ms: 200,
         ..Scenario::default()
     }
 }
@@ -113,7 +113,7 @@
         nodes: 5,
         machines: 120,
         jobs: 120,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         zones: true,
         ..Scenario::default()
--- a/crates/core/tests/sim/large_fleets.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -21,7 +21,7 @@
         nodes: 5,
         machines,
         jobs: machines as u32,
-        pace: (50_000 / machines as u64).max(4),
+        user_interval_ms: (50_000 / machines as u64).max(4),
         large: true,
         report_s: 6.0,
         lease_s: 31,
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -76,7 +76,7 @@
         nodes: 5,
         machines: 120,
         jobs: 120,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         ..Scenario::default()
     };
@@ -98,7 +98,7 @@
         nodes: 5,
         machines: 1_050,
         jobs: 1_100,
-        pace: 20,
+        user_interval_ms: 20,
         large: true,
         zones: true,
         report_s: 3.0,
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -65,7 +65,7 @@
     let scenario = Scenario {
         machines: 60,
         jobs: 60,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         lease_s: 20,
         ..Scenario::default()
@@ -102,7 +102,7 @@
         spread: true,
         machines: 60,
         jobs: 60,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         report_s: 2.0,
         lease_s: 12,
@@ -300,7 +300,7 @@
         let scenario = Scenario {
             jobs: 1_000,
             crowd: true,
-            pace: 64,
+            user_interval_ms: 64,
             ..Scenario::default()
         };
         let mut world = World::of(seed, scenario);
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -71,14 +71,14 @@
 
 fn full(scenario: &mut Scenario) {
     scenario.jobs = 120;
-    scenario.pace = 120;
+    scenario.user_interval_ms = 120;
     scenario.no_replicas = true;
     scenario.limits = (6, 7);
 }
 
 fn rush(scenario: &mut Scenario) {
     scenario.rush = true;
-    scenario.pace = 400;
+    scenario.user_interval_ms = 400;
     scenario.jobs = 500;
     scenario.machines = 16;
 }
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -21,7 +21,7 @@
     Scenario {
         nodes,
         jobs: 60,
-        pace: 300,
+        user_interval_ms: 300,
         pipelines: true,
         lower_limits: Some((60_000, LOW)),
         ..Scenario::default()
--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -145,7 +145,7 @@
     let scenario = Scenario {
         nodes,
         jobs: 60,
-        pace: 300,
+        user_interval_ms: 300,
         pipelines: true,
         upgrade: true,
         comes_back_old: true,
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -21,7 +21,7 @@
         large: true,
         lease_s: 12,
         cancel_s: 37,
-        pace: 240,
+        user_interval_ms: 240,
         run_ms: Some((15_000, 100)),
         steps_take_time: true,
         core_share: Some(0.032),
@@ -123,7 +123,7 @@
 fn a_rolling_restart_in_a_burst() {
     let burst = Scenario {
         jobs: 260,
-        pace: 60,
+        user_interval_ms: 60,
         ..scenario()
     };
     let mut world = world(941, burst);
--- a/crates/core/tests/sim/steady_load.rs
+++ b/crates/core/tests/sim/steady_load.rs
@@ -18,7 +18,7 @@
         nodes: NODES,
         machines: 100,
         jobs: 40,
-        pace: 60,
+        user_interval_ms: 60,
         spread: true,
         large: true,
         lease_s: 12,
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -27,7 +27,7 @@
     /// Whole zones are cut off, too.
     pub zones: bool,
     /// Milliseconds from one look at a user's turn to the next, at most.
-    pub pace: u64,
+    pub user_interval_ms: u64,
     /// Users do only what the test has them do.
     pub scripted: bool,
     /// Milliseconds that machines take to come up, at least and at most.
@@ -88,7 +88,7 @@
             large: false,
             only: Vec::new(),
             zones: false,
-            pace: 400,
+            user_interval_ms: 400,
             scripted: false,
             boot_ms: (4_000, 4_000),
             uneven: false,
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -34,7 +34,7 @@
     pub(super) fn user(&mut self) {
         let next = self
             .rng
-            .random_range(self.scenario.pace / 4..self.scenario.pace);
+            .random_range(self.scenario.user_interval_ms / 4..self.scenario.user_interval_ms);
         self.after(next, Event::User);
         let share = if self.scenario.rush { 1.0 } else { 0.15 };
         if self.next_job < self.scenario.jobs && self.rng.random_bool(share) {
