--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -66,7 +66,7 @@
 }
 
 fn bound(scenario: &mut Scenario) {
-    scenario.bound = true;
+    scenario.zone_bound_jobs = true;
 }
 
 fn full(scenario: &mut Scenario) {
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -35,7 +35,7 @@
     /// Tasks of a job end far apart.
     pub uneven: bool,
     /// Half of the jobs are bound to a zone.
-    pub bound: bool,
+    pub zone_bound_jobs: bool,
     /// No replicas: they would keep to themselves what their teams may use.
     pub no_replicas: bool,
     /// CPUs that the two teams may use.
@@ -92,7 +92,7 @@
             scripted: false,
             boot_ms: (4_000, 4_000),
             uneven: false,
-            bound: false,
+            zone_bound_jobs: false,
             no_replicas: false,
             limits: (12, 20),
             rush: false,
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -118,8 +118,8 @@
             _ => rng.random_range(1..5),
         };
         let together = kind == "gang" && rng.random_bool(0.5);
-        let scatter = kind == "standing" && !self.scenario.bound && rng.random_bool(0.5);
-        let berth = (self.scenario.bound && rng.random_bool(0.5))
+        let scatter = kind == "standing" && !self.scenario.zone_bound_jobs && rng.random_bool(0.5);
+        let berth = (self.scenario.zone_bound_jobs && rng.random_bool(0.5))
             .then(|| ["a", "b"][rng.random_range(0..2)]);
         let needs = self.some_dependencies();
         let expected_s =
