--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -62,7 +62,7 @@
 }
 
 fn uneven(scenario: &mut Scenario) {
-    scenario.uneven = true;
+    scenario.uneven_run_times = true;
 }
 
 fn bound(scenario: &mut Scenario) {
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -79,7 +79,7 @@
     ];
     let scenario = Scenario {
         only,
-        uneven: true,
+        uneven_run_times: true,
         ..scenario(5)
     };
     let cancelled: usize = (0..4).map(|n| play(940 + n, scenario.clone())).sum();
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -33,7 +33,7 @@
     /// Milliseconds that machines take to come up, at least and at most.
     pub boot_ms: (u64, u64),
     /// Tasks of a job end far apart.
-    pub uneven: bool,
+    pub uneven_run_times: bool,
     /// Half of the jobs are bound to a zone.
     pub zone_bound_jobs: bool,
     /// No replicas: they would keep to themselves what their teams may use.
@@ -91,7 +91,7 @@
             user_interval_ms: 400,
             scripted: false,
             boot_ms: (4_000, 4_000),
-            uneven: false,
+            uneven_run_times: false,
             zone_bound_jobs: false,
             no_replicas: false,
             limits: (12, 20),
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -77,7 +77,7 @@
             startable_since: None,
             run_ms: match self.scenario.run_ms {
                 Some(range) => range,
-                None if self.scenario.uneven => (1_000, 13_000),
+                None if self.scenario.uneven_run_times => (1_000, 13_000),
                 None => (4_000, 0),
             },
             final_at: 0,
