--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -70,7 +70,7 @@
         user_interval_ms: 300,
         pipelines: true,
         upgrade: true,
-        comes_back_old: true,
+        restarts_old_version: true,
         ..Scenario::default()
     }
 }
--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -148,7 +148,7 @@
         user_interval_ms: 300,
         pipelines: true,
         upgrade: true,
-        comes_back_old: true,
+        restarts_old_version: true,
         ..Scenario::default()
     };
     println!("seed {seed}, {scenario:?}");
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -15,7 +15,7 @@
 
     pub(super) fn crash(&mut self, node: usize) {
         let back = self.rng.random_range(100..4_000);
-        if self.scenario.comes_back_old && self.rng.random_bool(0.4) {
+        if self.scenario.restarts_old_version && self.rng.random_bool(0.4) {
             let upgrade = self.rng.random_range(8_000..25_000);
             self.after(upgrade, Event::Upgrade(node));
             return self.come_back_as(node, NodeVersion::Production, back);
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -51,7 +51,7 @@
     /// Nodes begin with the version in production and are upgraded one after the other.
     pub upgrade: bool,
     /// Some nodes that end come back with the version in production, and are upgraded later.
-    pub comes_back_old: bool,
+    pub restarts_old_version: bool,
     /// Seconds that the tasks of a cancelled job may remain.
     pub cancel_s: u64,
     /// Seconds that a gang's task waits for the others.
@@ -100,7 +100,7 @@
             lower_limits: None,
             announced: true,
             upgrade: false,
-            comes_back_old: false,
+            restarts_old_version: false,
             cancel_s: 20,
             gang_wait_s: 10,
             store: LIMITS,
