--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -39,7 +39,7 @@
     for node in (0..3).filter(|node| *node != old) {
         world.end_for(node, 12_000);
     }
-    world.come_back_as(old, NodeVersion::Production, 200);
+    world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 10_000);
 }
 
@@ -93,7 +93,7 @@
     let (mut world, _, _) = with_a_chain(2_031);
     let leader = world.leader().expect("a leader");
     let old = (leader + 1) % 3;
-    world.come_back_as(old, NodeVersion::Production, 200);
+    world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
     let spec = step(4, &[1]);
     world.add_job(spec.clone());
@@ -113,7 +113,7 @@
     world.run_until(world.now + 15_000);
     submit(&mut world, 1, step(2, &[1]));
     let old = (world.leader().expect("a leader") + 1) % 3;
-    world.come_back_as(old, NodeVersion::Production, 200);
+    world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
     let spec = step(3, &[2]);
     world.add_job(spec.clone());
@@ -128,7 +128,7 @@
 fn what_a_node_of_the_old_version_passes_on_is_not_accepted() {
     let (mut world, _, _) = with_a_chain(2_033);
     let old = (world.leader().expect("a leader") + 1) % 3;
-    world.come_back_as(old, NodeVersion::Production, 200);
+    world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
     world.cut_from_store(old, world.now + 10_000);
     world.run_until(world.now + 3_000);
--- a/crates/core/tests/sim/world/mod.rs
+++ b/crates/core/tests/sim/world/mod.rs
@@ -422,7 +422,7 @@
             }
             Event::Upgrade(node) => {
                 let back = self.rng.random_range(100..2_000);
-                self.come_back_as(node, NodeVersion::Current, back);
+                self.restart_as(node, NodeVersion::Current, back);
             }
             Event::Resume(node, life) => self.resume(node, life),
             Event::OutageSpell(until) => self.next_outage_spell(until),
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -18,7 +18,7 @@
         if self.scenario.restarts_old_version && self.rng.random_bool(0.4) {
             let upgrade = self.rng.random_range(8_000..25_000);
             self.after(upgrade, Event::Upgrade(node));
-            return self.come_back_as(node, NodeVersion::Production, back);
+            return self.restart_as(node, NodeVersion::Production, back);
         }
         self.end(node, back);
     }
--- a/crates/core/tests/sim/world/old_version.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -198,7 +198,7 @@
 
 impl World {
     /// Ends a node; it comes back after a while with a version of the program.
-    pub fn come_back_as(&mut self, node: usize, version: NodeVersion, back: u64) {
+    pub fn restart_as(&mut self, node: usize, version: NodeVersion, back: u64) {
         self.nodes[node].version = version;
         self.end(node, back);
     }
