--- a/crates/core/tests/sim/cancellations_in_outages.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -131,7 +131,7 @@
     world.run_until(world.now + 500);
     match case.path {
         Path::Withdrawal => {}
-        Path::Poll | Path::RepeatedSubmission => world.withdraw_and_leave(node(2), &ids[0]),
+        Path::Poll | Path::RepeatedSubmission => world.cancel_without_waiting(node(2), &ids[0]),
         // The store refused it with the leader, and it has noticed that by now.
         Path::Forwarded => world.run_until(world.now + 800),
     }
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -318,7 +318,7 @@
     }
 
     /// A user cancels a job and is gone before the answer comes.
-    pub fn withdraw_and_leave(&mut self, node: usize, id: &JobId) {
+    pub fn cancel_without_waiting(&mut self, node: usize, id: &JobId) {
         self.jobs.get_mut(id).expect("a job").cancel_requested = true;
         let req = self.ask(node, Requester::Nobody);
         self.step(node, Input::User(req, UserRequest::Cancel(id.clone())));
