--- a/crates/core/tests/sim/cancellations_in_outages.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -136,7 +136,7 @@
         Path::Forwarded => world.run_until(world.now + 800),
     }
     if also == Also::AnotherReturns {
-        world.end_for(node(2), 100);
+        world.stop_node_for(node(2), 100);
     }
     // The old leader's lease must not have ended when the service goes.
     let patience = match (also, case.path) {
@@ -147,7 +147,7 @@
     let latest = world.now + patience;
     ask_until_told(&mut world, teller, &ids[0], case.path, latest);
     if also == Also::TellerEnds {
-        world.end_for(teller, 90_000);
+        world.stop_node_for(teller, 90_000);
     }
     world.run_until(latest);
     let leads = world.leader();
@@ -158,7 +158,7 @@
     world.store.set_down(true, world.now);
     match also {
         Also::LinksLost => world.cut_peer_links(end),
-        Also::AnotherReturnsLater => world.end_for(node(2), 100),
+        Also::AnotherReturnsLater => world.stop_node_for(node(2), 100),
         Also::DeafWorkers => {
             for agent in world.agents.values_mut() {
                 agent.unreachable_until = end;
@@ -168,7 +168,7 @@
     }
     world.run_until(world.now + 2_000);
     if also == Also::LeaderCrashes {
-        world.end_for(old, 90_000);
+        world.stop_node_for(old, 90_000);
     }
     // The world checks the rule all the time. The outage is far longer than it allows.
     world.run_until(end);
--- a/crates/core/tests/sim/large_fleets.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -84,7 +84,7 @@
     let hang = world.now + 60_000;
     world.some_agents(0.125, |agent| agent.hangs_until = hang);
     part(&mut world, "an eighth hangs", 40_000);
-    (1..5).for_each(|node| world.end_for(node, 25_000));
+    (1..5).for_each(|node| world.stop_node_for(node, 25_000));
     part(&mut world, "one node for all workers", 40_000);
     world.store.set_down(true, world.now);
     part(&mut world, "the state service is away", 20_000);
@@ -120,7 +120,7 @@
     part(&mut world, "start", 60_000);
     let up = world.agents.len();
     assert!(up >= 3_000, "{up} machines");
-    (1..5).for_each(|node| world.end_for(node, 15_000));
+    (1..5).for_each(|node| world.stop_node_for(node, 15_000));
     part(&mut world, "one node for all workers", 20_000);
     assert!(world.leader_by_store().is_some());
     world.end_faults();
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -213,7 +213,7 @@
         let state = withdraw(&mut world, teller, &ids[first + 1]);
         assert_eq!(state, JobState::Cancelled);
         if leader_ends {
-            world.end_for(leader, 60_000);
+            world.stop_node_for(leader, 60_000);
         }
         let node = (leader + 2) % 3;
         for id in ids[first + 2..].iter().rev() {
@@ -240,7 +240,7 @@
             JobState::Cancelled
         );
         if leader_ends {
-            world.end_for(leader, 30_000);
+            world.stop_node_for(leader, 30_000);
         }
         world.run_until(world.now + 15_000);
         assert_eq!(world.check_cancelled_together(), 10);
--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -37,7 +37,7 @@
 /// All nodes end, and the one that is back first has the version in production.
 fn led_by_production(world: &mut World, old: usize) {
     for node in (0..3).filter(|node| *node != old) {
-        world.end_for(node, 12_000);
+        world.stop_node_for(node, 12_000);
     }
     world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 10_000);
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -101,7 +101,7 @@
     let leader = world.leader_by_store().expect("a leader");
     let slow = (0..NODES).filter(|node| *node != leader).take(2);
     slow.for_each(|node| world.slow_down(node, 8.0));
-    world.end_for(leader, 5_000);
+    world.stop_node_for(leader, 5_000);
     let leaders = leaders_during(&mut world, 90_000);
     assert!(leaders.len() <= 4, "{leaders:?}");
     finish(&mut world);
@@ -112,7 +112,7 @@
 fn all_slow_nodes_end_together_and_come_back() {
     let mut world = world(931, scenario());
     (0..NODES).for_each(|node| world.slow_down(node, 2.0));
-    (0..NODES as u64).for_each(|node| world.end_for(node as usize, 3_000 + 500 * node));
+    (0..NODES as u64).for_each(|node| world.stop_node_for(node as usize, 3_000 + 500 * node));
     let leaders = leaders_during(&mut world, 60_000);
     assert!(!leaders.is_empty() && leaders.len() <= 3, "{leaders:?}");
     finish(&mut world);
@@ -128,7 +128,7 @@
     };
     let mut world = world(941, burst);
     for node in 0..NODES {
-        world.end_for(node, 5_000);
+        world.stop_node_for(node, 5_000);
         world.run_until(world.now + 15_000);
     }
     assert!(world.leader_by_store().is_some());
@@ -155,7 +155,7 @@
     (0..NODES).for_each(|node| world.slow_down(node, 5.0));
     world.run_until(world.now + 8_000);
     let leader = world.leader_by_store().expect("a leader");
-    world.end_for(leader, 4_000);
+    world.stop_node_for(leader, 4_000);
     let leaders = leaders_during(&mut world, 60_000);
     assert!(leaders.len() <= 4, "{leaders:?}");
     finish(&mut world);
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -154,7 +154,7 @@
     }
 
     /// Ends a node, for so long.
-    pub fn end_for(&mut self, node: usize, back: u64) {
+    pub fn stop_node_for(&mut self, node: usize, back: u64) {
         self.end(node, back);
     }
 
