--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -136,7 +136,7 @@
     // Its lease of 3 s, the election, and a little.
     world.run_until(world.now + 8_000);
     let id = world.agents.keys().next().cloned().expect("a machine");
-    let status = world.inject(old, report(&id, 1, 1));
+    let status = world.inject_report(old, report(&id, 1, 1));
     assert_ne!(status, 200, "the cut node answers workers");
     let (status, _) = world.admin(old, rudderreel_core::AdminRequest::Teams);
     assert_eq!(status, 503, "it takes itself for the leader");
@@ -229,7 +229,7 @@
         foreign,
     ] {
         for node in 0..3 {
-            let status = world.inject(node, bad.clone());
+            let status = world.inject_report(node, bad.clone());
             assert!([200, 421, 503].contains(&status), "{status}");
         }
     }
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -265,7 +265,7 @@
     }
 
     /// A report that reaches a node, and the status of its answer.
-    pub fn inject(&mut self, node: usize, report: StatusReport) -> u16 {
+    pub fn inject_report(&mut self, node: usize, report: StatusReport) -> u16 {
         self.admin_answer = None;
         let req = self.ask(node, Requester::Admin);
         self.step(node, Input::StatusReport(req, Box::new(report)));
