--- a/crates/core/tests/sim/large_fleets.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -82,7 +82,7 @@
     world.partition_zone("c", world.now + 25_000);
     part(&mut world, "a third is cut off", 50_000);
     let hang = world.now + 60_000;
-    world.some_agents(0.125, |agent| agent.hangs_until = hang);
+    world.affect_some_agents(0.125, |agent| agent.hangs_until = hang);
     part(&mut world, "an eighth hangs", 40_000);
     (1..5).for_each(|node| world.stop_node_for(node, 25_000));
     part(&mut world, "one node for all workers", 40_000);
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -214,15 +214,17 @@
             Fault::NodeReachesOnlyAgents => self.cut_from_all_but_agents(node, long),
             Fault::LeaderReachesOnlyAgents => self.cut_from_all_but_agents(leader, long),
             Fault::SlowLinks => self.slow_links_until = long,
-            Fault::MachinesPartitioned => self.some_agents(0.3, |w| w.partitioned_until = long),
+            Fault::MachinesPartitioned => {
+                self.affect_some_agents(0.3, |w| w.partitioned_until = long)
+            }
             Fault::MachinesUnreachable => {
-                self.some_agents(0.2, |w| w.unreachable_until = long + 15_000)
+                self.affect_some_agents(0.2, |w| w.unreachable_until = long + 15_000)
             }
             Fault::MachinesUnableToReport => {
-                self.some_agents(0.2, |w| w.unable_to_report_until = long + 5_000)
+                self.affect_some_agents(0.2, |w| w.unable_to_report_until = long + 5_000)
             }
-            Fault::MachinesHang => self.some_agents(0.2, |w| w.hangs_until = long),
-            Fault::MachinesReboot => self.some_agents(0.1, SimulatedAgent::reboot),
+            Fault::MachinesHang => self.affect_some_agents(0.2, |w| w.hangs_until = long),
+            Fault::MachinesReboot => self.affect_some_agents(0.1, SimulatedAgent::reboot),
             Fault::LateReports => self.late_reports_until = long,
             Fault::ReportsHeldForNextLeader => self.hold_reports_until = long,
             Fault::CloudDown => self.cloud.down = !self.cloud.down,
@@ -335,7 +337,7 @@
         (of(a)).map(|x| of(b).filter(|y| meets(x, y)).count()).sum()
     }
 
-    pub fn some_agents(&mut self, share: f64, fault: impl Fn(&mut SimulatedAgent)) {
+    pub fn affect_some_agents(&mut self, share: f64, fault: impl Fn(&mut SimulatedAgent)) {
         for agent in self.agents.values_mut() {
             if self.rng.random_bool(share) {
                 fault(agent);
