--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -97,7 +97,7 @@
 fn state_outages() -> Scenario {
     Scenario {
         nodes: 5,
-        only: vec![
+        fault_kinds: vec![
             Fault::StoreDown,
             Fault::StoreRefusesNode,
             Fault::StoreRefusesLeader,
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -13,7 +13,7 @@
     for seed in seeds {
         let scenario = Scenario {
             nodes,
-            only: vec![only],
+            fault_kinds: vec![only],
             jobs: 30,
             ..Scenario::default()
         };
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -41,7 +41,7 @@
     let mut scenario = Scenario {
         nodes,
         spread: seed % 20 >= 10,
-        only: meeting.faults.to_vec(),
+        fault_kinds: meeting.faults.to_vec(),
         jobs: 40,
         ..Scenario::default()
     };
--- a/crates/core/tests/sim/paused_nodes.rs
+++ b/crates/core/tests/sim/paused_nodes.rs
@@ -171,7 +171,7 @@
     let scenario = Scenario {
         nodes,
         spread: seed / DAYS.len() as u64 % 2 == 1,
-        only: DAYS[(seed % DAYS.len() as u64) as usize].to_vec(),
+        fault_kinds: DAYS[(seed % DAYS.len() as u64) as usize].to_vec(),
         jobs: 40,
         ..Scenario::default()
     };
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -66,7 +66,7 @@
 #[test]
 fn cancellations_meet_the_ends_of_nodes_and_late_writes() {
     use Fault::*;
-    let only = vec![
+    let fault_kinds = vec![
         JobsCancelled,
         JobsCancelledAtCompletion,
         LeaderCrashes,
@@ -78,7 +78,7 @@
         InvalidRequests,
     ];
     let scenario = Scenario {
-        only,
+        fault_kinds,
         uneven_run_times: true,
         ..scenario(5)
     };
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -171,8 +171,8 @@
         }
         let node = self.rng.random_range(0..self.scenario.nodes);
         let long = self.now + self.rng.random_range(1_000..15_000);
-        let fault = if !self.scenario.only.is_empty() {
-            self.scenario.only[self.rng.random_range(0..self.scenario.only.len())]
+        let fault = if !self.scenario.fault_kinds.is_empty() {
+            self.scenario.fault_kinds[self.rng.random_range(0..self.scenario.fault_kinds.len())]
         } else if self.scenario.zones && self.rng.random_bool(0.15) {
             Fault::ZonePartitioned
         } else {
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -23,7 +23,7 @@
     /// Jobs have many tasks.
     pub large: bool,
     /// Only these faults come; all that there are if none are named.
-    pub only: Vec<Fault>,
+    pub fault_kinds: Vec<Fault>,
     /// Whole zones are cut off, too.
     pub zones: bool,
     /// Milliseconds from one look at a user's turn to the next, at most.
@@ -86,7 +86,7 @@
             lease_s: 6,
             report_s: 1.0,
             large: false,
-            only: Vec::new(),
+            fault_kinds: Vec::new(),
             zones: false,
             user_interval_ms: 400,
             scripted: false,
