--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -216,7 +216,7 @@
             let seen = if refused {
                 None
             } else {
-                self.store().since(after)
+                self.store().changes_since(after)
             };
             let (revision, events) = match seen {
                 Some(seen) => seen,
--- a/crates/core/tests/sim/world/store.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -181,7 +181,7 @@
     }
 
     /// Changes of the shared prefix after a revision, if there are any.
-    pub fn since(&mut self, after: Version) -> Option<(Version, Vec<Event<Value>>)> {
+    pub fn changes_since(&mut self, after: Version) -> Option<(Version, Vec<Event<Value>>)> {
         let shared = |event: &Event<Value>| match event {
             Event::Put { key, .. } | Event::Delete { key, .. } => key.starts_with("pub/"),
         };
@@ -238,7 +238,9 @@
                 })
             }
             StoreCall::Changes(_, after) => {
-                let events = self.since(*after).map_or(Vec::new(), |(_, events)| events);
+                let events = self
+                    .changes_since(*after)
+                    .map_or(Vec::new(), |(_, events)| events);
                 let revision = Version(self.revision);
                 StoreAnswer::Changes(Events { revision, events })
             }
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -122,7 +122,7 @@
             // Its place is too old for the service.
             return self.after(1, Event::Input(node, life, Input::WatchLost));
         }
-        match (!cut).then(|| self.store.since(after)).flatten() {
+        match (!cut).then(|| self.store.changes_since(after)).flatten() {
             Some(_) if self.watch_runs_out(node) => {
                 let delay = self.watch_retry_delay(node);
                 self.after(delay, Event::RetryWatch(node, life, after))
