--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -246,7 +246,7 @@
             let mut cloud = self.cloud.lock().expect("the cloud");
             let answer = cloud.call(&call, self.now());
             // By the time of the answer the machines and everything on them are gone.
-            for id in cloud.gone() {
+            for id in cloud.take_returned() {
                 if let Some(agent) = self.agents.lock().expect("the workers").remove(&id) {
                     agent.end();
                 }
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -134,7 +134,7 @@
             self.agents.insert(id.clone(), agent);
             self.after(10, Event::StatusReport(id));
         }
-        for id in self.cloud.gone() {
+        for id in self.cloud.take_returned() {
             self.agents.remove(&id);
         }
     }
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -18,7 +18,7 @@
     /// Those that are not up yet.
     booting: BTreeSet<MachineId>,
     /// Those that were returned since this was last asked.
-    gone: Vec<MachineId>,
+    returned: Vec<MachineId>,
     next: u32,
     most: usize,
     /// How long machines take to come up, at least and at most.
@@ -62,8 +62,8 @@
     }
 
     /// Machines that were returned since this was last asked.
-    pub fn gone(&mut self) -> Vec<MachineId> {
-        std::mem::take(&mut self.gone)
+    pub fn take_returned(&mut self) -> Vec<MachineId> {
+        std::mem::take(&mut self.returned)
     }
 
     pub fn call(&mut self, call: &CloudCall, now: u64) -> CloudAnswer {
@@ -106,7 +106,7 @@
                 for id in &names.machines {
                     self.machines.remove(id);
                     self.booting.remove(id);
-                    self.gone.push(id.clone());
+                    self.returned.push(id.clone());
                 }
                 CloudAnswer::Returned
             }
