--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -271,7 +271,7 @@
         while !self.is_over() {
             {
                 let mut cloud = self.cloud.lock().expect("the cloud");
-                for (id, rent) in cloud.booted(self.now()) {
+                for (id, rent) in cloud.take_booted(self.now()) {
                     let agent = LoopbackAgent::start(id.clone(), rent, self.shared.clone());
                     let mut agents = self.agents.lock().expect("the workers");
                     agents.insert(id, agent);
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn boot_machines(&mut self) {
-        for (id, offer) in self.cloud.booted(self.now) {
+        for (id, offer) in self.cloud.take_booted(self.now) {
             let agent = SimulatedAgent::new(
                 id.clone(),
                 offer,
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -50,7 +50,7 @@
     }
 
     /// Machines that have come up since the last time.
-    pub fn booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
+    pub fn take_booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
         let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot(id);
         let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
         let rented = |id: MachineId| {
