--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an agent, by the protocol: incarnations, leases, tokens, commands.
+//! A stand-in for an agent that follows the protocol: incarnations, leases, tokens and commands.
 
 use super::ObservedJob;
 use rudderreel_wire::cloud::Rent;
@@ -7,20 +7,24 @@
 use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A task on a machine.
 pub struct Task {
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskState,
     why: Option<Cause>,
+    /// When the task entered its state; an exit does not change it.
     pub since: u64,
     service: bool,
+    /// Number of tasks of its gang, if it belongs to one.
     pub gang: Option<u32>,
     run_ms: u64,
-    /// Since when another task of its gang has been gone.
-    pub broken: Option<u64>,
+    /// Time since which another task of its gang has been missing.
+    pub gang_broken_since: Option<u64>,
 }
 
 impl Task {
+    /// Returns whether the task is waiting, running or saving.
     pub fn on_machine(&self) -> bool {
         matches!(
             self.state,
@@ -28,39 +32,45 @@
         )
     }
 
-    /// Ends it.
+    /// Ends the task with a cause.
     pub fn exit(&mut self, why: Cause) {
         self.state = TaskState::Exited;
         self.why = Some(why);
     }
 }
 
+/// A simulated agent and the tasks on its machine.
 pub struct SimulatedAgent {
     gang_wait_ms: u64,
     id: MachineId,
     rent: Rent,
     pub incarnation: Incarnation,
     seq: u64,
+    /// Highest epoch in an answer or a command that it has accepted.
     pub token: Epoch,
-    /// When the last answered report was sent.
+    /// Send time of the latest report that was answered. The lease is counted from it.
     pub answered: u64,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
+    /// Node to which it reports.
     pub node: usize,
     pub partitioned_until: u64,
-    /// Its reports arrive, but nothing reaches it.
+    /// End of the fault in which its reports arrive, but nothing reaches it.
     pub unreachable_until: u64,
-    /// Its reports reach nobody, but commands reach it.
+    /// End of the fault in which its reports reach no node, but commands reach it.
     pub unable_to_report_until: u64,
-    /// It does nothing, and goes on later.
+    /// End of the fault in which it does nothing, and after which it resumes.
     pub hangs_until: u64,
+    /// Number of tasks that it has started.
     pub starts: u32,
 }
 
+/// Time that a task takes to fetch its image.
 const FETCH_MS: u64 = 500;
+/// Time after which a running task exits once another task of its gang is missing.
 const GANG_PEER_MS: u64 = 2_000;
 
 impl SimulatedAgent {
-    /// An agent whose gang tasks wait so long for the others.
+    /// Creates an agent whose tasks of gangs wait `gang_wait_ms` for the rest of their gang.
     pub fn new(id: MachineId, rent: Rent, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
@@ -88,13 +98,14 @@
         self.rent.spot
     }
 
-    /// Back at once under the same name, in its next incarnation, with nothing on it.
+    /// Restarts the agent at once under the same machine id, in its next incarnation and without tasks.
     pub fn reboot(&mut self) {
         self.tasks.clear();
         self.incarnation.0 += 1;
     }
 
-    /// Kills everything once the lease has run out.
+    /// Ends all tasks and begins the next incarnation if the lease, counted from the last answered report, has
+    /// expired.
     pub fn expire(&mut self, now: u64, lease: u64) {
         if now > self.answered + lease {
             self.reboot();
@@ -102,6 +113,7 @@
         }
     }
 
+    /// Returns the agent's next status report.
     pub fn report(&mut self) -> StatusReport {
         self.seq += 1;
         StatusReport {
@@ -126,9 +138,12 @@
         }
     }
 
-    /// Lets tasks go on.
-    /// Lets its tasks get on; returns whether any has completed.
-    pub fn work(&mut self, now: u64, results: &mut BTreeMap<JobId, BTreeSet<u32>>) -> bool {
+    /// Advances all tasks to the time `now`; returns whether any has completed.
+    pub fn advance_tasks(
+        &mut self,
+        now: u64,
+        results: &mut BTreeMap<JobId, BTreeSet<u32>>,
+    ) -> bool {
         let mut completed = false;
         for task in self.tasks.values_mut() {
             if task.state == TaskState::Fetching && now > task.since + FETCH_MS {
@@ -139,7 +154,10 @@
                 task.since = now;
             } else if task.state == TaskState::Waiting && now > task.since + self.gang_wait_ms {
                 task.exit(Cause::Alone);
-            } else if task.broken.is_some_and(|since| now > since + GANG_PEER_MS) {
+            } else if task
+                .gang_broken_since
+                .is_some_and(|since| now > since + GANG_PEER_MS)
+            {
                 if task.state == TaskState::Running {
                     task.exit(Cause::Peers);
                 }
@@ -160,7 +178,8 @@
         completed
     }
 
-    pub fn obey(&mut self, command: &Command, jobs: &BTreeMap<JobId, ObservedJob>, now: u64) {
+    /// Carries out a command.
+    pub fn execute(&mut self, command: &Command, jobs: &BTreeMap<JobId, ObservedJob>, now: u64) {
         match command {
             Command::Start { task, attempt } => {
                 let key = (task.clone(), *attempt);
@@ -185,7 +204,7 @@
                     why: (!room).then_some(Cause::NoRoom),
                     since: now,
                     service: job.spec.kind == Kind::Service,
-                    broken: None,
+                    gang_broken_since: None,
                     run_ms: job.run_ms.0 + job.run_ms.1 * u64::from(task.index),
                     gang: (job.spec.kind == Kind::Gang).then_some(job.spec.tasks),
                 };
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -1,20 +1,20 @@
-//! Agents on their machines: status reports, direct commands, and gangs whose tasks find one another.
+//! Agents on their machines: status reports, direct commands, and gangs whose tasks connect to each other.
 
 use super::*;
 
-/// After so long the sender of commands gives up.
+/// Time after which the sender of commands gives up.
 const UNANSWERED_AFTER_MS: u64 = 800;
 
 impl World {
-    /// The tasks of a gang find one another by their attempt: they start together, and notice when
-    /// one of them is gone.
+    /// Starts gangs whose tasks all wait, and records for each running task that another task of its gang is
+    /// missing. The tasks of a gang belong together by their attempt.
     pub(super) fn update_gangs(&mut self) {
-        let mut there: BTreeMap<(JobId, Attempt), (u32, u32, u32)> = BTreeMap::new();
+        let mut gangs: BTreeMap<(JobId, Attempt), (u32, u32, u32)> = BTreeMap::new();
         for task in self.agents.values().flat_map(|w| w.tasks.values()) {
             if let Some(tasks) = task.gang.filter(|_| task.state != TaskState::Exited) {
                 let gang = (task.task.job.clone(), task.attempt);
-                let (of, waiting, running) = there.entry(gang).or_default();
-                *of = tasks;
+                let (total, waiting, running) = gangs.entry(gang).or_default();
+                *total = tasks;
                 *waiting += u32::from(task.state == TaskState::Waiting);
                 *running += u32::from(task.state == TaskState::Running);
             }
@@ -22,68 +22,75 @@
         let now = self.now;
         for task in self.agents.values_mut().flat_map(|w| w.tasks.values_mut()) {
             let gang = (task.task.job.clone(), task.attempt);
-            let Some((of, waiting, running)) = there.get(&gang).filter(|_| task.gang.is_some())
+            let Some((total, waiting, running)) = gangs.get(&gang).filter(|_| task.gang.is_some())
             else {
                 continue;
             };
-            if waiting == of && task.state == TaskState::Waiting {
+            if waiting == total && task.state == TaskState::Waiting {
                 task.state = TaskState::Running;
                 task.since = now;
-                if let Some(told) = self.jobs.get_mut(&gang.0) {
-                    told.begun_at.get_or_insert(now);
+                if let Some(job) = self.jobs.get_mut(&gang.0) {
+                    job.begun_at.get_or_insert(now);
                 }
             }
-            if task.state == TaskState::Running && running < of && waiting != of {
-                task.broken.get_or_insert(now);
+            if task.state == TaskState::Running && running < total && waiting != total {
+                task.gang_broken_since.get_or_insert(now);
             }
         }
     }
 
-    /// The sender gets no answer to its commands.
-    fn direct_unanswered(&mut self, node: usize, life: u32, id: MachineId, body: DirectCommands) {
+    /// Reports to the sender of commands that their outcome is unknown.
+    fn direct_unanswered(
+        &mut self,
+        node: usize,
+        generation: u32,
+        id: MachineId,
+        body: DirectCommands,
+    ) {
         let input = Input::Direct {
             machine: id,
             commands: body,
             outcome: DirectOutcome::Unknown,
         };
-        self.after(UNANSWERED_AFTER_MS, Event::Input(node, life, input));
+        self.schedule(UNANSWERED_AFTER_MS, Event::Input(node, generation, input));
     }
 
+    /// Delivers a direct call to an agent; `late` marks commands whose sender has given up.
     pub(super) fn direct(
         &mut self,
         node: usize,
-        life: u32,
+        generation: u32,
         id: MachineId,
         body: DirectCommands,
         late: bool,
     ) {
         let zone = (self.agents.get(&id)).map_or("", |w| w.zone()).to_string();
-        let apart = self.apart(&zone, zone_of(node));
-        let cut = apart || self.now < self.nodes[node].cut_from_agents_until;
-        let deaf = (self.agents.get(&id)).is_some_and(|w| w.unreachable_until > self.now);
-        if deaf && !late {
-            return self.direct_unanswered(node, life, id, body);
+        let partitioned = self.partitioned(&zone, zone_of(node));
+        let cut = partitioned || self.now < self.nodes[node].cut_from_agents_until;
+        let unreachable = (self.agents.get(&id)).is_some_and(|w| w.unreachable_until > self.now);
+        if unreachable && !late {
+            return self.direct_unanswered(node, generation, id, body);
         }
-        let hung = (self.agents.get(&id)).map_or(0, |w| w.hangs_until);
-        if hung > self.now {
-            // Carried out when it goes on; the sender has given up by then.
+        let hangs_until = (self.agents.get(&id)).map_or(0, |w| w.hangs_until);
+        if hangs_until > self.now {
+            // The commands are carried out when the agent resumes; the sender has given up by then.
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
-            self.after(hung - self.now, held);
-            return self.direct_unanswered(node, life, id, body);
+            self.schedule(hangs_until - self.now, held);
+            return self.direct_unanswered(node, generation, id, body);
         }
         let Some(agent) = self.agents.get_mut(&id) else {
-            return self.direct_unanswered(node, life, id, body);
+            return self.direct_unanswered(node, generation, id, body);
         };
         if !late
             && (cut
                 || self.random_faults
                     && (agent.partitioned_until > self.now || self.rng.random_bool(0.02)))
         {
-            // Held back, and carried out later; the sender has given up by then.
+            // The commands are delayed and carried out later; the sender has given up by then.
             let delay = self.rng.random_range(1_000..9_000);
             let held = Event::Direct(node, u32::MAX, id.clone(), body.clone(), true);
-            self.after(delay, held);
-            return self.direct_unanswered(node, life, id, body);
+            self.schedule(delay, held);
+            return self.direct_unanswered(node, generation, id, body);
         }
         agent.expire(self.now, self.scenario.lease_s * 1_000);
         let done = body.token >= agent.token && body.incarnation == agent.incarnation;
@@ -91,7 +98,7 @@
             agent.token = body.token;
             let late = self.late_starts(&body.commands);
             for task in late {
-                self.breaks("ran_cancelled", &task);
+                self.report_violation("ran_cancelled", &task);
             }
         }
         let Some(agent) = self.agents.get_mut(&id) else {
@@ -99,7 +106,7 @@
         };
         if done {
             for command in &body.commands {
-                agent.obey(command, &self.jobs, self.now);
+                agent.execute(command, &self.jobs, self.now);
             }
         }
         let report = Box::new(agent.report());
@@ -108,12 +115,12 @@
         } else {
             DirectOutcome::Rejected(Some(report))
         };
-        let hop = self.hop();
-        self.after(
-            hop,
+        let message_delay = self.message_delay();
+        self.schedule(
+            message_delay,
             Event::Input(
                 node,
-                life,
+                generation,
                 Input::Direct {
                     machine: id,
                     commands: body,
@@ -123,6 +130,7 @@
         );
     }
 
+    /// Adds the agents of machines that have booted, and removes those of returned machines.
     pub(super) fn boot_machines(&mut self) {
         for (id, offer) in self.cloud.take_booted(self.now) {
             let agent = SimulatedAgent::new(
@@ -132,94 +140,104 @@
                 self.now,
             );
             self.agents.insert(id.clone(), agent);
-            self.after(10, Event::StatusReport(id));
+            self.schedule(10, Event::StatusReport(id));
         }
         for id in self.cloud.take_returned() {
             self.agents.remove(&id);
         }
     }
 
+    /// Sends an agent's report and schedules its next one.
     pub(super) fn send_report(&mut self, id: &MachineId) {
         self.boot_machines();
         let next = self.rng.random_range(700.0..1_200.0) * self.scenario.report_s;
         let next = next as u64;
-        let life = self
+        let generation = self
             .agents
             .get(id)
             .map(|w| w.node)
-            .map(|n| self.nodes[n].life);
+            .map(|n| self.nodes[n].generation);
         let reports_to = self.agents.get(id).map(|agent| agent.node);
         let unanswered =
-            reports_to.is_some_and(|node| self.outlasts(node, pauses::REPORT_TIMEOUT_MS));
+            reports_to.is_some_and(|node| self.pause_outlasts(node, pauses::REPORT_TIMEOUT_MS));
         let nodes = self.scenario.nodes;
         let zone = (self.agents.get(id)).map_or("", |w| w.zone()).to_string();
-        let apart: Vec<bool> = (0..nodes).map(|n| self.apart(&zone, zone_of(n))).collect();
+        let partitioned: Vec<bool> = (0..nodes)
+            .map(|n| self.partitioned(&zone, zone_of(n)))
+            .collect();
         let results = &mut self.results;
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         if agent.hangs_until > self.now {
             let until = agent.hangs_until;
-            return self.after(until - self.now, Event::StatusReport(id.clone()));
+            return self.schedule(until - self.now, Event::StatusReport(id.clone()));
         }
         agent.expire(self.now, self.scenario.lease_s * 1_000);
-        let completed = agent.work(self.now, results);
+        let completed = agent.advance_tasks(self.now, results);
         let node = agent.node;
         let report = agent.report();
         let incarnation = agent.incarnation.0;
-        let cut = apart[node]
+        let cut = partitioned[node]
             || agent.partitioned_until > self.now
             || self.nodes[node].cut_from_agents_until > self.now;
-        let mute = agent.unable_to_report_until > self.now;
-        let deaf = agent.unreachable_until > self.now;
-        let next = if deaf || unanswered { 5_000 } else { next };
-        if deaf {
-            // No answer reaches it, so it tries one node after the other.
+        let unable_to_report = agent.unable_to_report_until > self.now;
+        let unreachable = agent.unreachable_until > self.now;
+        let next = if unreachable || unanswered {
+            5_000
+        } else {
+            next
+        };
+        if unreachable {
+            // No answer reaches the agent, so it tries one node after the other.
             agent.node = (node + 1) % nodes;
         }
-        self.after(next, Event::StatusReport(id.clone()));
+        self.schedule(next, Event::StatusReport(id.clone()));
         if completed {
             self.jobs_ended();
         }
-        if cut || mute || self.nodes[node].process.is_none() {
+        if cut || unable_to_report || self.nodes[node].process.is_none() {
             if let Some(agent) = self.agents.get_mut(id) {
                 agent.node = (node + 1) % self.scenario.nodes;
             }
             return;
         }
         if unanswered {
-            // It arrives, but the agent gives up and turns to the next node.
-            let req = self.ask(node, Requester::Nobody);
+            // The report arrives, but the agent gives up and switches to the next node.
+            let req = self.new_request(node, Requester::Nobody);
             if let Some(agent) = self.agents.get_mut(id) {
                 agent.node = (node + 1) % self.scenario.nodes;
             }
             return self.step(node, Input::StatusReport(req, Box::new(report)));
         }
         let sent = self.now;
-        let req = self.ask(
+        let req = self.new_request(
             node,
             Requester::Agent(id.clone(), sent | (incarnation << 48)),
         );
         let late = self.random_faults && self.rng.random_bool(0.02);
-        let hop = if late {
+        let message_delay = if late {
             self.rng.random_range(2_000..9_000)
         } else {
-            self.hop()
+            self.message_delay()
         };
         if self.random_faults && self.rng.random_bool(0.03) {
             let delay = self.rng.random_range(2_000..40_000);
-            self.after(delay, Event::LateReport(node, Box::new(report.clone())));
+            self.schedule(delay, Event::LateReport(node, Box::new(report.clone())));
         }
         if self.now < self.late_reports_until && self.rng.random_bool(0.4) {
             let delay = self.rng.random_range(2_000..30_000);
             let to = self.rng.random_range(0..nodes);
-            self.after(delay, Event::LateReport(to, Box::new(report.clone())));
+            self.schedule(delay, Event::LateReport(to, Box::new(report.clone())));
         }
         if self.now < self.hold_reports_until && self.held_reports.len() < 200 {
             self.held_reports.push(report.clone());
         }
         let input = Input::StatusReport(req, Box::new(report));
-        self.after(hop, Event::Input(node, life.unwrap_or(0), input));
+        self.schedule(
+            message_delay,
+            Event::Input(node, generation.unwrap_or(0), input),
+        );
     }
 
     pub(super) fn report_answered(
@@ -250,7 +268,7 @@
                 agent.token = reply.token;
                 agent.answered = agent.answered.max(sent);
                 for command in &reply.commands {
-                    agent.obey(command, &self.jobs, now);
+                    agent.execute(command, &self.jobs, now);
                 }
             }
             421 => {
@@ -264,16 +282,16 @@
         }
     }
 
-    /// A report that reaches a node, and the status of its answer.
+    /// Delivers a report to a node; returns the status of the answer.
     pub fn inject_report(&mut self, node: usize, report: StatusReport) -> u16 {
         self.admin_answer = None;
-        let req = self.ask(node, Requester::Admin);
+        let req = self.new_request(node, Requester::Admin);
         self.step(node, Input::StatusReport(req, Box::new(report)));
         self.run_until(self.now + 1_500);
         self.admin_answer.take().expect("an answer").0
     }
 
-    /// A machine that holds tasks, if there is one.
+    /// Returns a machine with tasks on it, if there is one.
     pub fn busy_machine(&self) -> Option<MachineId> {
         let busy = |w: &&SimulatedAgent| w.tasks.values().any(super::agent::Task::on_machine);
         (self.agents.iter().find(|(_, w)| busy(w))).map(|(id, _)| id.clone())
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: machines that boot, offers that run out, and a list that is late.
+//! A stand-in for the cloud: machines with a boot time, a limited capacity, and a machine list that lags behind.
 
 use rudderreel_core::{CloudAnswer, CloudCall};
 use rudderreel_wire::cloud::{
@@ -7,40 +7,43 @@
 use rudderreel_wire::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines on a page of the cloud's list at most, by the protocol.
-const LISTED: usize = 500;
+/// Largest number of machines on a page of the cloud's list, by the protocol.
+const PAGE_MACHINES: usize = 500;
 
-/// The cloud: one type, two zones, few spot machines.
+/// A simulated cloud with one machine type.
 #[derive(Default)]
 pub struct Cloud {
+    /// Rented machines by the id of their request, so that a repeated request rents nothing more.
     requested: BTreeMap<String, Vec<MachineId>>,
+    /// Rented machines, each with its request and the time at which it was rented.
     machines: BTreeMap<MachineId, (Rent, u64)>,
-    /// Those that are not up yet.
+    /// Machines that have not booted yet.
     booting: BTreeSet<MachineId>,
-    /// Those that were returned since this was last asked.
+    /// Machines that were returned since the last call of [`Cloud::take_returned`].
     returned: Vec<MachineId>,
-    next: u32,
-    most: usize,
-    /// How long machines take to come up, at least and at most.
+    next_id: u32,
+    /// Largest number of machines that can be rented at the same time.
+    capacity: usize,
+    /// Shortest and longest boot time of a machine, in milliseconds.
     boot_ms: (u64, u64),
     zones: &'static [&'static str],
-    /// Its interface is down.
+    /// Whether the cloud refuses all calls.
     pub down: bool,
 }
 
 impl Cloud {
-    /// A cloud with so many machines.
-    pub fn of(most: usize, boot_ms: (u64, u64), zones: &'static [&'static str]) -> Self {
+    /// Creates a cloud with a capacity, a range of boot times, and zones.
+    pub fn of(capacity: usize, boot_ms: (u64, u64), zones: &'static [&'static str]) -> Self {
         Self {
-            most,
+            capacity,
             boot_ms,
             zones,
             ..Self::default()
         }
     }
 
-    /// How long a machine takes to come up: some sooner, some later.
-    fn boot(&self, id: &MachineId) -> u64 {
+    /// Returns the boot time of a machine, which varies with its id.
+    fn boot_duration_ms(&self, id: &MachineId) -> u64 {
         let n = id.as_str().bytes().map(u64::from).sum::<u64>() % 7;
         self.boot_ms.0 + (self.boot_ms.1 - self.boot_ms.0) * n / 6
     }
@@ -49,9 +52,9 @@
         self.machines.contains_key(id)
     }
 
-    /// Machines that have come up since the last time.
+    /// Returns the machines that have booted since the last call.
     pub fn take_booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
-        let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot(id);
+        let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot_duration_ms(id);
         let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
         let rented = |id: MachineId| {
             self.booting.remove(&id);
@@ -61,7 +64,7 @@
         new.into_iter().map(rented).collect()
     }
 
-    /// Machines that were returned since this was last asked.
+    /// Returns the machines that were returned since the last call.
     pub fn take_returned(&mut self) -> Vec<MachineId> {
         std::mem::take(&mut self.returned)
     }
@@ -91,7 +94,7 @@
                     return CloudAnswer::Rented(MachineNames { machines });
                 }
                 let room = self
-                    .most
+                    .capacity
                     .saturating_sub(self.machines.len())
                     .min(rent.count as usize);
                 if room == 0 {
@@ -124,18 +127,18 @@
                         state: ListedState::Running,
                         age_s: (now - at) as f64 / 1000.0,
                     })
-                    .take(LISTED + 1)
+                    .take(PAGE_MACHINES + 1)
                     .collect();
-                let more = machines.len() > LISTED;
-                machines.truncate(LISTED);
+                let more = machines.len() > PAGE_MACHINES;
+                machines.truncate(PAGE_MACHINES);
                 CloudAnswer::Page(MachinePage { machines, more })
             }
         }
     }
 
     fn add(&mut self, rent: &Rent, now: u64) -> MachineId {
-        self.next += 1;
-        let id = MachineId::from(format!("vm-{:06}", self.next).as_str());
+        self.next_id += 1;
+        let id = MachineId::from(format!("vm-{:06}", self.next_id).as_str());
         self.machines.insert(id.clone(), (rent.clone(), now));
         self.booting.insert(id.clone());
         id
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -1,9 +1,9 @@
-//! What steps of the core and messages between nodes cost.
+//! Measures the processor time of the core's steps and the size of its messages.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// Steps of one kind.
+/// Processor time of the steps of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepCost {
     pub count: u32,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Messages of one kind.
+/// Number and size of the messages of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageCost {
     pub count: u32,
@@ -35,17 +35,17 @@
     }
 }
 
-/// What was measured since it was last taken.
+/// Costs measured since the test last took them.
 #[derive(Debug, Default)]
 pub struct Costs {
-    /// By whether the node leads and the kind of input.
+    /// Steps by whether the node leads and by the kind of input.
     pub steps: BTreeMap<(bool, &'static str), StepCost>,
-    /// By kind: messages to peers, and calls to the store, the cloud and agents.
+    /// Messages to peers, and calls to the store, the cloud and agents, by kind.
     pub messages: BTreeMap<&'static str, MessageCost>,
 }
 
 impl World {
-    /// A step of the core, measured if the scenario says so.
+    /// Runs a step of the core, and measures it if the scenario says so.
     pub(super) fn measured_step(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
         if !self.scenario.measures {
             return self.step_core(node, input, now);
@@ -84,7 +84,7 @@
     }
 }
 
-/// The kind and the bytes of what goes to peers, the store, the cloud and agents.
+/// Returns the kind and the size in bytes of an output that is sent to a peer, the store, the cloud or an agent.
 fn message(output: &Output) -> Option<(&'static str, usize)> {
     Some(match output {
         Output::Heartbeat(heartbeat) => ("heartbeat", bitcode::encode(heartbeat).len()),
@@ -95,7 +95,9 @@
         Output::AnswerForwardedReports(_, reply) => {
             ("reply to a batch", bitcode::encode(reply).len())
         }
-        Output::ReplicateCancellations(_, told) => ("announcement", bitcode::encode(told).len()),
+        Output::ReplicateCancellations(_, cancellations) => {
+            ("announcement", bitcode::encode(cancellations).len())
+        }
         Output::State(_, rudderreel_core::StoreCall::Commit(transaction)) => {
             let bytes = serde_json::to_vec(transaction).expect("JSON").len();
             ("commit", bytes)
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -1,14 +1,14 @@
 //! A digest over everything that the nodes send, write and answer.
 //!
-//! Outputs are taken in their encoded form (JSON bodies, bitcode messages, keys and values), never as
-//! `Debug` text, so renaming a type or a field leaves the digest as it is and a changed decision does not.
+//! Outputs are hashed in their encoded form (JSON bodies, bitcode messages, keys and values), never as
+//! `Debug` text, so renaming a type or a field doesn't change the digest, and a changed decision does.
 
 use super::World;
 use rudderreel_core::{CloudCall, Output, StoreCall};
 use serde::Serialize;
 use std::hash::{DefaultHasher, Hasher};
 
-/// Digest of the outputs of all nodes, in the order in which they came.
+/// Digest of the outputs of all nodes, in the order in which they were produced.
 #[derive(Default)]
 pub(super) struct DecisionDigest {
     hasher: DefaultHasher,
@@ -16,6 +16,7 @@
 }
 
 impl DecisionDigest {
+    /// Adds an output of a node, with the time at which it was produced.
     pub(super) fn record(&mut self, at_ms: u64, node: usize, output: &Output) {
         self.outputs += 1;
         self.number(at_ms);
@@ -165,7 +166,7 @@
 }
 
 impl World {
-    /// The digest of what the nodes have sent, written and answered so far, and how many outputs that were.
+    /// Returns the digest of what the nodes have sent, written and answered so far, and the number of outputs.
     pub fn decision_digest(&self) -> String {
         let digest = &self.decisions;
         format!("{:016x} {}", digest.hasher.finish(), digest.outputs)
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -1,68 +1,69 @@
-//! What goes wrong.
+//! The faults that can be injected into a run.
 
 use super::*;
 
-/// What goes wrong, or makes it harder.
+/// A fault, or another condition that makes it harder to keep the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     NodeCrashes,
     LeaderCrashes,
     AllNodesCrash,
-    /// All nodes are away for longer than an agent's lease.
+    /// All nodes are down for longer than an agent's lease.
     AllNodesAway,
-    /// Back before anybody may have noticed.
+    /// A node restarts so quickly that other nodes may not have noticed.
     NodeRestartsQuickly,
     AllNodesRestartQuickly,
     SlowNode,
     StoreDown,
     StoreBack,
     SlowStore,
-    /// The store refuses a node.
+    /// The store refuses the calls of one node.
     StoreRefusesNode,
     StoreRefusesLeader,
-    /// That share of transactions is carried out seconds later, after newer ones.
+    /// Three in ten transactions with changes are carried out seconds later, after newer ones.
     LateWrites,
-    /// Transactions are carried out at once, and only the answer is lost.
+    /// Three in ten transactions with changes are carried out at once, and only the answer is lost.
     LostAnswers,
     NodeCutFromPeers,
     NodeCutFromAgents,
-    /// A node hears nobody but agents and users.
+    /// A node is reachable only for agents and users: it is cut off from the store and from other nodes.
     NodeReachesOnlyAgents,
     LeaderReachesOnlyAgents,
-    /// Messages take long.
+    /// Messages are delayed by hundreds of milliseconds.
     SlowLinks,
     MachinesPartitioned,
-    /// Reports arrive, and nothing reaches the machine.
+    /// The machines' reports arrive, but nothing reaches the machines.
     MachinesUnreachable,
-    /// Reports reach nobody, and commands the machine.
+    /// The machines' reports reach no node, but commands reach the machines.
     MachinesUnableToReport,
     MachinesHang,
     MachinesReboot,
-    /// Copies of reports arrive again, up to several leases later.
+    /// Copies of reports arrive again, up to several leases later, at any node.
     LateReports,
-    /// Copies of reports reach every node just as a new leader begins.
+    /// Copies of reports reach every node as soon as a new leader has raised the epoch.
     ReportsHeldForNextLeader,
     CloudDown,
     ZonePartitioned,
-    /// Users call off several running jobs at once, and some of their machines hang.
+    /// Users cancel several running jobs at once, and some of their machines hang.
     JobsCancelled,
-    /// Jobs are called off at the moment at which their last task ends.
+    /// Users cancel jobs at the moment at which their last task ends.
     JobsCancelledAtCompletion,
-    /// Users ask at all nodes within milliseconds, and repeat submissions, after they were told something.
+    /// Users query all nodes within milliseconds, and repeat submissions, after they received a new state of a job.
     RapidStatusRequests,
-    /// Submissions that can't be, and cancellations of what is done.
+    /// Users send submissions that can't be accepted, and cancel jobs that have ended.
     InvalidRequests,
-    /// A process stands still while its clocks run on.
+    /// A process is paused while its clocks run on.
     NodePauses,
     LeaderPauses,
     SeveralNodesPause,
-    /// The store is down in spells, with too short a time between them for the leader's lease to run out there.
+    /// The store is down intermittently; the time between two outages is too short for the leader's lease to expire
+    /// there.
     StoreDownInSpells,
-    /// Every team is at its limit, or within a task of it. This comes by itself.
+    /// Every team is at its limit, or within one task of it. This is observed, not injected.
     TeamsAtLimit,
 }
 
-/// Faults of every kind, as often as they come when none are named.
+/// Faults that are injected at random unless the scenario names others; a repeated entry is drawn more often.
 const RANDOM_FAULTS: [Fault; 32] = {
     use Fault::*;
     [
@@ -102,7 +103,7 @@
 };
 
 impl World {
-    /// Cuts a zone off from everything.
+    /// Cuts a zone off from everything outside it until a given time.
     pub fn partition_zone(&mut self, zone: &'static str, until: u64) {
         self.partitioned_zone = Some((zone, until));
         for node in (0..self.scenario.nodes).filter(|n| zone_of(*n) == zone) {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Copies that were kept reach every node when another leads.
-    pub(super) fn deliver_kept(&mut self) {
+    /// Delivers the held copies of reports to every node once the epoch has changed.
+    pub(super) fn deliver_held_reports(&mut self) {
         let epoch = self.store.number("epoch", "epoch");
         if epoch == self.epoch_seen {
             return;
@@ -120,57 +121,58 @@
         for report in std::mem::take(&mut self.held_reports) {
             for node in 0..self.scenario.nodes {
                 let delay = self.rng.random_range(0..300);
-                self.after(delay, Event::LateReport(node, Box::new(report.clone())));
+                self.schedule(delay, Event::LateReport(node, Box::new(report.clone())));
             }
         }
     }
 
-    /// Cuts a node off from the store and from other nodes, but not from agents.
+    /// Cuts a node off from the store and from other nodes, but not from agents, until a given time.
     pub fn cut_from_all_but_agents(&mut self, node: usize, until: u64) {
         self.nodes[node].cut_from_store_until = until;
         self.nodes[node].cut_from_peers_until = until;
     }
 
-    /// The store refuses a node.
+    /// Makes the store refuse a node until a given time.
     pub fn cut_from_store(&mut self, node: usize, until: u64) {
         self.nodes[node].cut_from_store_until = until;
     }
 
-    /// A node's watch of the store gets no answer, while all its other calls do.
+    /// Leaves a node's watch of the store without an answer until a given time; all its other calls are answered.
     pub fn hang_watch(&mut self, node: usize, until: u64) {
         self.nodes[node].watch_hangs_until = until;
     }
 
-    /// Cuts a node off from the other nodes.
+    /// Cuts a node off from the other nodes until a given time.
     pub fn cut_from_peers(&mut self, node: usize, until: u64) {
         self.nodes[node].cut_from_peers_until = until;
     }
 
-    /// Connections between nodes are refused.
+    /// Cuts all nodes off from each other until a given time.
     pub fn cut_peer_links(&mut self, until: u64) {
         for node in &mut self.nodes {
             node.cut_from_peers_until = until;
         }
     }
 
-    /// Ends a node, for so long.
-    pub fn stop_node_for(&mut self, node: usize, back: u64) {
-        self.end(node, back);
+    /// Stops a node's process and restarts it after `down_ms`.
+    pub fn stop_node_for(&mut self, node: usize, down_ms: u64) {
+        self.stop_process(node, down_ms);
     }
 
-    /// Cuts a node off from all agents.
+    /// Cuts a node off from all agents until a given time.
     pub fn cut_from_agents(&mut self, node: usize, until: u64) {
         self.nodes[node].cut_from_agents_until = until;
     }
 
+    /// Injects a random fault while random faults are on, and schedules the next one.
     pub(super) fn inject_random_fault(&mut self) {
         let next = self.rng.random_range(1_500..6_000);
-        self.after(next, Event::Fault);
+        self.schedule(next, Event::Fault);
         if !self.random_faults {
             return;
         }
         let node = self.rng.random_range(0..self.scenario.nodes);
-        let long = self.now + self.rng.random_range(1_000..15_000);
+        let default_until = self.now + self.rng.random_range(1_000..15_000);
         let fault = if !self.scenario.fault_kinds.is_empty() {
             self.scenario.fault_kinds[self.rng.random_range(0..self.scenario.fault_kinds.len())]
         } else if self.scenario.zones && self.rng.random_bool(0.15) {
@@ -178,13 +180,14 @@
         } else {
             RANDOM_FAULTS[self.rng.random_range(0..RANDOM_FAULTS.len())]
         };
-        self.inject_fault(fault, node, long);
+        self.inject_fault(fault, node, default_until);
     }
 
-    /// Brings a fault about, at a node if it is one of nodes, until a moment if it lasts.
-    pub fn inject_fault(&mut self, fault: Fault, node: usize, long: u64) {
+    /// Injects a fault: at `node` if the fault concerns one node, and until `default_until` if it lasts and has no
+    /// other end.
+    pub fn inject_fault(&mut self, fault: Fault, node: usize, default_until: u64) {
         let leader = self.leader_by_store().unwrap_or(node);
-        let mut until = long;
+        let mut until = default_until;
         match fault {
             Fault::NodeCrashes => self.crash(node),
             Fault::LeaderCrashes => {
@@ -193,40 +196,40 @@
             }
             Fault::AllNodesCrash => (0..self.scenario.nodes).for_each(|n| self.crash(n)),
             Fault::AllNodesAway => {
-                let back = self.scenario.lease_s * 1_000 + 1_500;
-                (0..self.scenario.nodes).for_each(|n| self.end(n, back));
-                until = self.now + back;
+                let down_ms = self.scenario.lease_s * 1_000 + 1_500;
+                (0..self.scenario.nodes).for_each(|n| self.stop_process(n, down_ms));
+                until = self.now + down_ms;
             }
             Fault::NodeRestartsQuickly => self.restart_quickly(node),
             Fault::AllNodesRestartQuickly => {
                 (0..self.scenario.nodes).for_each(|n| self.restart_quickly(n))
             }
-            Fault::SlowNode => self.nodes[node].slow_until = long,
+            Fault::SlowNode => self.nodes[node].slow_until = default_until,
             Fault::StoreDown => self.store.set_down(true, self.now),
             Fault::StoreBack => self.store.set_down(false, self.now),
-            Fault::SlowStore => self.state_slow_until = long,
-            Fault::StoreRefusesNode => self.nodes[node].cut_from_store_until = long,
-            Fault::StoreRefusesLeader => self.nodes[leader].cut_from_store_until = long,
-            Fault::LateWrites => self.late_writes_until = long,
-            Fault::LostAnswers => self.lost_answers_until = long,
-            Fault::NodeCutFromPeers => self.nodes[node].cut_from_peers_until = long,
-            Fault::NodeCutFromAgents => self.nodes[node].cut_from_agents_until = long,
-            Fault::NodeReachesOnlyAgents => self.cut_from_all_but_agents(node, long),
-            Fault::LeaderReachesOnlyAgents => self.cut_from_all_but_agents(leader, long),
-            Fault::SlowLinks => self.slow_links_until = long,
+            Fault::SlowStore => self.state_slow_until = default_until,
+            Fault::StoreRefusesNode => self.nodes[node].cut_from_store_until = default_until,
+            Fault::StoreRefusesLeader => self.nodes[leader].cut_from_store_until = default_until,
+            Fault::LateWrites => self.late_writes_until = default_until,
+            Fault::LostAnswers => self.lost_answers_until = default_until,
+            Fault::NodeCutFromPeers => self.nodes[node].cut_from_peers_until = default_until,
+            Fault::NodeCutFromAgents => self.nodes[node].cut_from_agents_until = default_until,
+            Fault::NodeReachesOnlyAgents => self.cut_from_all_but_agents(node, default_until),
+            Fault::LeaderReachesOnlyAgents => self.cut_from_all_but_agents(leader, default_until),
+            Fault::SlowLinks => self.slow_links_until = default_until,
             Fault::MachinesPartitioned => {
-                self.affect_some_agents(0.3, |w| w.partitioned_until = long)
+                self.affect_some_agents(0.3, |w| w.partitioned_until = default_until)
             }
             Fault::MachinesUnreachable => {
-                self.affect_some_agents(0.2, |w| w.unreachable_until = long + 15_000)
+                self.affect_some_agents(0.2, |w| w.unreachable_until = default_until + 15_000)
             }
             Fault::MachinesUnableToReport => {
-                self.affect_some_agents(0.2, |w| w.unable_to_report_until = long + 5_000)
+                self.affect_some_agents(0.2, |w| w.unable_to_report_until = default_until + 5_000)
             }
-            Fault::MachinesHang => self.affect_some_agents(0.2, |w| w.hangs_until = long),
+            Fault::MachinesHang => self.affect_some_agents(0.2, |w| w.hangs_until = default_until),
             Fault::MachinesReboot => self.affect_some_agents(0.1, SimulatedAgent::reboot),
-            Fault::LateReports => self.late_reports_until = long,
-            Fault::ReportsHeldForNextLeader => self.hold_reports_until = long,
+            Fault::LateReports => self.late_reports_until = default_until,
+            Fault::ReportsHeldForNextLeader => self.hold_reports_until = default_until,
             Fault::CloudDown => self.cloud.down = !self.cloud.down,
             Fault::ZonePartitioned => {
                 let zone = zone_of(self.rng.random_range(0..2));
@@ -234,12 +237,12 @@
                 self.partition_zone(zone, until);
             }
             Fault::JobsCancelled => {
-                self.cancel_now(4, long);
-                // Users repeat that, and what is cancelled has to be gone, for so long.
+                self.cancel_running_jobs(4, default_until);
+                // For this time users repeat their requests, and the cancelled tasks have to be stopped.
                 until = self.now + self.scenario.cancel_ms() / 2;
             }
-            Fault::JobsCancelledAtCompletion => self.cancel_at_end_until = long,
-            Fault::RapidStatusRequests => self.rapid_status_until = long,
+            Fault::JobsCancelledAtCompletion => self.cancel_at_end_until = default_until,
+            Fault::RapidStatusRequests => self.rapid_status_until = default_until,
             Fault::InvalidRequests => (0..8).for_each(|_| self.submit_invalid_requests()),
             Fault::NodePauses => until = self.pause_for_a_while(&[node]),
             Fault::LeaderPauses => until = self.pause_for_a_while(&[leader]),
@@ -255,12 +258,12 @@
         self.faults_seen.push((fault, self.now, until));
     }
 
-    /// How long the tasks of a cancelled job may remain, in milliseconds.
+    /// Returns the time within which the tasks of a cancelled job must be gone, in milliseconds.
     pub fn cancel_ms(&self) -> u64 {
         self.scenario.cancel_ms()
     }
 
-    /// Has processes stand still for a time that is drawn; returns until when.
+    /// Pauses processes for a random time; returns the end of the pause.
     fn pause_for_a_while(&mut self, nodes: &[usize]) -> u64 {
         let until = self.now + self.random_pause_ms();
         for node in nodes {
@@ -269,18 +272,19 @@
         until
     }
 
-    /// The store is down in spells until a moment.
+    /// Starts an intermittent outage of the store that ends at a given time.
     pub fn begin_outage_spells(&mut self, until: u64) {
         self.outage_spells_until = until;
         self.next_outage_spell(until);
     }
 
-    /// The outage in spells is over.
+    /// Ends an intermittent outage of the store.
     pub fn end_outage_spells(&mut self) {
         self.outage_spells_until = 0;
         self.store.set_down(false, self.now);
     }
 
+    /// Begins the next down or up phase of an intermittent outage, and schedules the one after it.
     pub(super) fn next_outage_spell(&mut self, until: u64) {
         if until != self.outage_spells_until {
             return;
@@ -294,11 +298,11 @@
         } else {
             self.rng.random_range(300..1_500)
         };
-        self.after(spell, Event::OutageSpell(until));
+        self.schedule(spell, Event::OutageSpell(until));
     }
 
-    /// Users call off so many jobs that run, and some of the machines that they run on hang.
-    pub(super) fn cancel_now(&mut self, count: usize, hang: u64) {
+    /// Has users cancel up to `count` running jobs, and makes some of the machines that they run on hang until `hang`.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: u64) {
         let mut running: Vec<(JobId, MachineId)> = Vec::new();
         for (machine, agent) in &self.agents {
             let on = agent.tasks.values().filter(|t| t.on_machine());
@@ -308,15 +312,15 @@
             let (id, machine) = running[self.rng.random_range(0..running.len())].clone();
             let delay = self.rng.random_range(0..200);
             let node = self.rng.random_range(0..self.scenario.nodes);
-            self.after(
+            self.schedule(
                 delay,
                 Event::UserAction(node, id.clone(), UserAction::Cancel),
             );
-            // The request is repeated until it is answered.
-            for again in 1..20 {
+            // The request is repeated every second, whether or not it has been answered.
+            for repeat in 1..20 {
                 let node = self.rng.random_range(0..self.scenario.nodes);
-                self.after(
-                    delay + again * 1_000,
+                self.schedule(
+                    delay + repeat * 1_000,
                     Event::UserAction(node, id.clone(), UserAction::Cancel),
                 );
             }
@@ -328,15 +332,18 @@
         }
     }
 
-    /// How often two faults were there at the same time.
+    /// Returns how often two faults overlapped in time.
     pub fn overlaps(&self, a: Fault, b: Fault) -> usize {
-        let of = |t: Fault| self.faults_seen.iter().filter(move |(x, ..)| *x == t);
-        let meets = |x: &(Fault, u64, u64), y: &(Fault, u64, u64)| {
+        let occurrences = |t: Fault| self.faults_seen.iter().filter(move |(x, ..)| *x == t);
+        let overlap = |x: &(Fault, u64, u64), y: &(Fault, u64, u64)| {
             x.1 <= y.2 && y.1 <= x.2 && !std::ptr::eq(x, y)
         };
-        (of(a)).map(|x| of(b).filter(|y| meets(x, y)).count()).sum()
+        (occurrences(a))
+            .map(|x| occurrences(b).filter(|y| overlap(x, y)).count())
+            .sum()
     }
 
+    /// Applies a fault to each agent with the probability `share`.
     pub fn affect_some_agents(&mut self, share: f64, fault: impl Fn(&mut SimulatedAgent)) {
         for agent in self.agents.values_mut() {
             if self.rng.random_bool(share) {
@@ -345,7 +352,7 @@
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults, and starts the status queries of all jobs.
     pub fn end_faults(&mut self) {
         self.random_faults = false;
         self.store.set_down(false, self.now);
@@ -380,7 +387,7 @@
             agent.hangs_until = agent.hangs_until.min(self.now);
         }
         if self.faults_ended_at.replace(self.now).is_none() {
-            self.after(1_000, Event::StatusSweep(0));
+            self.schedule(1_000, Event::StatusSweep(0));
         }
     }
 }
--- a/crates/core/tests/sim/world/mod.rs
+++ b/crates/core/tests/sim/world/mod.rs
@@ -1,6 +1,6 @@
-//! A small world round the core: stand-ins for the store, the cloud, agents and users,
-//! on a network that delays, loses and reorders, with nodes that crash and clocks that drift. The
-//! rules of the protocol are checked as it goes.
+//! A discrete-event simulation around the core: stand-ins for the store, the cloud, agents and users,
+//! a network that delays, loses and reorders messages, nodes that crash, and clocks that drift. The
+//! rules of the protocol are checked throughout a run.
 
 pub mod agent;
 mod agents;
@@ -50,8 +50,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use store::Store;
 
-/// Who waits for the answer to a request.
+/// The sender of a request, to which the answer is delivered.
 enum Requester {
+    /// An agent's report: its send time, with the agent's incarnation in the upper 16 bits.
     Agent(MachineId, u64),
     User(JobId, UserAction, u64),
     Peer(usize, ReqId),
@@ -61,7 +62,7 @@
     ReplicateCancellations(usize, u32),
     /// A submission that can't be accepted.
     InvalidSubmission(JobId),
-    /// A late copy: whoever sent it is not there any more.
+    /// A late copy, or a request whose sender has given up: the answer is dropped.
     Nobody,
 }
 
@@ -72,20 +73,22 @@
     Cancel,
 }
 
+/// Events of the simulation. Node indexes come first (sender before receiver), then the generation of the sender's
+/// process.
 enum Event {
     Tick(usize, u32),
-    /// A node whose steps take time can go on.
-    Free(usize, u32),
+    /// A node whose steps take time is free for its next queued input.
+    ProcessorFree(usize, u32),
     Input(usize, u32, Input),
     State(usize, u32, CallId, Time, rudderreel_core::StoreCall),
     LateTransaction(rudderreel_core::StoreCall),
-    /// A watch after a revision, and when it was sent.
+    /// A watch for changes after a revision, and its send time.
     Watch(usize, u32, Version, Time),
-    /// A watch is begun again that has run out of time.
+    /// A watch that has timed out is opened again.
     RetryWatch(usize, u32, Version),
     Cloud(usize, u32, CallId, rudderreel_core::CloudCall),
     Direct(usize, u32, MachineId, DirectCommands, bool),
-    /// A direct call that waits in a process, and until when it may be sent.
+    /// A direct call that is queued in a process, and the time before which it must be sent.
     DirectQueued(usize, u32, MachineId, DirectCommands, Option<Time>),
     LateReport(usize, Box<StatusReport>),
     StatusSweep(usize),
@@ -95,13 +98,13 @@
     Heartbeat(usize, usize, u32, rudderreel_wire::peer::Heartbeat),
     Forward(usize, usize, u32, ReqId, Forward),
     StatusReport(MachineId),
-    Answer(MachineId, u64, u64, u16, String),
-    User,
+    ReportAnswer(MachineId, u64, u64, u16, String),
+    UserTurn,
     Fault,
     Restart(usize),
-    /// A process that stood still goes on.
+    /// A paused process resumes.
     Resume(usize, u32),
-    /// The next spell of an outage that comes in spells, until a moment.
+    /// The next down or up phase of an intermittent outage, and the time at which the outage ends.
     OutageSpell(u64),
     LowerLimits,
     Upgrade(usize),
@@ -110,7 +113,9 @@
 struct SimulatedNode {
     process: Option<Node>,
     version: NodeVersion,
-    life: u32,
+    /// Number of times that the node's process was started. Events for an earlier generation are dropped.
+    generation: u32,
+    /// Speed of the node's clock relative to the simulated time.
     drift: f64,
     offset: u64,
     next_req: u64,
@@ -120,31 +125,34 @@
     cut_from_agents_until: u64,
     watch_hangs_until: u64,
     slow_until: u64,
-    work: processor_time::Work,
+    processor: processor_time::Processor,
     pause: pauses::Pause,
 }
 
-/// What users know of a job.
+/// A job with what its user has been answered and what the rule checks record about it.
 pub struct ObservedJob {
     pub spec: JobSpec,
     pub accepted: bool,
     pub last: Option<JobState>,
     pub cancelled_at: Option<u64>,
-    /// Whether its user asked to cancel it.
+    /// Whether its user has requested its cancellation.
     pub cancel_requested: bool,
-    /// Since when a machine had room for a task of it and its team was under its limit.
+    /// Time since which a task of the job has waited although a machine had room for it and its team was below
+    /// its limit.
     startable_since: Option<u64>,
-    /// How long each of its tasks runs.
+    /// Run time of the first task, and the increase for each next task, in milliseconds.
     pub run_ms: (u64, u64),
+    /// When its user was first answered that it is done or cancelled.
     pub final_at: u64,
-    /// When it was first asked to be taken, and taken.
+    /// When it was added, before its first submission.
     pub asked_at: u64,
+    /// When its user was first answered that it is accepted.
     accepted_at: u64,
-    /// When all that it depends on was done.
+    /// When all jobs that it depends on were done, but not before `asked_at`.
     pub ready_at: Option<u64>,
-    /// When it first ran: a gang whole, others with any task.
+    /// When it first ran: a gang with all of its tasks, other jobs with any task.
     pub begun_at: Option<u64>,
-    /// By node: when a question about it was last answered there.
+    /// When each node last answered a request about the job.
     answered: BTreeMap<usize, u64>,
 }
 
@@ -153,7 +161,8 @@
     rng: StdRng,
     settings: Vec<Settings>,
     nodes: Vec<SimulatedNode>,
-    /// By a node's life and the text of a transaction: when it had the answer that this is too large.
+    /// When a node received the answer that a transaction is too large, by node, generation and the transaction's
+    /// JSON.
     rejected: BTreeMap<(usize, u32, String), Time>,
     pub store: Store,
     pub cloud: Cloud,
@@ -165,8 +174,9 @@
     next_job: u32,
     next_invalid: u32,
     pub random_faults: bool,
+    /// Starts that agents have carried out.
     pub starts: u32,
-    /// Starts that nodes have sent.
+    /// Start commands that nodes have sent.
     pub start_commands: u32,
     scenario: Scenario,
     state_slow_until: u64,
@@ -178,51 +188,52 @@
     hold_reports_until: u64,
     cancel_at_end_until: u64,
     rapid_status_until: u64,
-    /// Copies of reports that are kept for the next leader, and the epoch that was seen last.
+    /// Copies of reports that are held back until the next leader is elected, and the last epoch seen.
     held_reports: Vec<StatusReport>,
     epoch_seen: u64,
     /// Jobs all of whose tasks have ended.
     ended: BTreeSet<JobId>,
-    /// What went wrong, from when until when.
+    /// Injected faults, each with its start and end.
     pub faults_seen: Vec<(Fault, u64, u64)>,
-    /// Starts that a node sent after the job's user was told that it is cancelled.
+    /// Start commands that a node sent after the job's user was answered that it is cancelled, each with the
+    /// milliseconds since that answer.
     pub starts_after_cancellation: Vec<(JobId, u64)>,
     next_check: u64,
-    /// Nodes that can't reach one another.
+    /// Pairs of nodes that can't reach each other.
     pub cut_pairs: Vec<(usize, usize)>,
-    /// A zone that is cut off from everything, and until when. It goes on inside.
+    /// A zone that is cut off from everything outside it, and the end of the partition. Inside the zone everything
+    /// stays connected and keeps running.
     partitioned_zone: Option<(&'static str, u64)>,
-    /// Since when there are no faults.
+    /// When the injection of faults ended.
     faults_ended_at: Option<u64>,
     admin_answer: Option<(u16, String)>,
-    /// Whether broken rules of pipelines are collected, so that a test sees all of them; else the first
-    /// fails it.
+    /// Whether violations of the rules about pipelines are collected, so that a test sees all of them; otherwise the
+    /// first violation fails the test.
     pub collects_violations: bool,
-    /// Those, each once.
+    /// Names of the rules whose violations were collected.
     pub violations: BTreeSet<&'static str>,
-    /// Whether all nodes have had the version under test: some may have come back old since.
+    /// Whether all nodes have run the version under test; some may have restarted with the old version since.
     upgraded: bool,
-    /// What steps and messages cost, if that is measured.
+    /// Costs of steps and messages, if the scenario measures them.
     pub costs: costs::Costs,
     decisions: decision_digest::DecisionDigest,
 }
 
-/// From more machines on, rules are checked now and then only.
-const FLEET: usize = 500;
-/// From more machines on, less often yet.
-const LARGE_FLEET: usize = 2_000;
-/// How often, in milliseconds.
-const FLEET_CHECKS: u64 = 50;
-const LARGE_FLEET_CHECKS: u64 = 200;
-/// A rolling upgrade begins then, and takes the next node so often.
+/// With more machines than this, rules are checked at intervals instead of after each event.
+const FLEET_MACHINES: usize = 500;
+/// With more machines than this, the interval between checks is longer.
+const LARGE_FLEET_MACHINES: usize = 2_000;
+const FLEET_CHECK_INTERVAL_MS: u64 = 50;
+const LARGE_FLEET_CHECK_INTERVAL_MS: u64 = 200;
+/// Time from the start of a run to the first node's upgrade, and from one node's upgrade to the next.
 const UPGRADE_FROM_MS: u64 = 12_000;
-const UPGRADE_EVERY_MS: u64 = 5_000;
-/// A job about which no question is answered for so long counts as forgotten.
-const KNOWN_MS: u64 = 75_000;
-/// The largest jobs of a class begin within this time.
-const BEGIN_MS: u64 = 240_000;
+const UPGRADE_INTERVAL_MS: u64 = 5_000;
+/// A job counts as forgotten by a node that has answered no request about it for this time.
+const MAX_UNANSWERED_MS: u64 = 75_000;
+/// Time within which the largest jobs of a class must start once they are ready.
+const MAX_START_DELAY_MS: u64 = 240_000;
 
-/// Where a node is.
+/// Returns the zone of a node.
 fn zone_of(node: usize) -> &'static str {
     ["a", "b"][node % 2]
 }
@@ -232,14 +243,14 @@
         Self::of(seed, Scenario::default())
     }
 
-    /// A world by a scenario.
+    /// Creates a world from a scenario.
     pub fn of(seed: u64, scenario: Scenario) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings: Vec<Settings> = (0..scenario.nodes).map(|n| scenario.settings(n)).collect();
         let nodes = (0..scenario.nodes).map(|_| SimulatedNode {
             process: None,
             version: NodeVersion::Current,
-            life: 0,
+            generation: 0,
             drift: 1.0 + rng.random_range(-0.0005..0.0005),
             offset: rng.random_range(1_000_000..2_000_000),
             next_req: 0,
@@ -249,7 +260,7 @@
             cut_from_agents_until: 0,
             watch_hangs_until: 0,
             slow_until: 0,
-            work: processor_time::Work::default(),
+            processor: processor_time::Processor::default(),
             pause: pauses::Pause::default(),
         });
         let mut world = Self {
@@ -305,28 +316,29 @@
             world.store.put("pub/admin", settings);
         }
         if world.scenario.upgrade {
-            world.plan_upgrade(UPGRADE_FROM_MS, UPGRADE_EVERY_MS);
+            world.plan_upgrade(UPGRADE_FROM_MS, UPGRADE_INTERVAL_MS);
         }
         for node in 0..world.scenario.nodes {
             world.start(node);
         }
         if let Some((at, _)) = world.scenario.lower_limits {
-            world.after(at, Event::LowerLimits);
+            world.schedule(at, Event::LowerLimits);
         }
         if !world.scenario.scripted {
-            world.after(500, Event::User);
+            world.schedule(500, Event::UserTurn);
         }
-        world.after(5_000, Event::Fault);
+        world.schedule(5_000, Event::Fault);
         world
     }
 
-    fn after(&mut self, delay: u64, event: Event) {
+    /// Schedules an event after a delay in milliseconds.
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.next_event += 1;
         self.queue
             .insert((self.now + delay, self.next_event), event);
     }
 
-    /// Runs until a moment.
+    /// Processes all events up to and including the time `end`.
     pub fn run_until(&mut self, end: u64) {
         while let Some((&(at, id), _)) = self.queue.first_key_value() {
             if at > end {
@@ -342,78 +354,94 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick(node, life) => {
-                if self.alive(node, life) && self.is_paused(node) {
-                    self.after(self.remaining_pause(node), Event::Tick(node, life));
-                } else if self.alive(node, life) && self.scenario.steps_take_time {
+            Event::Tick(node, generation) => {
+                if self.alive(node, generation) && self.is_paused(node) {
+                    self.schedule(self.remaining_pause(node), Event::Tick(node, generation));
+                } else if self.alive(node, generation) && self.scenario.steps_take_time {
                     self.enqueue(node, Input::Tick);
-                } else if self.alive(node, life) {
+                } else if self.alive(node, generation) {
                     self.step_now(node, Input::Tick);
                     let slow = self.now < self.nodes[node].slow_until;
-                    self.after(if slow { 150 } else { 20 }, Event::Tick(node, life));
+                    self.schedule(if slow { 150 } else { 20 }, Event::Tick(node, generation));
                 }
             }
-            Event::Free(node, life) => {
-                if self.alive(node, life) && self.is_paused(node) {
-                    self.after(self.remaining_pause(node), Event::Free(node, life));
-                } else if self.alive(node, life) {
-                    self.work_on(node);
+            Event::ProcessorFree(node, generation) => {
+                if self.alive(node, generation) && self.is_paused(node) {
+                    self.schedule(
+                        self.remaining_pause(node),
+                        Event::ProcessorFree(node, generation),
+                    );
+                } else if self.alive(node, generation) {
+                    self.process_queue(node);
                 }
             }
-            Event::Input(node, life, input) => {
-                if self.alive(node, life) {
+            Event::Input(node, generation, input) => {
+                if self.alive(node, generation) {
                     self.step(node, input);
                 }
             }
-            Event::State(node, life, id, sent, call) if self.is_held_back(node, life) => {
+            Event::State(node, generation, id, sent, call)
+                if self.is_held_back(node, generation) =>
+            {
                 let (delay, sent) = (self.remaining_pause(node), self.sending_time(node, sent));
-                self.after(delay, Event::State(node, life, id, sent, call));
+                self.schedule(delay, Event::State(node, generation, id, sent, call));
+            }
+            Event::State(node, generation, id, sent, call) => {
+                self.call_store(node, generation, id, sent, call)
             }
-            Event::State(node, life, id, sent, call) => self.call_store(node, life, id, sent, call),
             Event::LateTransaction(call) => {
                 self.store.call(&call, self.now);
             }
-            Event::Watch(node, life, after, sent) => self.watch(node, life, after, sent),
-            Event::RetryWatch(node, life, after) => self.retry_watch(node, life, after),
-            Event::Cloud(node, life, id, call) => {
+            Event::Watch(node, generation, after, sent) => {
+                self.watch(node, generation, after, sent)
+            }
+            Event::RetryWatch(node, generation, after) => self.retry_watch(node, generation, after),
+            Event::Cloud(node, generation, id, call) => {
                 let answer = self.cloud.call(&call, self.now);
                 self.boot_machines();
-                let hop = 40 + self.hop();
-                self.after(hop, Event::Input(node, life, Input::Cloud(id, answer)));
+                let message_delay = 40 + self.message_delay();
+                self.schedule(
+                    message_delay,
+                    Event::Input(node, generation, Input::Cloud(id, answer)),
+                );
+            }
+            Event::DirectQueued(node, generation, id, body, send_until) => {
+                self.send_direct(node, generation, id, body, send_until)
             }
-            Event::DirectQueued(node, life, id, body, send_until) => {
-                self.send_direct(node, life, id, body, send_until)
+            Event::Direct(node, generation, id, body, late) => {
+                self.direct(node, generation, id, body, late)
             }
-            Event::Direct(node, life, id, body, late) => self.direct(node, life, id, body, late),
-            Event::Heartbeat(from, to, life, heartbeat) if self.is_held_back(from, life) => {
+            Event::Heartbeat(from, to, generation, heartbeat)
+                if self.is_held_back(from, generation) =>
+            {
                 let delay = self.remaining_pause(from);
-                self.after(delay, Event::Heartbeat(from, to, life, heartbeat));
+                self.schedule(delay, Event::Heartbeat(from, to, generation, heartbeat));
             }
-            Event::Heartbeat(from, to, life, heartbeat) => {
-                self.heartbeat(from, to, life, heartbeat)
+            Event::Heartbeat(from, to, generation, heartbeat) => {
+                self.heartbeat(from, to, generation, heartbeat)
             }
-            Event::Forward(from, to, life, req, forward) => {
-                self.forward(from, to, life, req, forward)
+            Event::Forward(from, to, generation, req, forward) => {
+                self.forward(from, to, generation, req, forward)
             }
             Event::UserAction(node, id, action) => self.user_asks(node, &id, action),
             Event::StatusReport(id) => self.send_report(&id),
             Event::LateReport(node, report) => {
                 if self.nodes[node].process.is_some() {
-                    let req = self.ask(node, Requester::Nobody);
+                    let req = self.new_request(node, Requester::Nobody);
                     self.step(node, Input::StatusReport(req, report));
                 }
             }
-            Event::ForwardReports(from, to, life, id, reports) => {
-                self.forward_reports(from, to, life, id, reports)
+            Event::ForwardReports(from, to, generation, id, reports) => {
+                self.forward_reports(from, to, generation, id, reports)
             }
-            Event::ReplicateCancellations(from, to, life, told) => {
-                self.replicate_cancellations(from, to, life, told)
+            Event::ReplicateCancellations(from, to, generation, cancellations) => {
+                self.replicate_cancellations(from, to, generation, cancellations)
             }
-            Event::StatusSweep(round) => self.sweep(round),
-            Event::Answer(id, incarnation, sent, status, body) => {
+            Event::StatusSweep(round) => self.sweep_statuses(round),
+            Event::ReportAnswer(id, incarnation, sent, status, body) => {
                 self.report_answered(&id, incarnation, sent, status, &body)
             }
-            Event::User => self.user(),
+            Event::UserTurn => self.user_turn(),
             Event::Fault => self.inject_random_fault(),
             Event::LowerLimits => {
                 if let Some((_, lower)) = self.scenario.lower_limits {
@@ -421,10 +449,10 @@
                 }
             }
             Event::Upgrade(node) => {
-                let back = self.rng.random_range(100..2_000);
-                self.restart_as(node, NodeVersion::Current, back);
+                let down_ms = self.rng.random_range(100..2_000);
+                self.restart_as(node, NodeVersion::Current, down_ms);
             }
-            Event::Resume(node, life) => self.resume(node, life),
+            Event::Resume(node, generation) => self.resume(node, generation),
             Event::OutageSpell(until) => self.next_outage_spell(until),
             Event::Restart(node) => {
                 if self.nodes[node].process.is_none() {
@@ -433,15 +461,15 @@
             }
         }
         self.upgraded = self.is_upgraded();
-        self.deliver_kept();
-        // Of a whole fleet that takes long; what breaks a rule there does so for longer than this.
-        if self.scenario.machines <= FLEET || self.now >= self.next_check {
-            let large = self.scenario.machines > LARGE_FLEET;
+        self.deliver_held_reports();
+        // Checking a whole fleet takes long; a violation there lasts longer than the interval between checks.
+        if self.scenario.machines <= FLEET_MACHINES || self.now >= self.next_check {
+            let large = self.scenario.machines > LARGE_FLEET_MACHINES;
             self.next_check = self.now
                 + if large {
-                    LARGE_FLEET_CHECKS
+                    LARGE_FLEET_CHECK_INTERVAL_MS
                 } else {
-                    FLEET_CHECKS
+                    FLEET_CHECK_INTERVAL_MS
                 };
             self.update_gangs();
             self.check();
@@ -449,35 +477,38 @@
     }
 
     fn respond(&mut self, node: usize, req: ReqId, status: u16, body: String) {
-        let Some(asker) = self.nodes[node].requesters.remove(&req) else {
+        let Some(requester) = self.nodes[node].requesters.remove(&req) else {
             return;
         };
-        match asker {
+        match requester {
             Requester::InvalidSubmission(id) => assert!(
                 [400, 422, 503].contains(&status),
                 "{id} was accepted: {status} {body}"
             ),
             Requester::Agent(id, tag) => {
                 if let Ok(reply) = serde_json::from_str::<StatusReportReply>(&body) {
-                    self.note_starts(&reply.commands);
+                    self.record_starts(&reply.commands);
                 }
-                let hop = self.hop();
+                let message_delay = self.message_delay();
                 let (sent, incarnation) = (tag & 0xffff_ffff_ffff, tag >> 48);
-                self.after(hop, Event::Answer(id, incarnation, sent, status, body));
+                self.schedule(
+                    message_delay,
+                    Event::ReportAnswer(id, incarnation, sent, status, body),
+                );
             }
             Requester::User(id, action, at) => {
                 if status != 503 {
                     let now = self.now;
-                    let told = self.jobs.get_mut(&id).expect("a known job");
-                    told.answered.insert(node, now);
+                    let job = self.jobs.get_mut(&id).expect("a known job");
+                    job.answered.insert(node, now);
                 }
                 self.job_answered(&id, action, at, status, &body)
             }
             Requester::Peer(from, req) => {
-                let hop = self.hop();
-                let life = self.nodes[from].life;
+                let message_delay = self.message_delay();
+                let generation = self.nodes[from].generation;
                 let input = Input::ForwardReply(req, Some((status, body)));
-                self.after(hop, Event::Input(from, life, input));
+                self.schedule(message_delay, Event::Input(from, generation, input));
             }
             Requester::Heartbeat(..)
             | Requester::ForwardedReports(..)
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -1,47 +1,50 @@
-//! The nodes: processes that start, end and come back, their clocks, and what they put out.
+//! The nodes: processes that start, stop and restart, their clocks, and the delivery of their outputs.
 
 use super::*;
 
 impl World {
+    /// Starts a node's process.
     pub(super) fn start(&mut self, node: usize) {
         self.nodes[node].process = Some(Node::new(self.settings[node].clone()));
-        self.nodes[node].life += 1;
+        self.nodes[node].generation += 1;
         self.nodes[node].requesters.clear();
-        self.nodes[node].work.forget();
+        self.nodes[node].processor.clear();
         self.nodes[node].pause = pauses::Pause::default();
-        let life = self.nodes[node].life;
-        self.after(1, Event::Tick(node, life));
+        let generation = self.nodes[node].generation;
+        self.schedule(1, Event::Tick(node, generation));
     }
 
+    /// Stops a node's process, which restarts after a random time, in some scenarios with the old version.
     pub(super) fn crash(&mut self, node: usize) {
-        let back = self.rng.random_range(100..4_000);
+        let down_ms = self.rng.random_range(100..4_000);
         if self.scenario.restarts_old_version && self.rng.random_bool(0.4) {
             let upgrade = self.rng.random_range(8_000..25_000);
-            self.after(upgrade, Event::Upgrade(node));
-            return self.restart_as(node, NodeVersion::Production, back);
+            self.schedule(upgrade, Event::Upgrade(node));
+            return self.restart_as(node, NodeVersion::Production, down_ms);
         }
-        self.end(node, back);
+        self.stop_process(node, down_ms);
     }
 
-    /// A node's settings.
+    /// Returns a node's settings.
     pub fn settings_of(&self, node: usize) -> Settings {
         self.settings[node].clone()
     }
 
-    /// A node's clocks.
+    /// Returns the time on a node's clocks.
     pub fn clock_of(&self, node: usize) -> Now {
         self.clock(node)
     }
 
-    /// A process that is back before anybody may have noticed.
+    /// Restarts a process so quickly that other nodes may not have noticed.
     pub fn restart_quickly(&mut self, node: usize) {
-        let back = self.rng.random_range(50..900);
-        self.end(node, back);
+        let down_ms = self.rng.random_range(50..900);
+        self.stop_process(node, down_ms);
     }
 
-    pub(super) fn end(&mut self, node: usize, back: u64) {
+    /// Stops a node's process and restarts it after `down_ms`.
+    pub(super) fn stop_process(&mut self, node: usize, down_ms: u64) {
         self.nodes[node].process = None;
-        self.after(back, Event::Restart(node));
+        self.schedule(down_ms, Event::Restart(node));
     }
 
     pub(super) fn clock(&self, node: usize) -> Now {
@@ -52,18 +55,21 @@
         }
     }
 
-    pub(super) fn alive(&self, node: usize, life: u32) -> bool {
-        self.nodes[node].process.is_some() && self.nodes[node].life == life
+    /// Returns whether a node's process of a given generation still runs.
+    pub(super) fn alive(&self, node: usize, generation: u32) -> bool {
+        self.nodes[node].process.is_some() && self.nodes[node].generation == generation
     }
 
-    pub(super) fn ask(&mut self, node: usize, asker: Requester) -> ReqId {
+    /// Registers a request to a node, and returns its id.
+    pub(super) fn new_request(&mut self, node: usize, requester: Requester) -> ReqId {
         let n = &mut self.nodes[node];
         n.next_req += 1;
-        let id = ReqId(n.next_req + (u64::from(n.life) << 32));
-        n.requesters.insert(id, asker);
+        let id = ReqId(n.next_req + (u64::from(n.generation) << 32));
+        n.requesters.insert(id, requester);
         id
     }
 
+    /// Delivers an input to a node: at once, or into its queue if the process is paused or busy.
     pub(super) fn step(&mut self, node: usize, input: Input) {
         if self.is_paused(node) {
             self.wait_for_resume(node, input);
@@ -74,14 +80,15 @@
         }
     }
 
+    /// Runs a step of a node's core and sends its outputs.
     pub(super) fn step_now(&mut self, node: usize, input: Input) {
         let now = self.clock(node);
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         for output in self.measured_step(node, input, now) {
             if self.scenario.records_decisions {
                 self.decisions.record(self.now, node, &output);
             }
-            let hop = self.hop();
+            let message_delay = self.message_delay();
             match output {
                 Output::Answer {
                     req, status, body, ..
@@ -96,25 +103,35 @@
                     reports,
                 } => {
                     let to = self.node_of(&peer);
-                    self.after(hop, Event::ForwardReports(node, to, life, id, reports));
+                    self.schedule(
+                        message_delay,
+                        Event::ForwardReports(node, to, generation, id, reports),
+                    );
                 }
                 Output::AnswerReplicateCancellations(req, reply) => {
                     self.cancellations_replicated(node, req, reply)
                 }
-                Output::ReplicateCancellations(peer, told) => {
+                Output::ReplicateCancellations(peer, cancellations) => {
                     let to = self.node_of(&peer);
-                    self.after(hop, Event::ReplicateCancellations(node, to, life, told));
+                    self.schedule(
+                        message_delay,
+                        Event::ReplicateCancellations(node, to, generation, cancellations),
+                    );
                 }
-                Output::State(id, call) => {
-                    self.after(hop, Event::State(node, life, id, now.time, call))
-                }
-                Output::Watch(after) => self.after(hop, Event::Watch(node, life, after, now.time)),
-                Output::Cloud(id, call) if self.asks_cloud(node, &call) => {
-                    self.after(hop, Event::Cloud(node, life, id, call))
+                Output::State(id, call) => self.schedule(
+                    message_delay,
+                    Event::State(node, generation, id, now.time, call),
+                ),
+                Output::Watch(after) => self.schedule(
+                    message_delay,
+                    Event::Watch(node, generation, after, now.time),
+                ),
+                Output::Cloud(id, call) if self.may_call_cloud(node, &call) => {
+                    self.schedule(message_delay, Event::Cloud(node, generation, id, call))
                 }
                 Output::Cloud(id, _) => {
                     let input = Input::Cloud(id, CloudAnswer::Refused);
-                    self.after(hop, Event::Input(node, life, input))
+                    self.schedule(message_delay, Event::Input(node, generation, input))
                 }
                 Output::Direct {
                     machine,
@@ -122,15 +139,18 @@
                     send_until,
                     ..
                 } => {
-                    self.note_starts(&body.commands);
-                    self.after(
-                        hop,
-                        Event::DirectQueued(node, life, machine, body, send_until),
+                    self.record_starts(&body.commands);
+                    self.schedule(
+                        message_delay,
+                        Event::DirectQueued(node, generation, machine, body, send_until),
                     )
                 }
                 Output::Heartbeat(heartbeat) => {
                     for to in (0..self.scenario.nodes).filter(|to| *to != node) {
-                        self.after(hop, Event::Heartbeat(node, to, life, heartbeat.clone()));
+                        self.schedule(
+                            message_delay,
+                            Event::Heartbeat(node, to, generation, heartbeat.clone()),
+                        );
                     }
                 }
                 Output::Forward {
@@ -139,7 +159,10 @@
                     request: forward,
                 } => {
                     let to = self.node_of(&peer);
-                    self.after(hop, Event::Forward(node, to, life, req, forward));
+                    self.schedule(
+                        message_delay,
+                        Event::Forward(node, to, generation, req, forward),
+                    );
                 }
             }
         }
@@ -151,7 +174,7 @@
             .expect("a peer")
     }
 
-    /// Who leads, by the store.
+    /// Returns the node that leads according to the store.
     pub fn leader_by_store(&self) -> Option<usize> {
         let moved = self.store.is_set("pub/leader", "superseded");
         let key = if moved { "pub/seat" } else { "pub/leader" };
@@ -159,10 +182,10 @@
         (0..self.scenario.nodes).find(|n| self.settings[*n].node.as_str() == name)
     }
 
-    /// An administrator's request at a node, and its answer.
+    /// Sends an administrator's request to a node; returns the status and the body of the answer.
     pub fn admin(&mut self, node: usize, request: AdminRequest) -> (u16, Value) {
         self.admin_answer = None;
-        let req = self.ask(node, Requester::Admin);
+        let req = self.new_request(node, Requester::Admin);
         self.step(
             node,
             Input::Admin {
@@ -178,7 +201,7 @@
         (status, serde_json::from_str(&body).expect("JSON"))
     }
 
-    /// The node that leads, as any node knows it.
+    /// Returns the first node that reports itself as the leader; paused nodes are skipped.
     pub fn leader(&mut self) -> Option<usize> {
         (0..self.scenario.nodes).find(|&node| {
             if self.is_paused(node) {
--- a/crates/core/tests/sim/world/old_version.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -1,8 +1,8 @@
-//! Nodes of the version in production, which knows no dependencies between jobs.
+//! Nodes of the version in production, which doesn't support dependencies between jobs.
 //!
-//! Its code can't be linked here. What tells it apart is what it can read, keep and do, so it is played
+//! The code of that version can't be linked here. It differs in what it can read, keep and do, so it is simulated
 //! by the present core behind a filter: dependencies are dropped from submissions and records, keys and
-//! fields that it does not know are hidden from it, and records that it can't read are unreadable.
+//! fields that it doesn't know are hidden from it, and records that it can't read are unreadable.
 
 use super::*;
 use rudderreel_core::{CloudCall, StoreCall};
@@ -11,19 +11,19 @@
 /// Which version of the program a node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeVersion {
-    /// The version in production, before dependencies.
+    /// The version in production, without dependencies between jobs.
     Production,
     /// The version under test.
     Current,
 }
 
-/// States of a job that production's records have.
+/// States of a job that the version in production can read.
 const PRODUCTION_STATES: [&str; 4] = ["pending", "running", "done", "aborted"];
-/// Fields that production knows in a leader's record.
+/// Fields of a leader's record that the version in production knows.
 const PRODUCTION_LEADER: [&str; 3] = ["node", "epoch", "lease"];
-/// Fields of a job's record that came after production.
+/// Fields of a job's record that the version in production doesn't know.
 const LATER_JOB_FIELDS: [&str; 3] = ["cancelled_by", "finished", "names_dependencies"];
-/// Keys that production takes in, by their prefixes; it ignores all others that it watches.
+/// Prefixes of the keys that the version in production reads; it ignores all other keys that it watches.
 const PRODUCTION_KEYS: [&str; 7] = [
     "pub/job/",
     "pub/leader",
@@ -34,7 +34,7 @@
     "book/",
 ];
 
-/// An input as production takes it.
+/// Returns an input as the version in production reads it.
 fn read_by_production(input: Input) -> Input {
     match input {
         Input::User(req, request) => Input::User(req, without_dependencies(request)),
@@ -96,7 +96,7 @@
     }
 }
 
-/// An output as production sends it.
+/// Returns an output as the version in production sends it.
 fn sent_by_production(output: Output) -> Output {
     match output {
         Output::State(id, call) => Output::State(id, written_by_production(call)),
@@ -118,7 +118,7 @@
     }
 }
 
-/// A call to the store as production makes it.
+/// Returns a call to the store as the version in production makes it.
 fn written_by_production(call: StoreCall) -> StoreCall {
     let StoreCall::Commit(mut transaction) = call else {
         return call;
@@ -164,13 +164,13 @@
                 version,
             })
         }
-        // Of deletions it takes in only that of the leader's key.
+        // The only deletion that the version in production reads is that of the leader's key.
         WatchEvent::Delete { ref key, .. } if key == "pub/leader" => Some(event),
         _ => None,
     }
 }
 
-/// A value as production reads it; null if it can't.
+/// Returns a value as the version in production reads it; null if it can't.
 fn read_value(key: &str, mut value: Value) -> Value {
     let state = value["state"].as_str().unwrap_or_default();
     if key.starts_with("pub/job/") && !PRODUCTION_STATES.contains(&state) {
@@ -180,7 +180,7 @@
     value
 }
 
-/// Drops what production does not know of a record, and so neither keeps nor writes.
+/// Drops the fields of a record that the version in production doesn't know, and so neither keeps nor writes.
 fn keep_production_fields(key: &str, value: &mut Value) {
     let Some(fields) = value.as_object_mut() else {
         return;
@@ -197,27 +197,28 @@
 }
 
 impl World {
-    /// Ends a node; it comes back after a while with a version of the program.
-    pub fn restart_as(&mut self, node: usize, version: NodeVersion, back: u64) {
+    /// Stops a node's process and restarts it after `down_ms` with a version of the program.
+    pub fn restart_as(&mut self, node: usize, version: NodeVersion, down_ms: u64) {
         self.nodes[node].version = version;
-        self.end(node, back);
+        self.stop_process(node, down_ms);
     }
 
-    /// Upgrades nodes of the version in production one after the other.
+    /// Sets all nodes to the version in production and schedules their upgrades one after the other.
     pub(super) fn plan_upgrade(&mut self, from: u64, every: u64) {
         for node in 0..self.scenario.nodes {
             self.nodes[node].version = NodeVersion::Production;
-            self.after(from + every * node as u64, Event::Upgrade(node));
+            self.schedule(from + every * node as u64, Event::Upgrade(node));
         }
     }
 
-    /// Whether every node runs the version under test: only then do users name dependencies.
+    /// Returns whether every node runs, or all nodes have run, the version under test. Users name dependencies only
+    /// from then on.
     pub(super) fn is_upgraded(&self) -> bool {
         let current = |node: &SimulatedNode| node.version == NodeVersion::Current;
         self.upgraded || self.nodes.iter().all(current)
     }
 
-    /// Hands an input to a node's core, as its version takes it.
+    /// Runs a step of a node's core with an input and outputs as its version reads and sends them.
     pub(super) fn step_core(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
         let version = self.nodes[node].version;
         let Some(core) = self.nodes[node].process.as_mut() else {
@@ -231,8 +232,9 @@
             .collect()
     }
 
-    /// Only a leader of the version in production asks the cloud for the machine types.
-    pub(super) fn asks_cloud(&self, node: usize, call: &CloudCall) -> bool {
+    /// Returns whether a node's call to the cloud is sent: a node of the version in production requests the machine
+    /// types only while it leads.
+    pub(super) fn may_call_cloud(&self, node: usize, call: &CloudCall) -> bool {
         let catalog = matches!(call, CloudCall::Catalog);
         let production = self.nodes[node].version == NodeVersion::Production;
         !(catalog && production) || self.leader_by_store() == Some(node)
--- a/crates/core/tests/sim/world/pauses.rs
+++ b/crates/core/tests/sim/world/pauses.rs
@@ -1,32 +1,32 @@
-//! Processes that stand still while their clocks run on, as on a machine that swaps or whose hypervisor is busy.
+//! Process pauses: a process doesn't run while its clocks do, as on a machine that swaps or whose hypervisor is busy.
 //!
-//! What comes meanwhile waits in sockets and queues until the process goes on, and looks fresh then. Its senders give
-//! up in their time. Answers to the process's own calls have arrived by then, or the calls have run out of time; calls
-//! that it was about to make go out late. The draws here are made only for a process that stands still, so that days
-//! without pauses stay as they are.
+//! Inputs that arrive during a pause wait in sockets and queues until the process resumes, and look fresh then. Their
+//! senders give up at their own timeouts. By the time the process resumes, answers to its own calls have arrived, or
+//! the calls have timed out; calls that it was about to make are sent late. Random numbers are drawn here only for a
+//! paused process, so that runs without pauses keep their random sequence.
 
 use super::*;
 
-/// How long the senders of requests wait for an answer.
+/// Times after which the senders of requests give up waiting for an answer.
 pub(super) const REPORT_TIMEOUT_MS: u64 = 4_000;
 pub(super) const PEER_TIMEOUT_MS: u64 = 1_000;
 const STATUS_TIMEOUT_MS: u64 = 2_000;
 const USER_TIMEOUT_MS: u64 = 5_000;
-/// How long the process waits for answers to its own calls.
+/// Times after which the process gives up waiting for answers to its own calls.
 const CALL_TIMEOUT_MS: u64 = 1_200;
 const WATCH_TIMEOUT_MS: u64 = 12_000;
-/// The pause after a watch without an answer.
+/// Delay before a watch without an answer is opened again.
 const WATCH_RETRY_MS: u64 = 300;
-/// What has waited is read within this time, in no fixed order.
+/// Time within which inputs that have waited are read after a pause, in no fixed order.
 const READ_WITHIN_MS: u64 = 150;
 
-/// An input that waits in a socket or queue.
+/// An input that waits in a socket or queue, and its time of arrival.
 struct WaitingInput {
     since: u64,
     input: Input,
 }
 
-/// Until when a process stands still, and what waits for it.
+/// The end of a process's pause, and the inputs that wait for it.
 #[derive(Default)]
 pub(super) struct Pause {
     until: u64,
@@ -34,52 +34,52 @@
 }
 
 impl World {
-    /// Has a process stand still until a moment.
+    /// Pauses a process until a given time.
     pub fn pause(&mut self, node: usize, until: u64) {
         if self.nodes[node].process.is_none() {
             return;
         }
         self.nodes[node].pause.until = until;
-        let life = self.nodes[node].life;
-        self.after(until - self.now, Event::Resume(node, life));
+        let generation = self.nodes[node].generation;
+        self.schedule(until - self.now, Event::Resume(node, generation));
     }
 
-    /// Whether a process stands still.
+    /// Returns whether a process is paused.
     pub fn is_paused(&self, node: usize) -> bool {
         self.now < self.nodes[node].pause.until
     }
 
-    /// How long a process will still stand still.
+    /// Returns the remaining time of a process's pause, in milliseconds.
     pub(super) fn remaining_pause(&self, node: usize) -> u64 {
         self.nodes[node].pause.until.saturating_sub(self.now)
     }
 
-    /// Whether whoever asks a node now will have given up before it goes on.
-    pub(super) fn outlasts(&self, node: usize, timeout_ms: u64) -> bool {
+    /// Returns whether a sender with this timeout that calls a node now will have given up before the node resumes.
+    pub(super) fn pause_outlasts(&self, node: usize, timeout_ms: u64) -> bool {
         self.remaining_pause(node) > timeout_ms
     }
 
-    /// An input comes to a process that stands still.
+    /// Queues an input for a paused process.
     pub(super) fn wait_for_resume(&mut self, node: usize, input: Input) {
         let since = self.now;
         (self.nodes[node].pause.waiting).push(WaitingInput { since, input });
     }
 
-    /// A process goes on, unless it was stopped for longer meanwhile.
-    pub(super) fn resume(&mut self, node: usize, life: u32) {
-        if !self.alive(node, life) || self.is_paused(node) {
+    /// Resumes a process and delivers the inputs that have waited, unless the pause was extended meanwhile.
+    pub(super) fn resume(&mut self, node: usize, generation: u32) {
+        if !self.alive(node, generation) || self.is_paused(node) {
             return;
         }
         for WaitingInput { since, input } in std::mem::take(&mut self.nodes[node].pause.waiting) {
             let waited = self.now - since;
             let input = self.after_waiting(node, input, waited);
             let delay = self.rng.random_range(0..READ_WITHIN_MS);
-            self.after(delay, Event::Input(node, life, input));
+            self.schedule(delay, Event::Input(node, generation, input));
         }
     }
 
-    /// What a process makes of an input that has waited: nobody reads the answer any more, or its own call has run
-    /// out of time, or the answer to it is read after all.
+    /// Returns an input that has waited as the process reads it: the answer to a request is dropped if its sender has
+    /// given up, and a call of the process itself has timed out or its answer is read after all.
     fn after_waiting(&mut self, node: usize, input: Input, waited: u64) -> Input {
         let (request, timeout_ms) = match &input {
             Input::StatusReport(request, _) => (*request, REPORT_TIMEOUT_MS),
@@ -114,29 +114,29 @@
         }
     }
 
-    /// Whether a call that is about to leave a process does so only when it goes on: the process stopped between
-    /// the step that wants it and the sending.
-    pub(super) fn is_held_back(&mut self, node: usize, life: u32) -> bool {
-        self.alive(node, life) && self.is_paused(node) && self.rng.random_bool(0.5)
+    /// Draws whether a call of a paused process is sent only when the process resumes: the pause then began between
+    /// the step that makes the call and the sending.
+    pub(super) fn is_held_back(&mut self, node: usize, generation: u32) -> bool {
+        self.alive(node, generation) && self.is_paused(node) && self.rng.random_bool(0.5)
     }
 
-    /// A direct call leaves a process, which looks at the time once more before. If the process stands still it has left
-    /// before, or does so when the process goes on.
+    /// Sends a direct call of a process, which checks the time once more before sending. If the process is paused, the
+    /// call was sent before the pause or is sent when the process resumes.
     pub(super) fn send_direct(
         &mut self,
         node: usize,
-        life: u32,
+        generation: u32,
         machine: MachineId,
         body: DirectCommands,
         send_until: Option<Time>,
     ) {
-        if self.is_held_back(node, life) {
+        if self.is_held_back(node, generation) {
             let delay = self.remaining_pause(node);
-            let queued = Event::DirectQueued(node, life, machine, body, send_until);
-            return self.after(delay, queued);
+            let queued = Event::DirectQueued(node, generation, machine, body, send_until);
+            return self.schedule(delay, queued);
         }
         let now = self.clock(node).time;
-        if send_until.is_some_and(|until| now >= until) && self.alive(node, life) {
+        if send_until.is_some_and(|until| now >= until) && self.alive(node, generation) {
             let not_called = Input::Direct {
                 machine,
                 commands: body,
@@ -144,10 +144,11 @@
             };
             return self.step(node, not_called);
         }
-        self.direct(node, life, machine, body, false);
+        self.direct(node, generation, machine, body, false);
     }
 
-    /// When a call that was held back is said to have been sent: the clock is read before or after the pause.
+    /// Returns the send time that is recorded for a call that was held back: the clock was read before the pause or is
+    /// read after it.
     pub(super) fn sending_time(&mut self, node: usize, before: Time) -> Time {
         if self.rng.random_bool(0.5) {
             return before;
@@ -156,28 +157,28 @@
         self.clock(node).time + pause
     }
 
-    /// Whether the watch of a process that stands still runs out of time; then it is begun again after a moment.
+    /// Draws whether the watch of a paused process times out; it is then opened again after a delay.
     pub(super) fn watch_runs_out(&mut self, node: usize) -> bool {
-        self.outlasts(node, WATCH_TIMEOUT_MS) && self.rng.random_bool(0.5)
+        self.pause_outlasts(node, WATCH_TIMEOUT_MS) && self.rng.random_bool(0.5)
     }
 
-    /// Begins a watch again. In an outage open watches wait, but a new one is refused.
-    pub(super) fn retry_watch(&mut self, node: usize, life: u32, after: Version) {
+    /// Opens a watch again. In an outage open watches wait, but a new one is refused.
+    pub(super) fn retry_watch(&mut self, node: usize, generation: u32, after: Version) {
         let is_refused = self.store.down || self.now < self.nodes[node].cut_from_store_until;
         if is_refused {
-            self.after(WATCH_RETRY_MS, Event::RetryWatch(node, life, after));
+            self.schedule(WATCH_RETRY_MS, Event::RetryWatch(node, generation, after));
         } else {
             let sent = self.clock(node).time;
-            self.watch(node, life, after, sent);
+            self.watch(node, generation, after, sent);
         }
     }
 
-    /// When a watch that ran out of time is begun again.
+    /// Returns the delay after which a watch that timed out is opened again, in milliseconds.
     pub(super) fn watch_retry_delay(&self, node: usize) -> u64 {
         self.remaining_pause(node) + WATCH_RETRY_MS
     }
 
-    /// How long a pause that is drawn lasts: a moment, some leases, or longer than cancelled tasks may remain.
+    /// Draws the length of a pause: short, some leases long, or longer than the tasks of a cancelled job may remain.
     pub(super) fn random_pause_ms(&mut self) -> u64 {
         let cancel = self.scenario.cancel_ms();
         match self.rng.random_range(0..4) {
--- a/crates/core/tests/sim/world/peer_messages.rs
+++ b/crates/core/tests/sim/world/peer_messages.rs
@@ -3,10 +3,10 @@
 use super::*;
 use rudderreel_wire::peer::Heartbeat;
 
-/// How long a node waits before it is told that a peer is not there.
+/// Time after which a node learns that a peer is unreachable.
 const UNREACHABLE_AFTER_MS: u64 = 500;
 
-/// What a peer forwards, as the input that it becomes.
+/// Returns the input that a request forwarded by a peer becomes.
 fn forwarded_input(req: ReqId, forward: Forward) -> Input {
     let sender = SenderVersion::KnowsDependencies;
     let (request, sender) = match forward {
@@ -32,138 +32,155 @@
 }
 
 impl World {
-    /// A heartbeat arrives, if its sender still runs and reaches the other node.
-    pub(super) fn heartbeat(&mut self, from: usize, to: usize, life: u32, heartbeat: Heartbeat) {
-        if !self.alive(from, life) || self.nodes[to].process.is_none() || !self.connected(from, to)
+    /// Delivers a heartbeat if its sender still runs and reaches the other node.
+    pub(super) fn heartbeat(
+        &mut self,
+        from: usize,
+        to: usize,
+        generation: u32,
+        heartbeat: Heartbeat,
+    ) {
+        if !self.alive(from, generation)
+            || self.nodes[to].process.is_none()
+            || !self.connected(from, to)
         {
             return;
         }
         let sender = Requester::Heartbeat(from, self.clock(from).time);
-        let gives_up = self.outlasts(to, pauses::PEER_TIMEOUT_MS);
-        let req = self.ask(to, if gives_up { Requester::Nobody } else { sender });
+        let gives_up = self.pause_outlasts(to, pauses::PEER_TIMEOUT_MS);
+        let req = self.new_request(to, if gives_up { Requester::Nobody } else { sender });
         self.step(to, Input::Heartbeat(req, heartbeat));
     }
 
-    /// A request that a node forwards arrives.
+    /// Delivers a request that a node forwards.
     pub(super) fn forward(
         &mut self,
         from: usize,
         to: usize,
-        life: u32,
+        generation: u32,
         req: ReqId,
         forward: Forward,
     ) {
-        let unanswered = Event::Input(from, life, Input::ForwardReply(req, None));
+        let unanswered = Event::Input(from, generation, Input::ForwardReply(req, None));
         if self.nodes[to].process.is_none() || !self.connected(from, to) {
-            return self.after(UNREACHABLE_AFTER_MS, unanswered);
+            return self.schedule(UNREACHABLE_AFTER_MS, unanswered);
         }
         let mut sender = Requester::Peer(from, req);
-        if self.outlasts(to, pauses::PEER_TIMEOUT_MS) {
-            self.after(pauses::PEER_TIMEOUT_MS, unanswered);
+        if self.pause_outlasts(to, pauses::PEER_TIMEOUT_MS) {
+            self.schedule(pauses::PEER_TIMEOUT_MS, unanswered);
             sender = Requester::Nobody;
         }
-        let forwarded = self.ask(to, sender);
+        let forwarded = self.new_request(to, sender);
         self.step(to, forwarded_input(forwarded, forward));
     }
 
+    /// Delivers replicated cancellations; the message or its answer may be lost.
     pub(super) fn replicate_cancellations(
         &mut self,
         from: usize,
         to: usize,
-        life: u32,
-        told: ReplicateCancellations,
+        generation: u32,
+        cancellations: ReplicateCancellations,
     ) {
         let name = self.settings[to].node.clone();
         let lost = self.random_faults && self.rng.random_bool(0.02);
         let gone = self.nodes[to].process.is_none() || !self.connected(from, to);
-        let lost = lost || self.outlasts(to, pauses::PEER_TIMEOUT_MS);
+        let lost = lost || self.pause_outlasts(to, pauses::PEER_TIMEOUT_MS);
         if lost && !gone {
-            // It arrives, and the answer is lost.
-            let req = self.ask(to, Requester::Nobody);
-            self.step(to, Input::ReplicateCancellations(req, told));
+            // The message arrives, and the answer is lost.
+            let req = self.new_request(to, Requester::Nobody);
+            self.step(to, Input::ReplicateCancellations(req, cancellations));
         } else if !gone {
-            let req = self.ask(to, Requester::ReplicateCancellations(from, life));
-            return self.step(to, Input::ReplicateCancellations(req, told));
+            let req = self.new_request(to, Requester::ReplicateCancellations(from, generation));
+            return self.step(to, Input::ReplicateCancellations(req, cancellations));
         }
-        self.after(
+        self.schedule(
             600,
-            Event::Input(from, life, Input::ReplicateCancellationsReply(name, None)),
+            Event::Input(
+                from,
+                generation,
+                Input::ReplicateCancellationsReply(name, None),
+            ),
         );
     }
 
+    /// Returns the answer to replicated cancellations to their sender.
     pub(super) fn cancellations_replicated(
         &mut self,
         node: usize,
         req: ReqId,
         reply: ReplicateCancellationsReply,
     ) {
-        if let Some(Requester::ReplicateCancellations(from, life)) =
+        if let Some(Requester::ReplicateCancellations(from, generation)) =
             self.nodes[node].requesters.remove(&req)
         {
-            let (hop, name) = (self.hop(), self.settings[node].node.clone());
+            let (message_delay, name) = (self.message_delay(), self.settings[node].node.clone());
             let input = Input::ReplicateCancellationsReply(name, Some(reply));
-            self.after(hop, Event::Input(from, life, input));
+            self.schedule(message_delay, Event::Input(from, generation, input));
         }
     }
 
+    /// Delivers a batch of reports that a node forwards; the batch or its answer may be lost.
     pub(super) fn forward_reports(
         &mut self,
         from: usize,
         to: usize,
-        life: u32,
+        generation: u32,
         id: CallId,
         reports: ForwardedReports,
     ) {
         let lost = self.random_faults && self.rng.random_bool(0.02);
         let gone = self.nodes[to].process.is_none() || !self.connected(from, to);
-        let lost = lost || self.outlasts(to, processor_time::BATCH_WAITS_MS);
+        let lost = lost || self.pause_outlasts(to, processor_time::BATCH_TIMEOUT_MS);
         if lost || gone {
             if lost && !gone {
                 // The reports arrive, and the answer is lost.
-                let req = self.ask(to, Requester::Nobody);
+                let req = self.new_request(to, Requester::Nobody);
                 self.step(to, Input::ForwardedReports(req, reports));
             }
-            return self.after(
+            return self.schedule(
                 1_000,
-                Event::Input(from, life, Input::ForwardedReportsReply(id, None)),
+                Event::Input(from, generation, Input::ForwardedReportsReply(id, None)),
             );
         }
-        let req = self.ask(to, Requester::ForwardedReports(from, life, id));
+        let req = self.new_request(to, Requester::ForwardedReports(from, generation, id));
         if self.scenario.steps_take_time {
-            // The sender does not wait for ever; an answer that comes later finds nobody.
+            // The sender gives up after this time; an answer that arrives later no longer has a waiting call.
             let none = Input::ForwardedReportsReply(id, None);
-            self.after(
-                processor_time::BATCH_WAITS_MS,
-                Event::Input(from, life, none),
+            self.schedule(
+                processor_time::BATCH_TIMEOUT_MS,
+                Event::Input(from, generation, none),
             );
         }
         self.step(to, Input::ForwardedReports(req, reports));
     }
 
+    /// Returns the answer to a batch of reports to its sender.
     pub(super) fn reports_forwarded(
         &mut self,
         node: usize,
         req: ReqId,
         reply: ForwardedReportsReply,
     ) {
-        if let Some(Requester::ForwardedReports(from, life, id)) =
+        if let Some(Requester::ForwardedReports(from, generation, id)) =
             self.nodes[node].requesters.remove(&req)
         {
-            let hop = self.hop();
+            let message_delay = self.message_delay();
             let input = Input::ForwardedReportsReply(id, Some(reply));
-            self.after(hop, Event::Input(from, life, input));
+            self.schedule(message_delay, Event::Input(from, generation, input));
         }
     }
 
+    /// Returns the answer to a heartbeat to its sender.
     pub(super) fn heartbeat_answered(&mut self, node: usize, req: ReqId, reply: HeartbeatReply) {
         if let Some(Requester::Heartbeat(from, sent)) = self.nodes[node].requesters.remove(&req) {
-            let life = self.nodes[from].life;
-            let hop = self.hop();
-            // The time that it was sent is taken a little late here, which is the worse case only
-            // for the leader's own doubt; the real shell takes it before sending.
-            self.after(
-                hop,
-                Event::Input(from, life, Input::HeartbeatReply(sent, reply)),
+            let generation = self.nodes[from].generation;
+            let message_delay = self.message_delay();
+            // The send time is taken a little late here, when the heartbeat arrives. That is the worse case only
+            // for the leader's own doubt about its leadership; the real shell takes the time before sending.
+            self.schedule(
+                message_delay,
+                Event::Input(from, generation, Input::HeartbeatReply(sent, reply)),
             );
         }
     }
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -1,57 +1,61 @@
-//! Nodes whose steps take time, and that may be slow.
+//! Nodes whose steps take simulated time, and that may be slow.
 //!
-//! Without it a step takes no time in the world, and no node is ever behind. With it a node works on one input
-//! after the other, and what comes meanwhile waits, as in the real shell: ticks first, then what keeps a rule,
-//! then reports and users' requests in their order. Reports whose senders have given up are refused unread.
+//! In other scenarios a step takes no simulated time, and no node is ever behind. Here a node processes one input
+//! after the other, and inputs that arrive meanwhile are queued as in the real shell: ticks come first, then inputs
+//! that are needed to keep the rules, then reports and users' requests in order of arrival. Reports whose senders have
+//! given up are rejected without being processed.
 
 use super::*;
 use rudderreel_core::units::Span;
 use rudderreel_core::LongStep;
 use std::collections::VecDeque;
 
-/// The next tick comes so long after the one before, or as long after as that took, but no later than this.
-const TICK_MS: u64 = 20;
-const LONGEST_PAUSE_MS: u64 = 200;
-/// How long the sender of a report, and of a batch, waits.
-const WORKER_WAITS_MS: u64 = 3_500;
-pub(super) const BATCH_WAITS_MS: u64 = 1_800;
+/// Shortest and longest time from the end of a tick to the next one; within them, it is as long as the tick took.
+const MIN_TICK_GAP_MS: u64 = 20;
+const MAX_TICK_GAP_MS: u64 = 200;
+/// Time in the queue after which a report is refused, since its sender has given up.
+const QUEUED_REPORT_TIMEOUT_MS: u64 = 3_500;
+/// Time after which the sender of a batch of reports gives up.
+pub(super) const BATCH_TIMEOUT_MS: u64 = 1_800;
 
-/// An input that waits, since when.
-pub(super) struct Waiting {
+/// An input in the queue, and its time of arrival.
+pub(super) struct QueuedInput {
     since: u64,
     input: Input,
 }
 
-/// How a node works.
-pub(super) struct Work {
-    waiting: VecDeque<Waiting>,
-    /// Until when it is busy, and what it owes of a millisecond.
+/// The processor of a node, and the inputs that wait for it.
+pub(super) struct Processor {
+    waiting: VecDeque<QueuedInput>,
+    /// End of the current step.
     busy_until: u64,
-    owed_us: u64,
-    /// So many times longer each step takes.
-    slowness: f64,
+    /// Processor time below a millisecond that is carried over to the next step.
+    remainder_us: u64,
+    /// Factor by which each step takes longer.
+    slowdown: f64,
 }
 
-impl Default for Work {
+impl Default for Processor {
     fn default() -> Self {
         Self {
             waiting: VecDeque::new(),
             busy_until: 0,
-            owed_us: 0,
-            slowness: 1.0,
+            remainder_us: 0,
+            slowdown: 1.0,
         }
     }
 }
 
-impl Work {
-    /// The process has ended.
-    pub fn forget(&mut self) {
+impl Processor {
+    /// Drops the queue when the process starts anew.
+    pub fn clear(&mut self) {
         self.waiting.clear();
-        (self.busy_until, self.owed_us) = (0, 0);
+        (self.busy_until, self.remainder_us) = (0, 0);
     }
 
-    fn next(&mut self) -> Option<Waiting> {
-        let rank = |waiting: &Waiting| match waiting.input {
+    /// Removes and returns the next input to process.
+    fn next(&mut self) -> Option<QueuedInput> {
+        let rank = |waiting: &QueuedInput| match waiting.input {
             Input::Tick => 0,
             Input::User(..) | Input::ForwardedRequest { .. } | Input::Admin { .. } => 2,
             Input::StatusReport(..) | Input::ForwardedReports(..) => 2,
@@ -62,17 +66,17 @@
         self.waiting.remove(at)
     }
 
-    /// Milliseconds that a step takes here.
-    fn take_time(&mut self, cost_us: u64) -> u64 {
-        self.owed_us += (cost_us as f64 * self.slowness) as u64;
-        let ms = self.owed_us / 1_000;
-        self.owed_us %= 1_000;
+    /// Returns the duration of a step in milliseconds, with the remainder of earlier steps.
+    fn duration_ms(&mut self, cost_us: u64) -> u64 {
+        self.remainder_us += (cost_us as f64 * self.slowdown) as u64;
+        let ms = self.remainder_us / 1_000;
+        self.remainder_us %= 1_000;
         ms
     }
 }
 
-/// Microseconds that an input takes on a node with 3.2% of a core, besides looks and cycles. They are of the
-/// size that was measured, rounded; only that they are paid matters here.
+/// Returns the microseconds that an input takes on a node with 3.2% of a core, without reconciliations and scheduling
+/// cycles. The values are approximate; only that each input takes time matters here.
 fn cost_us(input: &Input) -> u64 {
     match input {
         Input::Tick => 300,
@@ -84,7 +88,7 @@
     }
 }
 
-/// The same for looks and cycles, by machine.
+/// Returns the microseconds that a reconciliation or a scheduling cycle takes, in proportion to the machines.
 fn long_step_us(step: Option<LongStep>, machines: usize) -> u64 {
     let by_machine = match step {
         Some(LongStep::Reconcile) => 50,
@@ -95,67 +99,67 @@
 }
 
 impl World {
-    /// Has each step of a node take so many times longer.
+    /// Makes each step of a node take `times` as long.
     pub fn slow_down(&mut self, node: usize, times: f64) {
-        self.nodes[node].work.slowness = times;
+        self.nodes[node].processor.slowdown = times;
     }
 
-    /// An input comes to a node whose steps take time.
+    /// Queues an input for a node whose steps take time.
     pub(super) fn enqueue(&mut self, node: usize, input: Input) {
         let since = self.now;
-        let work = &mut self.nodes[node].work;
-        work.waiting.push_back(Waiting { since, input });
-        self.work_on(node);
+        let processor = &mut self.nodes[node].processor;
+        processor.waiting.push_back(QueuedInput { since, input });
+        self.process_queue(node);
     }
 
-    /// Takes the inputs that wait, until the node is busy.
-    pub(super) fn work_on(&mut self, node: usize) {
-        while self.now >= self.nodes[node].work.busy_until {
-            let Some(Waiting { since, input }) = self.nodes[node].work.next() else {
+    /// Processes queued inputs until the node is busy.
+    pub(super) fn process_queue(&mut self, node: usize) {
+        while self.now >= self.nodes[node].processor.busy_until {
+            let Some(QueuedInput { since, input }) = self.nodes[node].processor.next() else {
                 return;
             };
             let waited = self.now - since;
             let clock = self.clock(node).time;
             if let Some(core) = self.nodes[node].process.as_mut() {
                 core.record_input_wait(clock, Span(waited));
-                self.take(node, input, waited);
+                self.process_input(node, input, waited);
             }
         }
     }
 
-    fn take(&mut self, node: usize, input: Input, waited: u64) {
+    fn process_input(&mut self, node: usize, input: Input, waited: u64) {
         match input {
-            Input::StatusReport(req, _) if waited > WORKER_WAITS_MS => {
+            Input::StatusReport(req, _) if waited > QUEUED_REPORT_TIMEOUT_MS => {
                 self.respond(node, req, 503, "{}".into());
             }
-            // Its sender has been told already that there is no answer.
-            Input::ForwardedReports(..) if waited > BATCH_WAITS_MS => {}
-            input => self.take_timed(node, input),
+            // The sender of the batch has already given up.
+            Input::ForwardedReports(..) if waited > BATCH_TIMEOUT_MS => {}
+            input => self.step_timed(node, input),
         }
     }
 
-    fn take_timed(&mut self, node: usize, input: Input) {
+    fn step_timed(&mut self, node: usize, input: Input) {
         let is_tick = matches!(input, Input::Tick);
         let cost = cost_us(&input);
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         self.step_now(node, input);
         let machines = self.agents.len();
         let Some(core) = self.nodes[node].process.as_mut() else {
             return;
         };
         let cost = cost + long_step_us(core.long_step(), machines);
-        let took = self.nodes[node].work.take_time(cost);
-        self.nodes[node].work.busy_until = self.now + took;
+        let took = self.nodes[node].processor.duration_ms(cost);
+        self.nodes[node].processor.busy_until = self.now + took;
         let ended = self.clock(node).time + Span(took);
         if let Some(core) = self.nodes[node].process.as_mut() {
             core.step_ended(ended, Span(took));
         }
         if is_tick {
-            let pause = took.clamp(TICK_MS, LONGEST_PAUSE_MS);
-            self.after(took + pause, Event::Tick(node, life));
+            let gap = took.clamp(MIN_TICK_GAP_MS, MAX_TICK_GAP_MS);
+            self.schedule(took + gap, Event::Tick(node, generation));
         }
         if took > 0 {
-            self.after(took, Event::Free(node, life));
+            self.schedule(took, Event::ProcessorFree(node, generation));
         }
     }
 }
--- a/crates/core/tests/sim/world/rule_checks.rs
+++ b/crates/core/tests/sim/world/rule_checks.rs
@@ -1,9 +1,9 @@
-//! The rules, checked as the world goes and at its end.
+//! Checks of the protocol's rules during a run and at its end.
 
 use super::*;
 
 impl World {
-    /// Tasks that commands start although they had to be gone by now, since their jobs are cancelled.
+    /// Returns the tasks that commands start although their jobs are cancelled and their tasks must be gone by now.
     pub(super) fn late_starts(&self, commands: &[Command]) -> Vec<String> {
         let is_late = |id: &JobId| {
             let cancelled = self.cancelled_since(id);
@@ -19,13 +19,13 @@
             .collect()
     }
 
-    /// Notes starts of jobs whose users were told that they are cancelled.
-    pub(super) fn note_starts(&mut self, commands: &[Command]) {
+    /// Counts start commands, and records those for jobs whose users were answered that they are cancelled.
+    pub(super) fn record_starts(&mut self, commands: &[Command]) {
         for command in commands {
             if let Command::Start { task, .. } = command {
                 self.start_commands += 1;
-                let told = self.jobs.get(&task.job).and_then(|t| t.cancelled_at);
-                if let Some(at) = told {
+                let cancelled_at = self.jobs.get(&task.job).and_then(|t| t.cancelled_at);
+                if let Some(at) = cancelled_at {
                     self.starts_after_cancellation
                         .push((task.job.clone(), self.now - at));
                 }
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Once there are no faults, no job is left waiting for 90 s while a machine that fits has room and
-    /// its team is under its limit. Replicas run only within quota (docs/questions.md), so they are not
-    /// looked at; nor are gangs, whose room must be there all at once.
+    /// Checks that, once faults have ended, no job waits for more than 90 s while a machine that fits has room and
+    /// its team is below its limit. Replicas run only within quota (docs/questions.md), so they are not
+    /// checked; nor are gangs, which need room for all tasks at once.
     pub(super) fn check_waiting(&mut self) {
         let Some(faults_ended_at) = self
             .faults_ended_at
@@ -58,11 +58,11 @@
             }
             room.push((agent.zone().into(), agent.is_spot(), free));
         }
-        let there: BTreeMap<JobId, usize> = (self.jobs.keys())
+        let active_tasks: BTreeMap<JobId, usize> = (self.jobs.keys())
             .map(|id| (id.clone(), self.tasks_of(id)))
             .collect();
         let (now, (red, blue)) = (self.now, self.scenario.limits);
-        let called_off: BTreeSet<JobId> = (self.jobs.keys())
+        let ancestor_cancelled: BTreeSet<JobId> = (self.jobs.keys())
             .filter(|id| {
                 self.ancestors(id)
                     .iter()
@@ -70,15 +70,15 @@
             })
             .cloned()
             .collect();
-        for (id, told) in &mut self.jobs {
-            let spec = &told.spec;
+        for (id, job) in &mut self.jobs {
+            let spec = &job.spec;
             let done = self.results.get(id).map_or(0, BTreeSet::len);
-            let waits = told.accepted
-                && told.ready_at.is_some()
-                && !told.cancel_requested
-                && !called_off.contains(id)
+            let waits = job.accepted
+                && job.ready_at.is_some()
+                && !job.cancel_requested
+                && !ancestor_cancelled.contains(id)
                 && spec.kind == Kind::Array
-                && done + there[id] < spec.tasks as usize;
+                && done + active_tasks[id] < spec.tasks as usize;
             let limit = f64::from(if spec.team.as_str() == "red" {
                 red
             } else {
@@ -91,15 +91,15 @@
                     && spec.zone.as_ref().is_none_or(|z| z.as_str() == zone)
             });
             if !(waits && under && fits) {
-                told.startable_since = None;
+                job.startable_since = None;
                 continue;
             }
-            let since = *told.startable_since.get_or_insert(now.max(faults_ended_at));
+            let since = *job.startable_since.get_or_insert(now.max(faults_ended_at));
             assert!(now <= since + 90_000, "left waiting: {id} at {now}");
         }
     }
 
-    /// Tasks of a job that are on machines or on their way to run there.
+    /// Returns the number of tasks of a job that are on machines and have not exited.
     fn tasks_of(&self, id: &JobId) -> usize {
         let tasks = self.agents.values().flat_map(|w| w.tasks.values());
         tasks
@@ -107,31 +107,31 @@
             .count()
     }
 
-    /// Nothing of a job is started after its user was told that it is cancelled; only a leader that can't
-    /// hear of it may start one more before its own lease has ended.
+    /// Checks that no task of a job is started after its user was answered that the job is cancelled. Only a leader
+    /// that can't learn of the cancellation may start one more, before its own lease has ended.
     pub fn check_starts(&self) {
         let late = |(_, after): &&(JobId, u64)| *after > 3_100;
         let late: Vec<_> = self.starts_after_cancellation.iter().filter(late).collect();
         assert!(late.is_empty(), "starts of cancelled jobs: {late:?}");
     }
 
-    /// At the end of a day: at least half of each class, of each team and of the largest jobs of
-    /// each class were served, and the largest began in time.
+    /// Checks at the end of a run that at least half of the jobs of each class and of each team have started, and that
+    /// all of the largest jobs of each class started within [`MAX_START_DELAY_MS`].
     pub fn check_served(&self) {
         let jobs: Vec<&ObservedJob> = (self.jobs.values())
             .filter(|t| t.accepted && t.cancelled_at.is_none())
-            .filter(|t| (t.ready_at).is_some_and(|at| self.now > at + BEGIN_MS))
-            // Replicas run only within quota, and users here ask for more.
+            .filter(|t| (t.ready_at).is_some_and(|at| self.now > at + MAX_START_DELAY_MS))
+            // Replicas run only within quota, and users here submit more than that.
             .filter(|t| t.spec.kind != Kind::Service)
             .collect();
         let mut groups: BTreeMap<String, Vec<bool>> = BTreeMap::new();
-        for told in &jobs {
-            let (class, team) = (&told.spec.class, &told.spec.team);
+        for job in &jobs {
+            let (class, team) = (&job.spec.class, &job.spec.team);
             let most = (jobs.iter())
                 .filter(|t| t.spec.class == *class)
                 .map(|t| t.spec.tasks)
                 .max();
-            let begun = told.begun_at.is_some();
+            let begun = job.begun_at.is_some();
             groups
                 .entry(format!("class {class}"))
                 .or_default()
@@ -140,10 +140,10 @@
                 .entry(format!("team {team}"))
                 .or_default()
                 .push(begun);
-            if Some(told.spec.tasks) == most {
-                let ready_at = told.ready_at.unwrap_or(told.asked_at);
-                let in_time = (told.begun_at).is_some_and(|at| at <= ready_at + BEGIN_MS);
-                assert!(in_time, "late: {} of {class}, {most:?} tasks", told.spec.id);
+            if Some(job.spec.tasks) == most {
+                let ready_at = job.ready_at.unwrap_or(job.asked_at);
+                let in_time = (job.begun_at).is_some_and(|at| at <= ready_at + MAX_START_DELAY_MS);
+                assert!(in_time, "late: {} of {class}, {most:?} tasks", job.spec.id);
             }
         }
         for (group, begun) in groups {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// How many tasks of a job are on machines.
+    /// Returns the number of tasks of a job that wait, run or save on machines.
     pub fn on_machines(&self, id: &JobId) -> usize {
         let tasks = self.agents.values().flat_map(|w| w.tasks.values());
         tasks
@@ -160,14 +160,15 @@
             .count()
     }
 
+    /// Checks the rules that hold at any time.
     pub(super) fn check(&mut self) {
         self.check_pipelines();
-        let mut places: BTreeMap<(JobId, u32), u32> = BTreeMap::new();
+        let mut task_counts: BTreeMap<(JobId, u32), u32> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: BTreeMap<&JobId, BTreeMap<&str, u32>> = BTreeMap::new();
-        let mut left: Vec<String> = Vec::new();
+        let mut overdue: Vec<String> = Vec::new();
         for agent in self.agents.values_mut() {
-            // A machine that hangs goes on within its lease or not at all.
+            // An agent that hangs keeps its tasks only while its lease lasts.
             agent.expire(self.now, self.scenario.lease_s * 1_000);
         }
         self.starts = self
@@ -178,25 +179,25 @@
             .max(self.starts);
         for agent in self.agents.values() {
             for task in agent.tasks.values().filter(|t| t.on_machine()) {
-                let told = &self.jobs[&task.task.job];
-                *places
+                let job = &self.jobs[&task.task.job];
+                *task_counts
                     .entry((task.task.job.clone(), task.task.index))
                     .or_default() += 1;
-                *used.entry(told.spec.team.as_str()).or_default() += told.spec.cpus;
-                let zone = zones.entry(&told.spec.id).or_default();
+                *used.entry(job.spec.team.as_str()).or_default() += job.spec.cpus;
+                let zone = zones.entry(&job.spec.id).or_default();
                 *zone.entry(agent.zone()).or_default() += 1;
                 let cancelled = self.cancelled_since(&task.task.job);
                 if cancelled.is_some_and(|at| self.now > at + self.scenario.cancel_ms()) {
-                    left.push(task.task.to_string());
+                    overdue.push(task.task.to_string());
                 }
                 assert!(
-                    told.spec.spot || !agent.is_spot(),
+                    job.spec.spot || !agent.is_spot(),
                     "wrong_place: {}",
                     task.task
                 );
             }
         }
-        for ((job, index), n) in &places {
+        for ((job, index), n) in &task_counts {
             assert!(*n < 2, "ran_twice: {job}/{index} at {}", self.now);
         }
         let (red, blue) = self.scenario.team_limits();
@@ -226,14 +227,14 @@
                 "wrong_place: {job} scatter"
             );
         }
-        for task in left {
-            self.breaks("ran_cancelled", &task);
+        for task in overdue {
+            self.report_violation("ran_cancelled", &task);
         }
-        for (id, told) in self.jobs.iter_mut().filter(|(_, t)| t.begun_at.is_none()) {
-            let mut here = places.range((id.clone(), 0)..=(id.clone(), u32::MAX));
-            // Of gangs, `gangs` knows.
-            if told.spec.kind != Kind::Gang && here.next().is_some() {
-                told.begun_at = Some(self.now);
+        for (id, job) in self.jobs.iter_mut().filter(|(_, t)| t.begun_at.is_none()) {
+            let mut here = task_counts.range((id.clone(), 0)..=(id.clone(), u32::MAX));
+            // `update_gangs` records the start of gangs.
+            if job.spec.kind != Kind::Gang && here.next().is_some() {
+                job.begun_at = Some(self.now);
             }
         }
     }
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -1,77 +1,78 @@
-//! What kind of world it is, and the settings that its nodes are started with.
+//! The parameters of a simulated run, and the settings that its nodes are started with.
 
 use super::store::{Limits, LIMITS};
 use super::Fault;
 use rudderreel_wire::settings::Settings;
 
-/// What kind of world it is.
+/// The parameters of a simulated run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub nodes: usize,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud has.
     pub machines: usize,
-    /// Jobs that users submit.
+    /// Number of jobs that users submit.
     pub jobs: u32,
-    /// Users submit more than there is room for: small arrays all the time, from one team mostly,
-    /// and a few large ones among them.
+    /// Users submit more jobs than there is room for: a steady flow of small arrays, mostly from one team,
+    /// with a few large jobs among them.
     pub crowd: bool,
-    /// Agents report to all nodes however few they are.
+    /// Agents report to all nodes, however few agents there are.
     pub spread: bool,
-    /// Seconds that an agent's lease lasts, and between its reports.
+    /// Duration of an agent's lease, in seconds.
     pub lease_s: u64,
+    /// Interval between an agent's reports, in seconds.
     pub report_s: f64,
     /// Jobs have many tasks.
     pub large: bool,
-    /// Only these faults come; all that there are if none are named.
+    /// Kinds of faults that are injected at random; empty for the default kinds.
     pub fault_kinds: Vec<Fault>,
-    /// Whole zones are cut off, too.
+    /// Random faults include partitions of whole zones.
     pub zones: bool,
-    /// Milliseconds from one look at a user's turn to the next, at most.
+    /// Longest time between two user actions, in milliseconds; the shortest is a quarter of it.
     pub user_interval_ms: u64,
-    /// Users do only what the test has them do.
+    /// Users do only what the test makes them do.
     pub scripted: bool,
-    /// Milliseconds that machines take to come up, at least and at most.
+    /// Shortest and longest boot time of a machine, in milliseconds.
     pub boot_ms: (u64, u64),
-    /// Tasks of a job end far apart.
+    /// The tasks of a job end far apart.
     pub uneven_run_times: bool,
-    /// Half of the jobs are bound to a zone.
+    /// Half of the jobs may run in one given zone only.
     pub zone_bound_jobs: bool,
-    /// No replicas: they would keep to themselves what their teams may use.
+    /// Users submit no replicas, which would hold their teams' resources for the whole run.
     pub no_replicas: bool,
-    /// CPUs that the two teams may use.
+    /// Limits of the two teams, in CPUs.
     pub limits: (u32, u32),
-    /// Jobs of one task, four a second, a quarter of which are cancelled.
+    /// Users submit jobs of one task, four per second, and cancel a quarter of them.
     pub rush: bool,
     /// Half of the jobs depend on up to three earlier ones.
     pub pipelines: bool,
-    /// When the store lowers its limits, and to what.
+    /// Time from the start of the run in milliseconds after which the store lowers its limits, and the lower limits.
     pub lower_limits: Option<(u64, Limits)>,
     /// Whether the settings announce the lower limits.
     pub announced: bool,
-    /// Nodes begin with the version in production and are upgraded one after the other.
+    /// Nodes start with the version in production and are upgraded one after the other.
     pub upgrade: bool,
-    /// Some nodes that end come back with the version in production, and are upgraded later.
+    /// Some nodes that crash restart with the version in production and are upgraded later.
     pub restarts_old_version: bool,
-    /// Seconds that the tasks of a cancelled job may remain.
+    /// Time within which the tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: u64,
-    /// Seconds that a gang's task waits for the others.
+    /// Time that a task of a gang waits for the others, in seconds.
     pub gang_wait_s: u64,
-    /// What the store takes.
+    /// Limits that the store enforces.
     pub store: Limits,
-    /// Calls a second that the cloud takes.
+    /// Calls per second that the nodes may send to the cloud.
     pub cloud_rps: f64,
-    /// Zones that machines can be rented in; nodes are in the first two.
+    /// Zones in which machines can be rented; nodes are in the first two.
     pub zone_names: &'static [&'static str],
-    /// Milliseconds that the first task of a job runs, and each next one longer; the usual ones if none are
-    /// named.
+    /// Run time of a job's first task, and the increase for each next task, in milliseconds; `None` for the
+    /// default times.
     pub run_ms: Option<(u64, u64)>,
-    /// Processor time of steps and bytes of messages are measured.
+    /// The processor time of steps and the size of messages are measured.
     pub measures: bool,
-    /// A digest of all that the nodes put out is kept.
+    /// A digest of all outputs of the nodes is kept.
     pub records_decisions: bool,
-    /// Steps take time, as on a node with a small part of a core.
+    /// Steps take simulated time, as on a node with a small share of a core.
     pub steps_take_time: bool,
-    /// Part of a core that the settings name, if they do.
+    /// Share of a core that the settings name, if any.
     pub core_share: Option<f64>,
 }
 
@@ -116,7 +117,7 @@
 }
 
 impl Scenario {
-    /// CPUs that the two teams may use.
+    /// Returns the limits of the two teams, in CPUs.
     pub(super) fn team_limits(&self) -> (u32, u32) {
         if self.crowd || self.large {
             let ample = (2 * self.machines as u32).max(4_000);
@@ -126,12 +127,12 @@
         }
     }
 
-    /// How long the tasks of a cancelled job may remain.
+    /// Returns the time within which the tasks of a cancelled job must be gone, in milliseconds.
     pub(super) fn cancel_ms(&self) -> u64 {
         self.cancel_s * 1_000
     }
 
-    /// The settings of a node.
+    /// Returns the settings of a node.
     pub(super) fn settings(&self, me: usize) -> Settings {
         let scenario = self;
         let (nodes, lease, report) = (scenario.nodes, scenario.lease_s, scenario.report_s);
--- a/crates/core/tests/sim/world/store.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the store: keys with versions, transactions, leases, a watch, and limits that it enforces.
+//! A stand-in for the store: versioned keys, transactions, leases, a watch, and limits that it enforces.
 
 use super::rate_limit::RateLimit;
 use rudderreel_core::{StoreAnswer, StoreCall, Value};
@@ -6,47 +6,51 @@
 use rudderreel_wire::state::{Change, Event, Events, Item, Page, Transaction};
 use std::collections::BTreeMap;
 
-/// What the store takes. Bursts of a second's worth are allowed.
+/// Limits of the store. Bursts of one second's worth of requests are allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests a second, and changes a second.
+    /// Requests per second.
     pub rps: u64,
+    /// Changes per second.
     pub write_rps: u64,
-    /// KiB of a value.
+    /// Largest size of a value, in KiB.
     pub value_kb: usize,
-    /// Changes of a transaction; four times as many conditions.
+    /// Largest number of changes in a transaction; it may have four times as many conditions.
     pub operations: usize,
-    /// Items of a page.
+    /// Largest number of items on a page.
     pub page: usize,
 }
 
-/// What it takes at first.
+/// Limits of the store unless a scenario sets others.
 pub const LIMITS: Limits = Limits {
     rps: 200,
     write_rps: 50,
     value_kb: 16,
     operations: 8,
-    // Small pages, so that paging is met.
+    // Small pages, so that runs exercise paging.
     page: 10,
 };
 
-/// Bytes that the items of a page hold at most, by the protocol.
+/// Largest total size of the items on a page in bytes, by the protocol.
 const PAGE_BYTES: usize = 512 * 1024;
 
-/// The store.
+/// A simulated store.
 pub struct Store {
     pub limits: Limits,
-    /// How many transactions were rejected as too large.
+    /// Number of transactions that were rejected as too large.
     pub rejected: u32,
     requests: RateLimit,
     writes: RateLimit,
-    /// Calls refused for its limits.
-    pub limited: u32,
+    /// Number of calls that were refused because of the rate limits.
+    pub rate_limited: u32,
     keys: BTreeMap<String, Item<Value>>,
+    /// All changes so far, each with its revision.
     log: Vec<(u64, Event<Value>)>,
+    /// Time to live and end of each lease, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     revision: u64,
     next_lease: u64,
+    /// Whether the store refuses all calls.
     pub down: bool,
 }
 
@@ -57,7 +61,7 @@
             rejected: 0,
             requests: RateLimit::default(),
             writes: RateLimit::default(),
-            limited: 0,
+            rate_limited: 0,
             keys: BTreeMap::new(),
             log: Vec::new(),
             leases: BTreeMap::new(),
@@ -69,7 +73,7 @@
 }
 
 impl Store {
-    /// A store with limits.
+    /// Creates a store with limits.
     pub fn of(limits: Limits) -> Self {
         Self {
             limits,
@@ -77,7 +81,7 @@
         }
     }
 
-    /// How many of some items a page holds: of their number and of their size.
+    /// Returns how many of the items fit on a page by their number and their size, but at least one if there are any.
     fn page_of(&self, items: &[Item<Value>]) -> usize {
         let mut bytes = 0;
         let fits = |item: &&Item<Value>| {
@@ -88,8 +92,8 @@
         first.take_while(fits).count().max(1).min(items.len())
     }
 
-    /// Whether a transaction keeps to the limits of sizes.
-    fn takes(&self, transaction: &Transaction<Value>) -> bool {
+    /// Returns whether a transaction is within the limits of its size and of the size of its values.
+    fn is_within_size_limits(&self, transaction: &Transaction<Value>) -> bool {
         let small = |change: &Change<Value>| match change {
             Change::Put { value, .. } => {
                 let bytes = serde_json::to_vec(value).expect("JSON").len();
@@ -102,7 +106,7 @@
             && transaction.changes.iter().all(small)
     }
 
-    /// Starts or ends an outage; when it ends, every lease has its full time again.
+    /// Starts or ends an outage. When an outage ends, every lease is renewed for its full time.
     pub fn set_down(&mut self, down: bool, now: u64) {
         if self.down && !down {
             for (ttl, until) in self.leases.values_mut() {
@@ -112,7 +116,7 @@
         self.down = down;
     }
 
-    /// How many keys begin with a prefix.
+    /// Returns the number of keys that begin with a prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.keys
             .keys()
@@ -120,35 +124,35 @@
             .count()
     }
 
-    /// A number that a key holds.
+    /// Returns a numeric field of a key's value; 0 if it is missing.
     pub fn number(&self, key: &str, field: &str) -> u64 {
         let value = self.keys.get(key).map(|item| &item.value[field]);
         value.and_then(Value::as_u64).unwrap_or(0)
     }
 
-    /// Whether a key holds a field that is true.
+    /// Returns whether a field of a key's value is true.
     pub fn is_set(&self, key: &str, field: &str) -> bool {
         let value = self.keys.get(key).map(|item| &item.value[field]);
         value.and_then(Value::as_bool).unwrap_or(false)
     }
 
-    /// A text that a key holds.
+    /// Returns a text field of a key's value.
     pub fn text(&self, key: &str, field: &str) -> Option<String> {
         let item = self.keys.get(key)?;
         item.value[field].as_str().map(str::to_string)
     }
 
-    fn expire(&mut self, now: u64) {
+    fn expire_leases(&mut self, now: u64) {
         let over: Vec<u64> = (self.leases.iter())
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in over {
-            self.end(id);
+            self.end_lease(id);
         }
     }
 
-    fn end(&mut self, id: u64) {
+    fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys: Vec<String> = (self.keys.values())
             .filter(|i| i.lease == Some(LeaseId(id)))
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Sets a key.
+    /// Sets a key without conditions and without a lease.
     pub fn put(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.apply(&Change::Put {
@@ -180,7 +184,7 @@
         });
     }
 
-    /// Changes of the shared prefix after a revision, if there are any.
+    /// Returns the changes below the prefix `pub/` after a revision, and the current revision, if there are any.
     pub fn changes_since(&mut self, after: Version) -> Option<(Version, Vec<Event<Value>>)> {
         let shared = |event: &Event<Value>| match event {
             Event::Put { key, .. } | Event::Delete { key, .. } => key.starts_with("pub/"),
@@ -199,20 +203,20 @@
         if self.down {
             return StoreAnswer::Refused;
         }
-        self.expire(now);
+        self.expire_leases(now);
         let changes = match call {
             StoreCall::Commit(t) => t.changes.len() as u64,
             _ => 0,
         };
         if let StoreCall::Commit(transaction) = call {
-            if !self.takes(transaction) {
+            if !self.is_within_size_limits(transaction) {
                 self.rejected += 1;
                 return StoreAnswer::Rejected;
             }
         }
         let (rps, write_rps) = (self.limits.rps, self.limits.write_rps);
-        if !self.requests.take(1, rps, now) || !self.writes.take(changes, write_rps, now) {
-            self.limited += 1;
+        if !self.requests.try_take(1, rps, now) || !self.writes.try_take(changes, write_rps, now) {
+            self.rate_limited += 1;
             return StoreAnswer::Refused;
         }
         match call {
@@ -250,13 +254,13 @@
                     .filter(|c| version(&c.key) != c.version)
                     .map(|c| c.key.clone())
                     .collect();
-                let dead = t.changes.iter().any(|c| match c {
+                let lease_ended = t.changes.iter().any(|c| match c {
                     Change::Put { lease, .. } => {
                         lease.is_some_and(|l| !self.leases.contains_key(&l.0))
                     }
                     Change::Delete { .. } => false,
                 });
-                if dead {
+                if lease_ended {
                     return StoreAnswer::NoSuchLease;
                 }
                 if !failed.is_empty() {
@@ -283,7 +287,7 @@
                 None => StoreAnswer::Missing,
             },
             StoreCall::EndLease(id) => {
-                self.end(id.0);
+                self.end_lease(id.0);
                 StoreAnswer::Done
             }
         }
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -1,32 +1,33 @@
-//! Calls of nodes to the store, which may be lost, late, or answered without being known.
+//! Calls of nodes to the store: they may be lost, be carried out late, or be carried out without the answer arriving.
 
 use super::*;
 
 impl World {
+    /// Delivers a call to the store, subject to the faults of the moment.
     pub(super) fn call_store(
         &mut self,
         node: usize,
-        life: u32,
+        generation: u32,
         id: CallId,
         sent: Time,
         call: rudderreel_core::StoreCall,
     ) {
-        let mut hop = self.hop();
+        let mut message_delay = self.message_delay();
         if self.now < self.state_slow_until {
-            hop += self.rng.random_range(60..400);
+            message_delay += self.rng.random_range(60..400);
         }
         let cut = self.now < self.nodes[node].cut_from_store_until;
         let repeat = call.clone();
         if self.random_faults
-            && self.alive(node, life)
-            && is_delicate(&call)
+            && self.alive(node, generation)
+            && is_crash_point(&call)
             && self.rng.random_bool(0.04)
         {
-            // It ends in the middle of an election, of bumping the epoch or of a batch of starts;
-            // what it asked for is carried out now, later or never.
+            // The node crashes in the middle of an election, of raising the epoch or of a batch of starts;
+            // its call is carried out now, later or never.
             if self.rng.random_bool(0.7) {
                 let delay = self.rng.random_range(0..3_000);
-                self.after(delay, Event::LateTransaction(call));
+                self.schedule(delay, Event::LateTransaction(call));
             }
             return self.restart_quickly(node);
         }
@@ -41,25 +42,25 @@
                 self.store.call(&call, self.now);
             } else {
                 let delay = self.rng.random_range(2_000..12_000);
-                self.after(delay, Event::LateTransaction(call));
+                self.schedule(delay, Event::LateTransaction(call));
             }
             let input = Input::State {
                 call: id,
                 sent_at: sent,
                 answer: StoreAnswer::Unknown,
             };
-            return self.after(1_200, Event::Input(node, life, input));
+            return self.schedule(1_200, Event::Input(node, generation, input));
         } else if self.random_faults && self.rng.random_bool(0.01) {
-            // The answer is lost; the call may be carried out, now, later or never.
+            // The answer is lost; the call is carried out now, later or never.
             let delay = self.rng.random_range(0..8_000);
             if self.rng.random_bool(0.7) {
-                self.after(delay, Event::LateTransaction(call));
+                self.schedule(delay, Event::LateTransaction(call));
             }
-            self.after(
+            self.schedule(
                 1_000,
                 Event::Input(
                     node,
-                    life,
+                    generation,
                     Input::State {
                         call: id,
                         sent_at: sent,
@@ -72,18 +73,18 @@
             self.store.call(&call, self.now)
         };
         if matches!(answer, StoreAnswer::Rejected) {
-            self.note_rejected(node, life, sent, &repeat, hop);
+            self.record_rejected(node, generation, sent, &repeat, message_delay);
         }
-        if self.random_faults && self.rng.random_bool(0.01) && self.alive(node, life) {
-            // A repeat of a request that was carried out.
+        if self.random_faults && self.rng.random_bool(0.01) && self.alive(node, generation) {
+            // A copy of a call that was already carried out arrives later.
             let delay = self.rng.random_range(100..20_000);
-            self.after(delay, Event::LateTransaction(repeat));
+            self.schedule(delay, Event::LateTransaction(repeat));
         }
-        self.after(
-            hop,
+        self.schedule(
+            message_delay,
             Event::Input(
                 node,
-                life,
+                generation,
                 Input::State {
                     call: id,
                     sent_at: sent,
@@ -93,47 +94,51 @@
         );
     }
 
-    /// No node sends a transaction again unchanged once it knows that it is too large.
-    pub(super) fn note_rejected(
+    /// Checks that no node sends a transaction again unchanged once it knows that the transaction is too large.
+    pub(super) fn record_rejected(
         &mut self,
         node: usize,
-        life: u32,
+        generation: u32,
         sent: Time,
         call: &rudderreel_core::StoreCall,
-        hop: u64,
+        message_delay: u64,
     ) {
         let rudderreel_core::StoreCall::Commit(transaction) = call else {
             return;
         };
         let text = serde_json::to_string(transaction).expect("JSON");
-        let answered = Time(self.clock(node).time.0 + hop + 1);
-        let first = (self.rejected.entry((node, life, text.clone()))).or_insert(answered);
-        assert!(sent <= *first, "sent again though it was rejected: {text}");
+        let answered = Time(self.clock(node).time.0 + message_delay + 1);
+        let first = (self.rejected.entry((node, generation, text.clone()))).or_insert(answered);
+        assert!(
+            sent <= *first,
+            "a transaction was sent again after it was rejected as too large: {text}"
+        );
     }
 
-    pub(super) fn watch(&mut self, node: usize, life: u32, after: Version, sent: Time) {
-        if !self.alive(node, life) {
+    /// Answers a watch if there are changes, and checks it again 20 ms later otherwise.
+    pub(super) fn watch(&mut self, node: usize, generation: u32, after: Version, sent: Time) {
+        if !self.alive(node, generation) {
             return;
         }
         let cut = self.store.down
             || self.now < self.nodes[node].cut_from_store_until
             || self.now < self.nodes[node].watch_hangs_until;
         if self.random_faults && self.rng.random_bool(0.003) {
-            // Its place is too old for the service.
-            return self.after(1, Event::Input(node, life, Input::WatchLost));
+            // The revision from which the watch resumes is too old for the store.
+            return self.schedule(1, Event::Input(node, generation, Input::WatchLost));
         }
         match (!cut).then(|| self.store.changes_since(after)).flatten() {
             Some(_) if self.watch_runs_out(node) => {
                 let delay = self.watch_retry_delay(node);
-                self.after(delay, Event::RetryWatch(node, life, after))
+                self.schedule(delay, Event::RetryWatch(node, generation, after))
             }
             Some((revision, events)) => {
-                let hop = self.hop();
-                self.after(
-                    hop,
+                let message_delay = self.message_delay();
+                self.schedule(
+                    message_delay,
                     Event::Input(
                         node,
-                        life,
+                        generation,
                         Input::Watched {
                             sent_at: sent,
                             revision,
@@ -142,13 +147,14 @@
                     ),
                 );
             }
-            None => self.after(20, Event::Watch(node, life, after, sent)),
+            None => self.schedule(20, Event::Watch(node, generation, after, sent)),
         }
     }
 }
 
-/// Commits that a node may end in the middle of: of an election, of bumping the epoch, of starts.
-fn is_delicate(call: &rudderreel_core::StoreCall) -> bool {
+/// Returns whether a node may crash in the middle of a call: in an election, while it raises the epoch, or in a batch
+/// of starts.
+fn is_crash_point(call: &rudderreel_core::StoreCall) -> bool {
     match call {
         rudderreel_core::StoreCall::Commit(t) => {
             let leads = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -1,9 +1,9 @@
-//! Users: what they submit, ask and call off, and what they are told.
+//! Users: the jobs that they submit, query and cancel, and checks of the answers that they receive.
 
 use super::*;
 
 impl World {
-    /// Users call some jobs off just as their last task ends.
+    /// Records jobs whose last task has ended; during the fault, users cancel some of them at that moment.
     pub(super) fn jobs_ended(&mut self) {
         let done = |(id, tasks): &(&JobId, &BTreeSet<u32>)| {
             tasks.len() as u32 == self.jobs[*id].spec.tasks && !self.ended.contains(*id)
@@ -16,26 +16,27 @@
             if self.now < self.cancel_at_end_until && self.rng.random_bool(0.6) {
                 let node = self.rng.random_range(0..self.scenario.nodes);
                 self.user_asks(node, &id, UserAction::Cancel);
-                self.look_closely(&id);
+                self.query_all_nodes(&id);
             }
         }
     }
 
-    /// A user asks at all nodes within milliseconds, and repeats the submission.
-    pub(super) fn look_closely(&mut self, id: &JobId) {
+    /// Has a user query all nodes within milliseconds and repeat the submission.
+    pub(super) fn query_all_nodes(&mut self, id: &JobId) {
         for node in 0..self.scenario.nodes {
             for action in [UserAction::Status, UserAction::Submit] {
                 let delay = self.rng.random_range(0..12);
-                self.after(delay, Event::UserAction(node, id.clone(), action));
+                self.schedule(delay, Event::UserAction(node, id.clone(), action));
             }
         }
     }
 
-    pub(super) fn user(&mut self) {
+    /// Adds a new job at random, has a user send a request about a random job, and schedules the next turn.
+    pub(super) fn user_turn(&mut self) {
         let next = self
             .rng
             .random_range(self.scenario.user_interval_ms / 4..self.scenario.user_interval_ms);
-        self.after(next, Event::User);
+        self.schedule(next, Event::UserTurn);
         let share = if self.scenario.rush { 1.0 } else { 0.15 };
         if self.next_job < self.scenario.jobs && self.rng.random_bool(share) {
             self.next_job += 1;
@@ -53,9 +54,9 @@
             return;
         }
         let id = ids[self.rng.random_range(0..ids.len())].clone();
-        let told = &self.jobs[&id];
-        let service = told.spec.kind == Kind::Service;
-        let action = if !told.accepted || self.rng.random_bool(0.05) {
+        let job = &self.jobs[&id];
+        let service = job.spec.kind == Kind::Service;
+        let action = if !job.accepted || self.rng.random_bool(0.05) {
             UserAction::Submit
         } else if self.rng.random_bool(if service { 0.05 } else { 0.02 }) {
             UserAction::Cancel
@@ -66,9 +67,9 @@
         self.user_asks(node, &id, action);
     }
 
-    /// A job that a user is about to submit.
+    /// Adds a job that a user is about to submit.
     pub fn add_job(&mut self, spec: JobSpec) {
-        let told = ObservedJob {
+        let job = ObservedJob {
             spec: spec.clone(),
             accepted: false,
             last: None,
@@ -87,10 +88,10 @@
             begun_at: None,
             answered: BTreeMap::new(),
         };
-        self.jobs.insert(spec.id.clone(), told);
+        self.jobs.insert(spec.id.clone(), job);
     }
 
-    /// A user asks something of a node, if it is up.
+    /// Sends a user's request to a node if its process runs.
     pub fn user_asks(&mut self, node: usize, id: &JobId, action: UserAction) {
         let request = match action {
             UserAction::Submit => UserRequest::Submit(Box::new(self.jobs[id].spec.clone())),
@@ -101,11 +102,12 @@
             self.jobs.get_mut(id).expect("a job").cancel_requested = true;
         }
         if self.nodes[node].process.is_some() {
-            let req = self.ask(node, Requester::User(id.clone(), action, self.now));
+            let req = self.new_request(node, Requester::User(id.clone(), action, self.now));
             self.step(node, Input::User(req, request));
         }
     }
 
+    /// Draws a job.
     pub(super) fn new_job(&mut self) -> JobSpec {
         let rng = &mut self.rng;
         let kinds = if self.scenario.no_replicas { 2 } else { 3 };
@@ -121,7 +123,7 @@
         let scatter = kind == "standing" && !self.scenario.zone_bound_jobs && rng.random_bool(0.5);
         let berth = (self.scenario.zone_bound_jobs && rng.random_bool(0.5))
             .then(|| ["a", "b"][rng.random_range(0..2)]);
-        let needs = self.some_dependencies();
+        let needs = self.draw_dependencies();
         let expected_s =
             (self.scenario.run_ms).map_or(4.0, |(least, more)| (least + more / 2) as f64 / 1e3);
         let rng = &mut self.rng;
@@ -135,7 +137,7 @@
         serde_json::from_value(value).expect("a job")
     }
 
-    /// A job of one task.
+    /// Draws a job of one task, and schedules repeated submissions of it and perhaps its cancellation.
     pub(super) fn small_job(&mut self) -> JobSpec {
         let mut spec = self.new_job();
         (spec.kind, spec.tasks) = (Kind::Array, 1);
@@ -143,20 +145,20 @@
         spec.class = "sweep".into();
         spec.priority = Priority::Normal;
         let id = spec.id.clone();
-        // A submission is repeated; that of an accepted job is answered, too.
-        for again in 0..12 {
+        // The submission is repeated; repeats for an accepted job are answered, too.
+        for repeat in 0..12 {
             let node = self.rng.random_range(0..self.scenario.nodes);
-            self.after(
-                1 + again * 4_000,
+            self.schedule(
+                1 + repeat * 4_000,
                 Event::UserAction(node, id.clone(), UserAction::Submit),
             );
         }
         if self.rng.random_bool(0.25) {
             let delay = self.rng.random_range(50..9_000);
-            for again in 0..12 {
+            for repeat in 0..12 {
                 let node = self.rng.random_range(0..self.scenario.nodes);
-                self.after(
-                    delay + again * 4_000,
+                self.schedule(
+                    delay + repeat * 4_000,
                     Event::UserAction(node, id.clone(), UserAction::Cancel),
                 );
             }
@@ -164,7 +166,7 @@
         spec
     }
 
-    /// Submissions that can't be accepted, and cancellations of jobs that are over.
+    /// Sends a submission that can't be accepted and the cancellation of a job that has ended.
     pub(super) fn submit_invalid_requests(&mut self) {
         let node = self.rng.random_range(0..self.scenario.nodes);
         if self.nodes[node].process.is_none() {
@@ -183,7 +185,7 @@
             2 => spec.types = Some(vec!["m-none".into()]),
             _ => (spec.kind, spec.tasks, spec.cpus) = (Kind::Gang, 90_000, 4.0),
         }
-        let req = self.ask(node, Requester::InvalidSubmission(spec.id.clone()));
+        let req = self.new_request(node, Requester::InvalidSubmission(spec.id.clone()));
         self.step(node, Input::User(req, UserRequest::Submit(Box::new(spec))));
         let over = |t: &&ObservedJob| matches!(t.last, Some(JobState::Done | JobState::Cancelled));
         let over: Vec<JobId> = (self.jobs.values().filter(over))
@@ -192,12 +194,12 @@
         if !over.is_empty() {
             let id = over[self.rng.random_range(0..over.len())].clone();
             self.user_asks(node, &id, UserAction::Cancel);
-            self.look_closely(&id);
+            self.query_all_nodes(&id);
         }
     }
 
-    /// Small arrays all the time, most of one team; now and then a large array, or a gang that
-    /// needs most of a zone.
+    /// Draws a job of a crowded cluster: small arrays, most of them from one team; now and then a large array, or a
+    /// gang that needs most of a zone.
     pub(super) fn crowd_job(&mut self) -> JobSpec {
         let n = self.next_job;
         let (kind, tasks, cpus) = match n % 80 {
@@ -219,10 +221,10 @@
         serde_json::from_value(value).expect("a job")
     }
 
-    /// Once there are no faults, every job is asked after at each node in turn, and each must
-    /// answer in time: a refusal is no answer.
-    pub(super) fn sweep(&mut self, round: usize) {
-        self.after(5_000, Event::StatusSweep(round + 1));
+    /// Queries every job at one node after the other once faults have ended, and checks that each node answers in time.
+    /// A refusal doesn't count as an answer.
+    pub(super) fn sweep_statuses(&mut self, round: usize) {
+        self.schedule(5_000, Event::StatusSweep(round + 1));
         self.check_waiting();
         let node = round % self.scenario.nodes;
         let since = self.faults_ended_at.unwrap_or(self.now);
@@ -231,18 +233,18 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
-            let told = &self.jobs[&id];
+            let job = &self.jobs[&id];
             for n in 0..self.scenario.nodes {
-                let answered = told.answered.get(&n).copied().unwrap_or(0);
-                let last = answered.max(told.accepted_at).max(since);
+                let answered = job.answered.get(&n).copied().unwrap_or(0);
+                let last = answered.max(job.accepted_at).max(since);
                 assert!(
-                    self.now <= last + KNOWN_MS,
+                    self.now <= last + MAX_UNANSWERED_MS,
                     "forgotten: {id} at node {n}, at {}",
                     self.now
                 );
             }
             if self.nodes[node].process.is_some() {
-                let req = self.ask(
+                let req = self.new_request(
                     node,
                     Requester::User(id.clone(), UserAction::Status, self.now),
                 );
@@ -251,6 +253,7 @@
         }
     }
 
+    /// Checks the answer to a user's request about a job, and records it.
     pub(super) fn job_answered(
         &mut self,
         id: &JobId,
@@ -260,12 +263,12 @@
         body: &str,
     ) {
         let now = self.now;
-        let told = self.jobs.get_mut(id).expect("a known job");
+        let job = self.jobs.get_mut(id).expect("a known job");
         if status == 503 {
             return;
         }
         if status == 404 {
-            assert!(!told.accepted, "forgotten: {id} got 404");
+            assert!(!job.accepted, "forgotten: {id} got 404");
             return;
         }
         assert!(
@@ -274,42 +277,42 @@
         );
         let value: Value = serde_json::from_str(body).expect("JSON");
         let state: JobState = serde_json::from_value(value["bearing"].clone()).expect("a state");
-        if !told.accepted {
-            told.accepted = true;
-            told.accepted_at = now;
+        if !job.accepted {
+            job.accepted = true;
+            job.accepted_at = now;
         }
-        if let Some(last @ (JobState::Done | JobState::Cancelled)) = told.last {
-            // A request that was under way when its user was told may be answered by what was
-            // read before; users ask one thing after the other.
+        if let Some(last @ (JobState::Done | JobState::Cancelled)) = job.last {
+            // A request that was in flight when its user received a final answer may be answered from an older
+            // read. Users otherwise send one request after the other.
             assert!(
-                state == last || at <= told.final_at,
+                state == last || at <= job.final_at,
                 "went_back: {id} {last:?} {state:?}"
             );
             return;
         }
         if matches!(state, JobState::Done | JobState::Cancelled) {
-            told.final_at = now;
+            job.final_at = now;
         }
         if state == JobState::Done {
             let done = self.results.get(id).map_or(0, BTreeSet::len) as u32;
-            assert_eq!(done, told.spec.tasks, "not_done: {id} at {now}");
+            assert_eq!(done, job.spec.tasks, "not_done: {id} at {now}");
         }
         if state == JobState::Cancelled {
-            told.cancelled_at.get_or_insert(now);
+            job.cancelled_at.get_or_insert(now);
             self.check_cancelled(id);
         } else {
             self.check_not_orphaned(id);
         }
-        let told = self.jobs.get_mut(id).expect("a known job");
-        let news = told.last.is_none() || told.last != Some(state);
-        told.last = Some(state);
+        let job = self.jobs.get_mut(id).expect("a known job");
+        let news = job.last.is_none() || job.last != Some(state);
+        job.last = Some(state);
         if news && now < self.rapid_status_until {
-            self.look_closely(id);
+            self.query_all_nodes(id);
             if state == JobState::Queued && self.rng.random_bool(0.2) {
                 let node = self.rng.random_range(0..self.scenario.nodes);
                 self.jobs.get_mut(id).expect("a job").cancel_requested = true;
                 let delay = self.rng.random_range(0..12);
-                self.after(
+                self.schedule(
                     delay,
                     Event::UserAction(node, id.clone(), UserAction::Cancel),
                 );
@@ -317,10 +320,10 @@
         }
     }
 
-    /// A user cancels a job and is gone before the answer comes.
+    /// Sends a user's cancellation; the user leaves before the answer arrives.
     pub fn cancel_without_waiting(&mut self, node: usize, id: &JobId) {
         self.jobs.get_mut(id).expect("a job").cancel_requested = true;
-        let req = self.ask(node, Requester::Nobody);
+        let req = self.new_request(node, Requester::Nobody);
         self.step(node, Input::User(req, UserRequest::Cancel(id.clone())));
     }
 }
