--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -216,7 +216,7 @@
             let seen = if refused {
                 None
             } else {
-                self.store().since(after)
+                self.store().changes_since(after)
             };
             let (revision, events) = match seen {
                 Some(seen) => seen,
@@ -246,7 +246,7 @@
             let mut cloud = self.cloud.lock().expect("the cloud");
             let answer = cloud.call(&call, self.now());
             // By the time of the answer the machines and everything on them are gone.
-            for id in cloud.gone() {
+            for id in cloud.take_returned() {
                 if let Some(agent) = self.agents.lock().expect("the workers").remove(&id) {
                     agent.end();
                 }
@@ -271,7 +271,7 @@
         while !self.is_over() {
             {
                 let mut cloud = self.cloud.lock().expect("the cloud");
-                for (id, rent) in cloud.booted(self.now()) {
+                for (id, rent) in cloud.take_booted(self.now()) {
                     let agent = LoopbackAgent::start(id.clone(), rent, self.shared.clone());
                     let mut agents = self.agents.lock().expect("the workers");
                     agents.insert(id, agent);
--- a/crates/core/tests/sim/large_fleets.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -21,7 +21,7 @@
         nodes: 5,
         machines,
         jobs: machines as u32,
-        pace: (50_000 / machines as u64).max(4),
+        user_interval_ms: (50_000 / machines as u64).max(4),
         large: true,
         report_s: 6.0,
         lease_s: 31,
@@ -82,9 +82,9 @@
     world.partition_zone("c", world.now + 25_000);
     part(&mut world, "a third is cut off", 50_000);
     let hang = world.now + 60_000;
-    world.some_agents(0.125, |agent| agent.hangs_until = hang);
+    world.affect_some_agents(0.125, |agent| agent.hangs_until = hang);
     part(&mut world, "an eighth hangs", 40_000);
-    (1..5).for_each(|node| world.end_for(node, 25_000));
+    (1..5).for_each(|node| world.stop_node_for(node, 25_000));
     part(&mut world, "one node for all workers", 40_000);
     world.store.set_down(true, world.now);
     part(&mut world, "the state service is away", 20_000);
@@ -120,7 +120,7 @@
     part(&mut world, "start", 60_000);
     let up = world.agents.len();
     assert!(up >= 3_000, "{up} machines");
-    (1..5).for_each(|node| world.end_for(node, 15_000));
+    (1..5).for_each(|node| world.stop_node_for(node, 15_000));
     part(&mut world, "one node for all workers", 20_000);
     assert!(world.leader_by_store().is_some());
     world.end_faults();
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -13,7 +13,7 @@
     for seed in seeds {
         let scenario = Scenario {
             nodes,
-            only: vec![only],
+            fault_kinds: vec![only],
             jobs: 30,
             ..Scenario::default()
         };
@@ -65,7 +65,7 @@
     let scenario = Scenario {
         machines: 60,
         jobs: 60,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         lease_s: 20,
         ..Scenario::default()
@@ -102,7 +102,7 @@
         spread: true,
         machines: 60,
         jobs: 60,
-        pace: 120,
+        user_interval_ms: 120,
         large: true,
         report_s: 2.0,
         lease_s: 12,
@@ -136,7 +136,7 @@
     // Its lease of 3 s, the election, and a little.
     world.run_until(world.now + 8_000);
     let id = world.agents.keys().next().cloned().expect("a machine");
-    let status = world.inject(old, report(&id, 1, 1));
+    let status = world.inject_report(old, report(&id, 1, 1));
     assert_ne!(status, 200, "the cut node answers workers");
     let (status, _) = world.admin(old, rudderreel_core::AdminRequest::Teams);
     assert_eq!(status, 503, "it takes itself for the leader");
@@ -229,7 +229,7 @@
         foreign,
     ] {
         for node in 0..3 {
-            let status = world.inject(node, bad.clone());
+            let status = world.inject_report(node, bad.clone());
             assert!([200, 421, 503].contains(&status), "{status}");
         }
     }
@@ -300,7 +300,7 @@
         let scenario = Scenario {
             jobs: 1_000,
             crowd: true,
-            pace: 64,
+            user_interval_ms: 64,
             ..Scenario::default()
         };
         let mut world = World::of(seed, scenario);
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -41,7 +41,7 @@
     let mut scenario = Scenario {
         nodes,
         spread: seed % 20 >= 10,
-        only: meeting.faults.to_vec(),
+        fault_kinds: meeting.faults.to_vec(),
         jobs: 40,
         ..Scenario::default()
     };
@@ -62,23 +62,23 @@
 }
 
 fn uneven(scenario: &mut Scenario) {
-    scenario.uneven = true;
+    scenario.uneven_run_times = true;
 }
 
 fn bound(scenario: &mut Scenario) {
-    scenario.bound = true;
+    scenario.zone_bound_jobs = true;
 }
 
 fn full(scenario: &mut Scenario) {
     scenario.jobs = 120;
-    scenario.pace = 120;
+    scenario.user_interval_ms = 120;
     scenario.no_replicas = true;
     scenario.limits = (6, 7);
 }
 
 fn rush(scenario: &mut Scenario) {
     scenario.rush = true;
-    scenario.pace = 400;
+    scenario.user_interval_ms = 400;
     scenario.jobs = 500;
     scenario.machines = 16;
 }
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -21,7 +21,7 @@
     Scenario {
         nodes,
         jobs: 60,
-        pace: 300,
+        user_interval_ms: 300,
         pipelines: true,
         lower_limits: Some((60_000, LOW)),
         ..Scenario::default()
@@ -66,7 +66,7 @@
 #[test]
 fn cancellations_meet_the_ends_of_nodes_and_late_writes() {
     use Fault::*;
-    let only = vec![
+    let fault_kinds = vec![
         JobsCancelled,
         JobsCancelledAtCompletion,
         LeaderCrashes,
@@ -78,8 +78,8 @@
         InvalidRequests,
     ];
     let scenario = Scenario {
-        only,
-        uneven: true,
+        fault_kinds,
+        uneven_run_times: true,
         ..scenario(5)
     };
     let cancelled: usize = (0..4).map(|n| play(940 + n, scenario.clone())).sum();
@@ -213,7 +213,7 @@
         let state = withdraw(&mut world, teller, &ids[first + 1]);
         assert_eq!(state, JobState::Cancelled);
         if leader_ends {
-            world.end_for(leader, 60_000);
+            world.stop_node_for(leader, 60_000);
         }
         let node = (leader + 2) % 3;
         for id in ids[first + 2..].iter().rev() {
@@ -240,7 +240,7 @@
             JobState::Cancelled
         );
         if leader_ends {
-            world.end_for(leader, 30_000);
+            world.stop_node_for(leader, 30_000);
         }
         world.run_until(world.now + 15_000);
         assert_eq!(world.check_cancelled_together(), 10);
