--- a/crates/controller/tests/command_line.rs
+++ b/crates/controller/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Exit codes and messages of the program, which operators' scripts may depend on.
+//! Tests of the program's exit codes and messages, which operators' scripts may depend on.
 
 use std::net::TcpListener;
 use std::path::PathBuf;
@@ -30,7 +30,7 @@
 list_lag_s = 10.0
 "#;
 
-/// A settings file in the folder for this test's files.
+/// Writes a settings file in the folder for the files of these tests, and returns its path.
 fn settings_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a settings file");
@@ -43,8 +43,9 @@
     command.output().expect("the program runs")
 }
 
-/// Runs the program, which fails, and returns what it says on standard error.
-fn failure(args: &[&str]) -> String {
+/// Runs the program, which must fail with exit code 2 and print nothing on standard output, and returns its standard
+/// error.
+fn run_to_failure(args: &[&str]) -> String {
     let output = run(args);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     assert!(output.stdout.is_empty(), "{output:?}");
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn good_settings_are_confirmed() {
+fn valid_settings_are_confirmed() {
     let file = settings_file("good.toml", &SETTINGS.replace("FRONT", "127.0.0.1:0"));
     let path = file.to_str().expect("a path");
     let output = run(&["check", "--config", path]);
@@ -62,9 +63,9 @@
 }
 
 #[test]
-fn a_settings_file_that_can_not_be_used_is_named_with_the_reason() {
+fn an_unusable_settings_file_is_reported_with_the_reason() {
     let missing = "/nonexistent/settings.toml";
-    let text = failure(&["--config", missing]);
+    let text = run_to_failure(&["--config", missing]);
     assert_eq!(
         text,
         format!("rudderreel: {missing}: No such file or directory (os error 2)\n")
@@ -74,32 +75,32 @@
     let path = file.to_str().expect("a path");
     let reason = "field `params.workers.lease_s`: must be a number above 0";
     let expected = format!("rudderreel: {path}: {reason}\n");
-    assert_eq!(failure(&["--config", path]), expected);
-    assert_eq!(failure(&["check", "--config", path]), expected);
+    assert_eq!(run_to_failure(&["--config", path]), expected);
+    assert_eq!(run_to_failure(&["check", "--config", path]), expected);
 }
 
 #[test]
-fn an_address_that_is_taken_is_named() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("it listens");
+fn an_address_in_use_is_reported() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the test listens");
     let taken = listener.local_addr().expect("an address").to_string();
     let file = settings_file("taken.toml", &SETTINGS.replace("FRONT", &taken));
-    let text = failure(&["--config", file.to_str().expect("a path")]);
+    let text = run_to_failure(&["--config", file.to_str().expect("a path")]);
     let reason = "Address already in use (os error 98)";
     assert_eq!(text, format!("rudderreel: {taken}: {reason}\n"));
 }
 
 #[test]
-fn without_anything_to_do_the_program_says_what_it_needs() {
-    let text = failure(&[]);
+fn a_missing_config_option_is_reported() {
+    let text = run_to_failure(&[]);
     assert_eq!(text, "rudderreel: --config FILE is required (see --help)\n");
 }
 
 #[test]
-fn a_node_that_does_not_answer_is_named() {
-    let text = failure(&["admin", "--node", "127.0.0.1:1", "overview"]);
+fn admin_reports_an_unreachable_node_and_a_missing_file() {
+    let text = run_to_failure(&["admin", "--node", "127.0.0.1:1", "overview"]);
     assert_eq!(text, "rudderreel: 127.0.0.1:1 does not answer\n");
     let file = "/nonexistent/settings.json";
-    let text = failure(&["admin", "--node", "127.0.0.1:1", "settings", "set", file]);
+    let text = run_to_failure(&["admin", "--node", "127.0.0.1:1", "settings", "set", file]);
     assert_eq!(
         text,
         format!("rudderreel: {file}: No such file or directory (os error 2)\n")
