--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -1,4 +1,5 @@
-//! Agents on loopback, by the protocol: incarnations, leases, tokens and commands, without images.
+//! Stand-ins for agents on loopback. They follow the protocol with its incarnations, leases, fencing tokens and
+//! commands, but fetch no images.
 
 use crate::history::{Change, Event, History};
 use rudderreel_core::Value;
@@ -16,63 +17,66 @@
 use tiny_http::{Response, Server};
 use ureq::Agent;
 
-/// Interval of reports, and how long a lease lasts.
+/// Interval between status reports.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// Duration of an agent's lease.
 pub const AGENT_LEASE: Duration = Duration::from_secs(6);
-/// How long an agent waits for an answer, and before it tries another node.
+/// How long an agent waits for the answer to a report.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause before an agent tries the next node, if no other node was named.
 const NEXT_NODE_PAUSE: Duration = Duration::from_millis(300);
-/// How often it looks for tasks that are over.
+/// Interval at which an agent checks for tasks that have ended.
 const TASK_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What all agents share.
+/// State that all agents of a test share.
 pub struct Shared {
     pub history: History,
-    /// What users have submitted.
+    /// Jobs that the users of the test submit.
     pub jobs: Mutex<BTreeMap<JobId, JobSpec>>,
-    /// Where the controllers take reports, by their names.
+    /// Names of the controllers, and their addresses for status reports.
     pub controllers: Mutex<Vec<(String, SocketAddr)>>,
-    /// How long tasks run.
-    pub run: Duration,
+    /// Time that each task runs.
+    pub task_duration: Duration,
 }
 
 /// A task on a machine.
 struct Task {
     state: TaskState,
-    why: Option<Cause>,
-    until: Instant,
+    cause: Option<Cause>,
+    ends_at: Instant,
 }
 
-/// What an agent knows.
-struct Memory {
+/// State of an agent that its threads share.
+struct AgentState {
     incarnation: Incarnation,
     seq: u64,
     token: Epoch,
-    /// When the last answered report was sent.
-    answered: Instant,
+    /// Start of the lease: when the last answered report was sent, or when the incarnation began if no report has been
+    /// answered since.
+    lease_start: Instant,
     tasks: BTreeMap<(TaskId, Attempt), Task>,
 }
 
-/// An agent, which runs on threads of its own until its machine is gone.
+/// An agent, which runs on its own threads until its machine is terminated.
 pub struct LoopbackAgent {
     id: MachineId,
     rent: Rent,
     addr: SocketAddr,
     shared: Arc<Shared>,
-    memory: Mutex<Memory>,
-    gone: AtomicBool,
+    state: Mutex<AgentState>,
+    terminated: AtomicBool,
 }
 
 impl LoopbackAgent {
-    /// Starts one.
+    /// Starts an agent on a machine that has booted.
     pub fn start(id: MachineId, rent: Rent, shared: Arc<Shared>) -> Arc<Self> {
-        let server = Server::http("127.0.0.1:0").expect("it listens");
+        let server = Server::http("127.0.0.1:0").expect("the agent listens");
         let addr = server.server_addr().to_ip().expect("an address");
-        let memory = Memory {
+        let state = AgentState {
             incarnation: Incarnation(1),
             seq: 0,
             token: Epoch(0),
-            answered: Instant::now(),
+            lease_start: Instant::now(),
             tasks: BTreeMap::new(),
         };
         let agent = Arc::new(Self {
@@ -80,64 +84,64 @@
             rent,
             addr,
             shared,
-            memory: Mutex::new(memory),
-            gone: AtomicBool::new(false),
+            state: Mutex::new(state),
+            terminated: AtomicBool::new(false),
         });
         let (commanded, reporting) = (agent.clone(), agent.clone());
-        std::thread::spawn(move || commanded.take_commands(&server));
-        std::thread::spawn(move || reporting.report_for_ever());
+        std::thread::spawn(move || commanded.serve_commands(&server));
+        std::thread::spawn(move || reporting.report_loop());
         agent
     }
 
-    /// Its machine is gone, and everything on it.
-    pub fn end(&self) {
-        let mut memory = self.current();
-        self.gone.store(true, Ordering::SeqCst);
-        self.clear(&mut memory, Instant::now());
+    /// Terminates the agent's machine; every task on it ends now.
+    pub fn terminate(&self) {
+        let mut state = self.lock_state();
+        self.terminated.store(true, Ordering::SeqCst);
+        self.clear(&mut state, Instant::now());
     }
 
-    fn is_gone(&self) -> bool {
-        self.gone.load(Ordering::SeqCst)
+    fn is_terminated(&self) -> bool {
+        self.terminated.load(Ordering::SeqCst)
     }
 
-    /// What it knows, once what is over by now has ended: tasks that have run for long enough, and all of
-    /// them if the lease has run out. Each ends at its time, however late that is looked at.
-    fn current(&self) -> MutexGuard<'_, Memory> {
-        let mut memory = self.memory.lock().expect("the memory");
+    /// Locks the agent's state and ends the tasks that are over: those that have run for their time, and all of them if
+    /// the lease has expired. No task ends later than the lease, however late the state is locked.
+    fn lock_state(&self) -> MutexGuard<'_, AgentState> {
+        let mut state = self.state.lock().expect("the agent's state");
         let now = Instant::now();
-        let lease_end = memory.answered + AGENT_LEASE;
-        let over = now.min(lease_end);
-        let ended: Vec<TaskId> = (memory.tasks.iter_mut())
+        let lease_end = state.lease_start + AGENT_LEASE;
+        let end_limit = now.min(lease_end);
+        let ended: Vec<TaskId> = (state.tasks.iter_mut())
             .filter(|(_, task)| task.state == TaskState::Running)
-            .filter(|(_, task)| task.until <= over)
+            .filter(|(_, task)| task.ends_at <= end_limit)
             .map(|((id, _), task)| {
-                (task.state, task.why) = (TaskState::Exited, Some(Cause::Done));
+                (task.state, task.cause) = (TaskState::Exited, Some(Cause::Done));
                 id.clone()
             })
             .collect();
         for id in ended {
-            self.note(Change::Ended, &id, over);
+            self.record(Change::Ended, &id, end_limit);
         }
-        if now > lease_end && !self.is_gone() {
-            self.clear(&mut memory, lease_end);
-            memory.incarnation.0 += 1;
-            memory.answered = now;
+        if now > lease_end && !self.is_terminated() {
+            self.clear(&mut state, lease_end);
+            state.incarnation.0 += 1;
+            state.lease_start = now;
         }
-        memory
+        state
     }
 
-    fn clear(&self, memory: &mut Memory, at: Instant) {
-        for ((id, _), task) in std::mem::take(&mut memory.tasks) {
+    fn clear(&self, state: &mut AgentState, at: Instant) {
+        for ((id, _), task) in std::mem::take(&mut state.tasks) {
             if task.state != TaskState::Exited {
-                self.note(Change::Ended, &id, at);
+                self.record(Change::Ended, &id, at);
             }
         }
     }
 
-    fn note(&self, change: Change, task: &TaskId, at: Instant) {
+    fn record(&self, change: Change, task: &TaskId, at: Instant) {
         let jobs = self.shared.jobs.lock().expect("the jobs");
         let spec = &jobs[&task.job];
-        self.shared.history.note(Event {
+        self.shared.history.record(Event {
             at,
             change,
             machine: self.id.to_string(),
@@ -147,13 +151,13 @@
         });
     }
 
-    fn report(&self, memory: &mut Memory) -> StatusReport {
-        memory.seq += 1;
-        let listed = |((task, attempt), at): (&(TaskId, Attempt), &Task)| TaskStatus {
-            task: task.clone(),
+    fn report(&self, state: &mut AgentState) -> StatusReport {
+        state.seq += 1;
+        let status = |((id, attempt), task): (&(TaskId, Attempt), &Task)| TaskStatus {
+            task: id.clone(),
             attempt: *attempt,
-            state: at.state,
-            why: at.why,
+            state: task.state,
+            why: task.cause,
             saved: None,
         };
         StatusReport {
@@ -162,59 +166,59 @@
             machine_type: self.rent.machine_type.clone(),
             zone: self.rent.zone.clone(),
             spot: self.rent.spot,
-            incarnation: memory.incarnation,
-            seq: Seq(memory.seq),
-            token: memory.token,
+            incarnation: state.incarnation,
+            seq: Seq(state.seq),
+            token: state.token,
             notice_s: None,
-            tasks: memory.tasks.iter().map(listed).collect(),
+            tasks: state.tasks.iter().map(status).collect(),
         }
     }
 
-    fn obey(&self, memory: &mut Memory, commands: &[Command]) {
+    fn apply_commands(&self, state: &mut AgentState, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Start { task, attempt } => self.start_task(memory, task, *attempt),
+                Command::Start { task, attempt } => self.start_task(state, task, *attempt),
                 Command::Stop { task, attempt, .. } => {
                     let key = (task.clone(), *attempt);
-                    let Some(at) = memory.tasks.get_mut(&key) else {
+                    let Some(stopped) = state.tasks.get_mut(&key) else {
                         continue;
                     };
-                    if at.state != TaskState::Exited {
-                        (at.state, at.why) = (TaskState::Exited, Some(Cause::Stopped));
-                        self.note(Change::Ended, task, Instant::now());
+                    if stopped.state != TaskState::Exited {
+                        (stopped.state, stopped.cause) = (TaskState::Exited, Some(Cause::Stopped));
+                        self.record(Change::Ended, task, Instant::now());
                     }
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
                     let exited = |task: &Task| task.state == TaskState::Exited;
-                    if memory.tasks.get(&key).is_some_and(exited) {
-                        memory.tasks.remove(&key);
+                    if state.tasks.get(&key).is_some_and(exited) {
+                        state.tasks.remove(&key);
                     }
                 }
             }
         }
     }
 
-    fn start_task(&self, memory: &mut Memory, task: &TaskId, attempt: Attempt) {
+    fn start_task(&self, state: &mut AgentState, task: &TaskId, attempt: Attempt) {
         let key = (task.clone(), attempt);
-        if memory.tasks.contains_key(&key) {
+        if state.tasks.contains_key(&key) {
             return;
         }
         let now = Instant::now();
-        let begun = Task {
+        let started = Task {
             state: TaskState::Running,
-            why: None,
-            until: now + self.shared.run,
+            cause: None,
+            ends_at: now + self.shared.task_duration,
         };
-        memory.tasks.insert(key, begun);
-        self.note(Change::Began, task, now);
+        state.tasks.insert(key, started);
+        self.record(Change::Started, task, now);
     }
 
-    /// Answers direct commands.
-    fn take_commands(&self, server: &Server) {
-        while !self.is_gone() {
+    /// Follows and answers the commands that are sent to the agent's own address, until the machine is terminated.
+    fn serve_commands(&self, server: &Server) {
+        while !self.is_terminated() {
             let Ok(Some(mut request)) = server.recv_timeout(TASK_POLL_INTERVAL) else {
-                drop(self.current());
+                drop(self.lock_state());
                 continue;
             };
             let mut body = String::new();
@@ -222,33 +226,34 @@
                 continue;
             }
             let direct: DirectCommands = serde_json::from_str(&body).expect("commands");
-            let mut memory = self.current();
-            let meant = direct.token >= memory.token && direct.incarnation == memory.incarnation;
-            if meant && !self.is_gone() {
-                memory.token = direct.token;
-                self.obey(&mut memory, &direct.commands);
+            let mut state = self.lock_state();
+            let accepted = direct.token >= state.token && direct.incarnation == state.incarnation;
+            if accepted && !self.is_terminated() {
+                state.token = direct.token;
+                self.apply_commands(&mut state, &direct.commands);
             }
-            let report = serde_json::to_string(&self.report(&mut memory)).expect("JSON");
-            drop(memory);
-            let status = if meant { 200 } else { 409 };
+            let report = serde_json::to_string(&self.report(&mut state)).expect("JSON");
+            drop(state);
+            let status = if accepted { 200 } else { 409 };
             let _ = request.respond(Response::from_string(report).with_status_code(status));
         }
     }
 
-    /// Reports to one controller after the other, as the answers say.
-    fn report_for_ever(&self) {
+    /// Sends status reports until the machine is terminated: to the same controller while it answers them, otherwise to
+    /// the controller that it names or to the next one.
+    fn report_loop(&self) {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(ANSWER_TIMEOUT))
             .build()
             .into();
         let mut node = 0;
-        while !self.is_gone() {
+        while !self.is_terminated() {
             let controllers = self.shared.controllers.lock().expect("controllers").clone();
             let (_, addr) = &controllers[node % controllers.len()];
             match self.report_once(&agent, *addr) {
-                Outcome::Answered => std::thread::sleep(REPORT_INTERVAL),
-                Outcome::Elsewhere(name) => {
+                ReportOutcome::Answered => std::thread::sleep(REPORT_INTERVAL),
+                ReportOutcome::TryAnotherNode(name) => {
                     let named = (controllers.iter()).position(|(n, _)| Some(n) == name.as_ref());
                     let other = named.filter(|at| *at != node % controllers.len());
                     if other.is_none() {
@@ -260,41 +265,41 @@
         }
     }
 
-    fn report_once(&self, agent: &Agent, addr: SocketAddr) -> Outcome {
+    fn report_once(&self, agent: &Agent, addr: SocketAddr) -> ReportOutcome {
         let (text, incarnation, sent) = {
-            let mut memory = self.current();
-            let report = self.report(&mut memory);
+            let mut state = self.lock_state();
+            let report = self.report(&mut state);
             let text = serde_json::to_string(&report).expect("JSON");
-            (text, memory.incarnation, Instant::now())
+            (text, state.incarnation, Instant::now())
         };
         let url = format!("http://{addr}/v1/report");
         let Ok(mut response) = agent.post(&url).send(text.as_bytes()) else {
-            return Outcome::Elsewhere(None);
+            return ReportOutcome::TryAnotherNode(None);
         };
         let status = response.status().as_u16();
         let Ok(body) = response.body_mut().read_to_string() else {
-            return Outcome::Elsewhere(None);
+            return ReportOutcome::TryAnotherNode(None);
         };
         if status != 200 {
             let value: Value = serde_json::from_str(&body).unwrap_or_default();
             let name = value["harbour"].as_str().map(str::to_string);
-            return Outcome::Elsewhere(name.filter(|_| status == 421));
+            return ReportOutcome::TryAnotherNode(name.filter(|_| status == 421));
         }
         let reply: StatusReportReply = serde_json::from_str(&body).expect("a reply");
-        let mut memory = self.current();
-        let meant = reply.token >= memory.token && incarnation == memory.incarnation;
-        if meant && sent.elapsed() < ANSWER_TIMEOUT && !self.is_gone() {
-            memory.token = reply.token;
-            memory.answered = memory.answered.max(sent);
-            self.obey(&mut memory, &reply.commands);
+        let mut state = self.lock_state();
+        let accepted = reply.token >= state.token && incarnation == state.incarnation;
+        if accepted && sent.elapsed() < ANSWER_TIMEOUT && !self.is_terminated() {
+            state.token = reply.token;
+            state.lease_start = state.lease_start.max(sent);
+            self.apply_commands(&mut state, &reply.commands);
         }
-        Outcome::Answered
+        ReportOutcome::Answered
     }
 }
 
-/// How a report was answered.
-enum Outcome {
+/// Outcome of a status report.
+enum ReportOutcome {
     Answered,
-    /// By another node, perhaps one that was named.
-    Elsewhere(Option<String>),
+    /// There was no answer with status 200. The agent tries the controller that was named, if any, or the next one.
+    TryAnotherNode(Option<String>),
 }
--- a/crates/controller/tests/loopback/controller.rs
+++ b/crates/controller/tests/loopback/controller.rs
@@ -1,37 +1,39 @@
-//! Real controllers as child processes.
+//! Starts real controllers as child processes, and pauses, resumes and restarts them.
 
 use crate::agents::{AGENT_LEASE, REPORT_INTERVAL};
-use crate::stand_ins::Outside;
+use crate::stand_ins::ExternalServices;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Tells the settings files of one test process apart.
-static FILES: AtomicU32 = AtomicU32::new(0);
+/// Number of the next settings file; keeps the names of the files of one test process distinct.
+static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A team and the CPUs that it may use.
+/// A team and the most CPUs that its tasks may use.
 pub type TeamLimit = (&'static str, f64);
 
-/// What controllers are started with.
+/// Settings that the controllers of a test are started with.
 pub struct Deployment {
+    /// Number of controllers.
     pub controllers: usize,
+    /// Sockets that each controller may open.
     pub sockets: u64,
     pub teams: Vec<TeamLimit>,
 }
 
-/// A controller, which is ended with this.
+/// A controller process, which is killed when this is dropped.
 pub struct Controller {
     process: Child,
     settings: PathBuf,
     pub name: String,
-    /// Where users and agents come.
+    /// Address of the public API listener, for users and agents.
     pub public_address: SocketAddr,
-    /// Where peers and administrators come.
-    pub peers: SocketAddr,
+    /// Address of the listener for peers and administrators.
+    pub peer_address: SocketAddr,
 }
 
-/// Addresses that are free at the moment.
+/// Returns loopback addresses that are free at the time of the call.
 fn free_addresses(count: usize) -> Vec<SocketAddr> {
     let listen = |_| TcpListener::bind("127.0.0.1:0").expect("a free port");
     let listeners: Vec<TcpListener> = (0..count).map(listen).collect();
@@ -39,32 +41,42 @@
     listeners.iter().map(addr).collect()
 }
 
-/// Starts the controllers of a deployment.
-pub fn start_all(deployment: &Deployment, outside: &Outside) -> Vec<Controller> {
+/// Starts the controllers of a deployment, named n0, n1 and so on.
+pub fn start_all(deployment: &Deployment, services: &ExternalServices) -> Vec<Controller> {
     let public_addresses = free_addresses(deployment.controllers);
-    let peers = free_addresses(deployment.controllers);
+    let peer_addresses = free_addresses(deployment.controllers);
     (0..deployment.controllers)
         .map(|n| {
-            let text = settings(deployment, outside, n, &public_addresses, &peers);
-            Controller::start(format!("n{n}"), &text, public_addresses[n], peers[n])
+            let text = settings(deployment, services, n, &public_addresses, &peer_addresses);
+            Controller::start(
+                format!("n{n}"),
+                &text,
+                public_addresses[n],
+                peer_addresses[n],
+            )
         })
         .collect()
 }
 
+/// Returns the settings file of the controller with the given index.
 fn settings(
     deployment: &Deployment,
-    outside: &Outside,
-    me: usize,
+    services: &ExternalServices,
+    index: usize,
     public_addresses: &[SocketAddr],
-    peers: &[SocketAddr],
+    peer_addresses: &[SocketAddr],
 ) -> String {
     let zone = |n: usize| ["a", "b"][n % 2];
-    let (public_address, peer) = (public_addresses[me], peers[me]);
+    let (public_address, peer) = (public_addresses[index], peer_addresses[index]);
     let mut text = format!(
-        "node = \"n{me}\"\ndomain = \"{}\"\nfront = \"{public_address}\"\npeer_bind = \"{peer}\"\n",
-        zone(me)
+        "node = \"n{index}\"\ndomain = \"{}\"\nfront = \"{public_address}\"\npeer_bind = \"{peer}\"\n",
+        zone(index)
     );
-    for (n, addr) in peers.iter().enumerate().filter(|(n, _)| *n != me) {
+    for (n, addr) in peer_addresses
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| *n != index)
+    {
         text += &format!(
             "[[members]]\nnode = \"n{n}\"\ndomain = \"{}\"\nendpoint = \"{addr}\"\n",
             zone(n)
@@ -72,9 +84,9 @@
     }
     text += &format!(
         "[outside]\ncloud = \"{}\"\nstate = \"{}\"\n[params]\nnodes = {}\nzones = [\"a\", \"b\"]\n",
-        outside.cloud,
-        outside.state[me],
-        peers.len()
+        services.cloud_address,
+        services.store_addresses[index],
+        peer_addresses.len()
     );
     for (team, cpus) in &deployment.teams {
         text += &format!("[[params.teams]]\nname = \"{team}\"\ncpus = 2.0\ncpus_max = {cpus:.1}\n");
@@ -91,11 +103,16 @@
 }
 
 impl Controller {
-    fn start(name: String, text: &str, public_address: SocketAddr, peers: SocketAddr) -> Self {
+    fn start(
+        name: String,
+        text: &str,
+        public_address: SocketAddr,
+        peer_address: SocketAddr,
+    ) -> Self {
         let file = format!(
             "rudderreel-{}-{}.toml",
             std::process::id(),
-            FILES.fetch_add(1, Ordering::Relaxed)
+            NEXT_FILE_NUMBER.fetch_add(1, Ordering::Relaxed)
         );
         let settings = std::env::temp_dir().join(file);
         std::fs::write(&settings, text).expect("the settings are written");
@@ -105,28 +122,28 @@
             settings,
             name,
             public_address,
-            peers,
+            peer_address,
         }
     }
 
-    /// Ends the process without a signal that it could handle, and starts it again.
+    /// Kills the process with SIGKILL, which it can't handle, and starts it again with the same settings.
     pub fn restart(&mut self) {
-        self.end();
+        self.kill_process();
         self.process = spawn(&self.settings);
     }
 
-    fn end(&mut self) {
-        self.process.kill().expect("it is ended");
-        self.process.wait().expect("it has ended");
+    fn kill_process(&mut self) {
+        self.process.kill().expect("the controller is killed");
+        self.process.wait().expect("the controller has exited");
     }
 
-    /// Has it stand still; its clocks go on.
-    pub fn freeze(&self) {
+    /// Pauses the process with SIGSTOP; the clocks that it reads keep running.
+    pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Has it go on.
-    pub fn thaw(&self) {
+    /// Resumes the process with SIGCONT.
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -138,13 +155,13 @@
         assert!(status.success());
     }
 
-    /// The process's id.
+    /// Returns the ID of the process.
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Bytes of memory that the process holds.
-    pub fn memory(&self) -> Option<u64> {
+    /// Returns the resident memory of the process in bytes.
+    pub fn resident_memory(&self) -> Option<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).ok()?;
         let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
         let kib: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
@@ -159,7 +176,7 @@
         .env("LOG_LEVEL", "error")
         .stdin(Stdio::null())
         .spawn()
-        .expect("it starts")
+        .expect("the controller starts")
 }
 
 impl Drop for Controller {
--- a/crates/controller/tests/loopback/main.rs
+++ b/crates/controller/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! Real controllers on loopback, with stand-ins for the services outside.
+//! Tests of real controller processes on loopback, with stand-ins for the store, the cloud and the agents.
 
 mod agents;
 mod controller;
@@ -8,7 +8,7 @@
 mod stand_ins;
 mod team_limits;
 
-// The same stand-ins as those of the simulated world, which uses more of them.
+// The stand-ins are those of the simulated world, which uses more of their functions.
 #[allow(dead_code)]
 #[path = "../../../core/tests/sim/world/cloud.rs"]
 mod cloud;
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The store and the cloud over HTTP, on loopback.
+//! Serves the stand-ins for the store and the cloud over HTTP on loopback, and starts the agents of rented machines.
 
 use crate::agents::{LoopbackAgent, Shared};
 use crate::cloud::Cloud;
@@ -15,18 +15,18 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Method, Request, Response, Server};
 
-/// Threads of a stand-in. Watches hold one each while they wait.
-const THREADS: usize = 24;
-/// How often a watch looks for changes.
-const WATCH_LOOKS: Duration = Duration::from_millis(5);
+/// Threads that serve each address. A watch occupies one of them while it waits.
+const SERVER_THREADS: usize = 24;
+/// Interval at which a watch checks for changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How often a thread looks whether the test is over.
-const END_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long machines take to come up, at least and at most.
+/// Interval at which threads check whether the test has ended, and whether machines have booted.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest and longest boot time of machines, in ms.
 const BOOT_MS: (u64, u64) = (200, 500);
 
-/// Limits that no test comes near.
-const AMPLE: Limits = Limits {
+/// Limits of the store that no test comes near.
+const GENEROUS_LIMITS: Limits = Limits {
     rps: 10_000,
     write_rps: 5_000,
     value_kb: 32,
@@ -34,86 +34,86 @@
     page: 200,
 };
 
-/// An answer: status and JSON.
+/// An HTTP status and a JSON body.
 type Answer = (u16, String);
 
-/// The services outside, which run until the test ends.
+/// The stand-ins for the store and the cloud, and the agents of rented machines. All run until the test ends.
 pub struct StandIns {
     store: Mutex<Store>,
     cloud: Mutex<Cloud>,
     started: Instant,
     agents: Mutex<BTreeMap<MachineId, Arc<LoopbackAgent>>>,
     shared: Arc<Shared>,
-    /// By controller: whether the store refuses it.
-    refused: Vec<AtomicBool>,
-    over: AtomicBool,
+    /// For each controller, whether the store refuses its requests.
+    refused_controllers: Vec<AtomicBool>,
+    finished: AtomicBool,
 }
 
-/// The services outside, and where they listen.
-pub struct Outside {
+/// The stand-ins and their addresses. The stand-ins and the agents are ended when this is dropped.
+pub struct ExternalServices {
     stand_ins: Arc<StandIns>,
-    /// By controller, so that one can be told from another.
-    pub state: Vec<SocketAddr>,
-    pub cloud: SocketAddr,
+    /// Addresses of the store, one for each controller, so that the store knows which controller sends a request.
+    pub store_addresses: Vec<SocketAddr>,
+    pub cloud_address: SocketAddr,
 }
 
-impl Outside {
-    /// Starts them for so many controllers, with so many machines to rent.
+impl ExternalServices {
+    /// Starts the stand-ins for a number of controllers. The cloud rents out at most `machines` machines at a time.
     pub fn start(controllers: usize, machines: usize, shared: Arc<Shared>) -> Self {
         let stand_ins = Arc::new(StandIns {
-            store: Mutex::new(Store::of(AMPLE)),
+            store: Mutex::new(Store::of(GENEROUS_LIMITS)),
             cloud: Mutex::new(Cloud::of(machines, BOOT_MS, &["a", "b"])),
             started: Instant::now(),
             agents: Mutex::default(),
             shared,
-            refused: (0..controllers).map(|_| AtomicBool::new(false)).collect(),
-            over: AtomicBool::new(false),
+            refused_controllers: (0..controllers).map(|_| AtomicBool::new(false)).collect(),
+            finished: AtomicBool::new(false),
         });
-        let state = (0..controllers)
+        let store_addresses = (0..controllers)
             .map(|n| serve(&stand_ins, move |s, m, u, b| s.state_request(n, m, u, b)))
             .collect();
-        let cloud = serve(&stand_ins, StandIns::cloud_request);
-        let booting = stand_ins.clone();
-        std::thread::spawn(move || booting.boot_for_ever());
+        let cloud_address = serve(&stand_ins, StandIns::cloud_request);
+        let booter = stand_ins.clone();
+        std::thread::spawn(move || booter.boot_machines());
         Self {
             stand_ins,
-            state,
-            cloud,
+            store_addresses,
+            cloud_address,
         }
     }
 
-    /// Whether the store refuses a controller from now on.
-    pub fn refuse(&self, controller: usize, refused: bool) {
-        self.stand_ins.refused[controller].store(refused, Ordering::SeqCst);
+    /// Sets whether the store refuses a controller's requests from now on.
+    pub fn set_store_refusal(&self, controller: usize, refused: bool) {
+        self.stand_ins.refused_controllers[controller].store(refused, Ordering::SeqCst);
     }
 
-    /// Who leads, by the store.
+    /// Returns the name of the leader that the store records.
     pub fn leader(&self) -> Option<String> {
         let store = self.stand_ins.store();
         store.text("pub/leader", "node")
     }
 }
 
-impl Drop for Outside {
+impl Drop for ExternalServices {
     fn drop(&mut self) {
-        self.stand_ins.over.store(true, Ordering::SeqCst);
-        let agents = self.stand_ins.agents.lock().expect("the workers");
-        agents.values().for_each(|agent| agent.end());
+        self.stand_ins.finished.store(true, Ordering::SeqCst);
+        let agents = self.stand_ins.agents.lock().expect("the agents");
+        agents.values().for_each(|agent| agent.terminate());
     }
 }
 
-/// Serves requests on threads of their own.
+/// Answers requests at an address of its own, on `SERVER_THREADS` threads, until the test ends. Returns the address.
 fn serve(
     stand_ins: &Arc<StandIns>,
     answer: impl Fn(&StandIns, &Method, &Url, &str) -> Answer + Clone + Send + 'static,
 ) -> SocketAddr {
-    let server = Arc::new(Server::http("127.0.0.1:0").expect("it listens"));
+    let server = Arc::new(Server::http("127.0.0.1:0").expect("the stand-in listens"));
     let addr = server.server_addr().to_ip().expect("an address");
-    for _ in 0..THREADS {
+    for _ in 0..SERVER_THREADS {
         let (server, stand_ins, answer) = (server.clone(), stand_ins.clone(), answer.clone());
         std::thread::spawn(move || {
-            while !stand_ins.is_over() {
-                let Ok(Some(mut request)) = server.recv_timeout(END_POLL_INTERVAL) else {
+            while !stand_ins.is_finished() {
+                let Ok(Some(mut request)) = server.recv_timeout(POLL_INTERVAL) else {
                     continue;
                 };
                 let mut body = String::new();
@@ -130,11 +130,11 @@
 }
 
 fn respond(request: Request, status: u16, text: String) {
-    // Whoever asked may have gone.
+    // The client may have closed the connection.
     let _ = request.respond(Response::from_string(text).with_status_code(status));
 }
 
-/// A path and what follows it.
+/// Path and query of a request.
 struct Url {
     path: String,
     query: BTreeMap<String, String>,
@@ -163,7 +163,7 @@
     (status, serde_json::to_string(value).expect("JSON"))
 }
 
-fn read<T: DeserializeOwned>(body: &str) -> T {
+fn parse_body<T: DeserializeOwned>(body: &str) -> T {
     serde_json::from_str(body).expect("a request")
 }
 
@@ -176,12 +176,12 @@
         self.store.lock().expect("the store")
     }
 
-    fn is_over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    fn is_finished(&self) -> bool {
+        self.finished.load(Ordering::SeqCst)
     }
 
     fn is_refused(&self, controller: usize) -> bool {
-        self.refused[controller].load(Ordering::SeqCst)
+        self.refused_controllers[controller].load(Ordering::SeqCst)
     }
 
     fn state_request(&self, controller: usize, method: &Method, url: &Url, body: &str) -> Answer {
@@ -196,33 +196,36 @@
                 StoreCall::List(url.text("prefix"), after)
             }
             (Method::Get, ["keys", key @ ..]) => StoreCall::Get(key.join("/")),
-            (Method::Post, ["commit"]) => StoreCall::Commit(read(body)),
-            (Method::Post, ["holds"]) => StoreCall::NewLease(read::<LeaseRequest>(body).ttl_ms),
+            (Method::Post, ["commit"]) => StoreCall::Commit(parse_body(body)),
+            (Method::Post, ["holds"]) => {
+                StoreCall::NewLease(parse_body::<LeaseRequest>(body).ttl_ms)
+            }
             (Method::Post, ["holds", id, "renew"]) => StoreCall::Renew(lease_id(id)),
             (Method::Delete, ["holds", id]) => StoreCall::EndLease(lease_id(id)),
-            _ => panic!("{method} {}", url.path),
+            _ => panic!("unexpected request: {method} {}", url.path),
         };
         let answer = self.store().call(&call, self.now());
         state_answer(answer)
     }
 
-    /// Waits until something has changed, or the time runs out.
+    /// Answers a watch as soon as there are changes, or without any once the time that it may wait has passed. A
+    /// refused controller receives no changes.
     fn watch(&self, controller: usize, url: &Url) -> Answer {
         let after = Version(url.number("after"));
         let block_ms = (url.query.get("blockMs")).map_or(0, |_| url.number("blockMs"));
         let until = Instant::now() + Duration::from_millis(block_ms);
         loop {
             let refused = self.is_refused(controller);
-            let seen = if refused {
+            let changes = if refused {
                 None
             } else {
                 self.store().since(after)
             };
-            let (revision, events) = match seen {
-                Some(seen) => seen,
+            let (revision, events) = match changes {
+                Some(changes) => changes,
                 None if Instant::now() >= until => (after, Vec::new()),
                 None => {
-                    std::thread::sleep(WATCH_LOOKS);
+                    std::thread::sleep(WATCH_POLL_INTERVAL);
                     continue;
                 }
             };
@@ -238,17 +241,17 @@
                     .get("after")
                     .map(|id| MachineId::from(id.as_str())),
             ),
-            (Method::Post, "/rentals") => CloudCall::Rent(read(body)),
-            (Method::Post, "/rentals/return") => CloudCall::Return(read(body)),
-            _ => panic!("{method} {}", url.path),
+            (Method::Post, "/rentals") => CloudCall::Rent(parse_body(body)),
+            (Method::Post, "/rentals/return") => CloudCall::Return(parse_body(body)),
+            _ => panic!("unexpected request: {method} {}", url.path),
         };
         let answer = {
             let mut cloud = self.cloud.lock().expect("the cloud");
             let answer = cloud.call(&call, self.now());
-            // By the time of the answer the machines and everything on them are gone.
+            // Returned machines and everything on them must be gone by the time of the answer.
             for id in cloud.gone() {
-                if let Some(agent) = self.agents.lock().expect("the workers").remove(&id) {
-                    agent.end();
+                if let Some(agent) = self.agents.lock().expect("the agents").remove(&id) {
+                    agent.terminate();
                 }
             }
             answer
@@ -266,18 +269,18 @@
 }
 
 impl StandIns {
-    /// Starts the agents of machines that have come up.
-    fn boot_for_ever(&self) {
-        while !self.is_over() {
+    /// Starts the agent of each machine that has booted, until the test ends.
+    fn boot_machines(&self) {
+        while !self.is_finished() {
             {
                 let mut cloud = self.cloud.lock().expect("the cloud");
                 for (id, rent) in cloud.booted(self.now()) {
                     let agent = LoopbackAgent::start(id.clone(), rent, self.shared.clone());
-                    let mut agents = self.agents.lock().expect("the workers");
+                    let mut agents = self.agents.lock().expect("the agents");
                     agents.insert(id, agent);
                 }
             }
-            std::thread::sleep(END_POLL_INTERVAL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/controller/tests/loopback/team_limits.rs
+++ b/crates/controller/tests/loopback/team_limits.rs
@@ -1,12 +1,12 @@
-//! Team limits with several controllers, of which some freeze, end, or lose the store.
+//! Tests of team limits with several controllers, which are paused, killed, or refused by the store.
 //!
-//! Three controllers take a burst of submissions at once. What counts is what the agents ran: at no
-//! instant may a team's tasks use more than its limit, and no task may be on two machines.
+//! Three controllers receive a burst of submissions at once. The check is of what the agents ran: at no instant may a
+//! team's tasks use more than its limit, and no task may run on two machines.
 
 use crate::agents::Shared;
 use crate::controller::{start_all, Controller, Deployment};
 use crate::history::{check, CheckedHistory, History};
-use crate::stand_ins::Outside;
+use crate::stand_ins::ExternalServices;
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -19,26 +19,30 @@
 use std::time::{Duration, Instant};
 use ureq::Agent;
 
-/// Controllers, machines of four CPUs, and submissions of a run.
+/// Controllers of a run.
 const CONTROLLERS: usize = 3;
+/// Machines of a run, with four CPUs each.
 const MACHINES: usize = 10;
+/// Jobs that are submitted in a run.
 const JOBS: u32 = 40;
-/// Teams with limits that the submissions ask for several times over.
+/// Teams and their limits of CPUs. The submissions ask for several times as many CPUs.
 const TEAMS: [(&str, f64); 2] = [("red", 10.0), ("blue", 14.0)];
-/// How long a task runs.
-const TASK: Duration = Duration::from_millis(700);
-/// Faults of a run, and the pause between two.
+/// Time that a task runs.
+const TASK_DURATION: Duration = Duration::from_millis(700);
+/// Faults of a run.
 const FAULTS: usize = 3;
-const PAUSE_MS: std::ops::Range<u64> = 300..1_500;
-/// How long a controller stands still: longer than the leader's lease or not.
-const FREEZE_MS: std::ops::Range<u64> = 500..6_000;
-/// How long the store refuses one.
-const REFUSAL_MS: std::ops::Range<u64> = 500..5_000;
-/// Users ask so often, and the whole run ends by then at the latest.
-const POLL: Duration = Duration::from_millis(150);
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Pause before each fault, in ms.
+const FAULT_PAUSE_MS: std::ops::Range<u64> = 300..1_500;
+/// How long a controller is paused, in ms: longer than the leader's lease or not.
+const CONTROLLER_PAUSE_MS: std::ops::Range<u64> = 500..6_000;
+/// How long the store refuses a controller, in ms.
+const STORE_REFUSAL_MS: std::ops::Range<u64> = 500..5_000;
+/// Pause between two requests of a user.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Time after which a whole run ends at the latest, as users stop waiting for their jobs.
+const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A user, who submits and asks until a job is done.
+/// A user, who submits a job and queries it until it is done.
 struct User {
     agent: Agent,
     public_addresses: Vec<SocketAddr>,
@@ -57,8 +61,8 @@
         }
     }
 
-    /// Status and state of a job, if there was an answer.
-    fn answer(
+    /// Returns the HTTP status of an answer and the job's state in it, if there was an answer.
+    fn read_reply(
         &self,
         result: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
     ) -> Option<(u16, String)> {
@@ -70,53 +74,63 @@
         Some((status, state.to_string()))
     }
 
-    fn submit(&self, at: usize, spec: &JobSpec) -> Option<(u16, String)> {
+    fn submit(&self, controller: usize, spec: &JobSpec) -> Option<(u16, String)> {
         let url = format!(
             "http://{}/v1/jobs",
-            self.public_addresses[at % self.public_addresses.len()]
+            self.public_addresses[controller % self.public_addresses.len()]
         );
         let text = serde_json::to_string(spec).expect("JSON");
-        self.answer(self.agent.post(&url).send(text.as_bytes()))
+        self.read_reply(self.agent.post(&url).send(text.as_bytes()))
     }
 
-    fn ask(&self, at: usize, id: &JobId) -> Option<(u16, String)> {
-        let public_address = self.public_addresses[at % self.public_addresses.len()];
-        self.answer(
+    fn query_job(&self, controller: usize, id: &JobId) -> Option<(u16, String)> {
+        let public_address = self.public_addresses[controller % self.public_addresses.len()];
+        self.read_reply(
             self.agent
                 .get(format!("http://{public_address}/v1/jobs/{id}"))
                 .call(),
         )
     }
 
-    /// Submits a job until it is accepted, and asks until it is done; returns how long that took.
-    fn see_through(&self, first: usize, spec: &JobSpec, until: Instant) -> Option<Duration> {
+    /// Submits a job until it is accepted, and queries it until it is done. Returns how long that took, or nothing if
+    /// the job was not done by the deadline.
+    fn submit_and_wait(
+        &self,
+        first_controller: usize,
+        spec: &JobSpec,
+        deadline: Instant,
+    ) -> Option<Duration> {
         let begun = Instant::now();
-        let mut at = first;
-        while !matches!(self.submit(at, spec), Some((200 | 201, _))) {
-            if Instant::now() > until {
+        let mut controller = first_controller;
+        while !matches!(self.submit(controller, spec), Some((200 | 201, _))) {
+            if Instant::now() > deadline {
                 return None;
             }
-            at += 1;
-            std::thread::sleep(POLL);
+            controller += 1;
+            std::thread::sleep(POLL_INTERVAL);
         }
         let mut done = None;
-        while Instant::now() < until {
-            let answer = self.ask(at, &spec.id);
-            at += 1;
-            match answer {
+        while Instant::now() < deadline {
+            let reply = self.query_job(controller, &spec.id);
+            controller += 1;
+            match reply {
                 Some((200, state)) if state == "done" => {
-                    // Every controller says so from now on.
+                    // From now on every controller must answer that the job is done.
                     let took = *done.get_or_insert_with(|| begun.elapsed());
-                    if at >= first + 2 * self.public_addresses.len() {
+                    if controller >= first_controller + 2 * self.public_addresses.len() {
                         return Some(took);
                     }
                 }
                 Some((200, state)) => {
-                    assert!(done.is_none(), "{} went back to {state}", spec.id);
-                    std::thread::sleep(POLL);
+                    assert!(
+                        done.is_none(),
+                        "job {} was done, but went back to {state}",
+                        spec.id
+                    );
+                    std::thread::sleep(POLL_INTERVAL);
                 }
-                Some((404, _)) => panic!("{} was forgotten", spec.id),
-                _ => std::thread::sleep(POLL),
+                Some((404, _)) => panic!("job {} was accepted, but is unknown", spec.id),
+                _ => std::thread::sleep(POLL_INTERVAL),
             }
         }
         done
@@ -128,39 +142,41 @@
         "id": format!("wk-{n:06}"), "reel": "sweep", "crew": TEAMS[n as usize % 2].0, "rig": "sweep",
         "precedence": "normal", "takes": rng.random_range(1..5), "vcpus": f64::from(rng.random_range(1..3)),
         "gpus": 0.0, "memoryGb": 0.5, "pressing": "img-0", "pullGb": 0.1, "hulls": null, "berth": null,
-        "together": false, "scatter": false, "driftwood": true, "expectedS": TASK.as_secs_f64(),
+        "together": false, "scatter": false, "driftwood": true, "expectedS": TASK_DURATION.as_secs_f64(),
         "snapshotS": 0.0, "stowS": 0.0, "dueS": null});
     serde_json::from_value(value).expect("a job")
 }
 
-/// What a run came to.
-struct Run {
+/// Result of a run.
+struct RunResult {
     checked: CheckedHistory,
+    /// Jobs that were not done by the deadline.
     unfinished: usize,
-    /// Milliseconds from submission to done.
+    /// Time from the first submission of a job until it is done, in ms.
     done_ms: Histogram<u64>,
+    /// Controllers that were seen as leaders.
     leaders: usize,
 }
 
-/// One fault: the leader or any controller freezes, ends, or is refused by the store.
-fn inject_fault(rng: &mut StdRng, controllers: &mut [Controller], outside: &Outside) {
-    let leader = outside.leader();
-    let leading = controllers
+/// Injects one fault: the leader or any controller is paused, is killed and restarted, or is refused by the store.
+fn inject_fault(rng: &mut StdRng, controllers: &mut [Controller], services: &ExternalServices) {
+    let leader = services.leader();
+    let leader_index = controllers
         .iter()
         .position(|c| Some(&c.name) == leader.as_ref());
     let any = rng.random_range(0..controllers.len());
-    let at = leading.filter(|_| rng.random_bool(0.7)).unwrap_or(any);
+    let at = leader_index.filter(|_| rng.random_bool(0.7)).unwrap_or(any);
     match rng.random_range(0..3) {
         0 => {
-            controllers[at].freeze();
-            sleep_ms(rng.random_range(FREEZE_MS));
-            controllers[at].thaw();
+            controllers[at].pause();
+            sleep_ms(rng.random_range(CONTROLLER_PAUSE_MS));
+            controllers[at].resume();
         }
         1 => controllers[at].restart(),
         _ => {
-            outside.refuse(at, true);
-            sleep_ms(rng.random_range(REFUSAL_MS));
-            outside.refuse(at, false);
+            services.set_store_refusal(at, true);
+            sleep_ms(rng.random_range(STORE_REFUSAL_MS));
+            services.set_store_refusal(at, false);
         }
     }
 }
@@ -169,8 +185,8 @@
     std::thread::sleep(Duration::from_millis(ms));
 }
 
-/// Plays a burst with faults drawn by a seed.
-fn play(seed: u64) -> Run {
+/// Runs a burst of submissions with faults that are drawn from a seed.
+fn run_seed(seed: u64) -> RunResult {
     let mut rng = StdRng::seed_from_u64(seed);
     let specs: Vec<JobSpec> = (0..JOBS).map(|n| spec(n, &mut rng)).collect();
     let jobs = specs.iter().map(|s| (s.id.clone(), s.clone())).collect();
@@ -178,44 +194,44 @@
         history: History::default(),
         jobs: Mutex::new(jobs),
         controllers: Mutex::default(),
-        run: TASK,
+        task_duration: TASK_DURATION,
     });
-    let outside = Outside::start(CONTROLLERS, MACHINES, shared.clone());
+    let services = ExternalServices::start(CONTROLLERS, MACHINES, shared.clone());
     let deployment = Deployment {
         controllers: CONTROLLERS,
         sockets: 400,
         teams: TEAMS.to_vec(),
     };
-    let mut controllers = start_all(&deployment, &outside);
+    let mut controllers = start_all(&deployment, &services);
     let public_addresses: Vec<SocketAddr> = controllers.iter().map(|c| c.public_address).collect();
     let named = controllers
         .iter()
         .map(|c| (c.name.clone(), c.public_address));
     *shared.controllers.lock().expect("controllers") = named.collect();
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + RUN_TIMEOUT;
     let users: Vec<_> = (specs.into_iter().enumerate())
         .map(|(n, spec)| {
             let user = User::new(public_addresses.clone());
-            std::thread::spawn(move || user.see_through(n, &spec, until))
+            std::thread::spawn(move || user.submit_and_wait(n, &spec, deadline))
         })
         .collect();
     let mut leaders = std::collections::BTreeSet::new();
     for _ in 0..FAULTS {
-        sleep_ms(rng.random_range(PAUSE_MS));
-        leaders.extend(outside.leader());
-        inject_fault(&mut rng, &mut controllers, &outside);
+        sleep_ms(rng.random_range(FAULT_PAUSE_MS));
+        leaders.extend(services.leader());
+        inject_fault(&mut rng, &mut controllers, &services);
     }
     let took: Vec<Option<Duration>> = (users.into_iter())
-        .map(|user| user.join().expect("answers that keep the rules"))
+        .map(|user| user.join().expect("no answer broke the users' rules"))
         .collect();
-    leaders.extend(outside.leader());
+    leaders.extend(services.leader());
     drop(controllers);
     let mut done_ms = Histogram::new_with_bounds(1, 600_000, 3).expect("a histogram");
     for took in took.iter().flatten() {
         done_ms.saturating_record(took.as_millis() as u64);
     }
     let limits: BTreeMap<String, f64> = TEAMS.map(|(team, cpus)| (team.into(), cpus)).into();
-    Run {
+    RunResult {
         checked: check(&shared.history.events(), &limits),
         unfinished: took.iter().filter(|took| took.is_none()).count(),
         done_ms,
@@ -223,12 +239,12 @@
     }
 }
 
-/// Plays a run, prints what it came to, and returns whether it kept the rules and finished all jobs.
-fn is_sound(seed: u64) -> bool {
-    let run = play(seed);
-    let used = TEAMS.map(|(team, _)| run.checked.most_used(team));
+/// Runs a seed, prints the result, and returns whether no rule was violated and all jobs were done.
+fn run_passes(seed: u64) -> bool {
+    let run = run_seed(seed);
+    let peaks = TEAMS.map(|(team, _)| run.checked.peak_cpus(team));
     println!(
-        "seed {seed}: {} starts, most used {used:?}, {} leaders, {} unfinished, done after p50 {} p99 {} ms, {:?}",
+        "seed {seed}: {} starts, peak CPUs {peaks:?}, {} leaders, {} unfinished, done after p50 {} p99 {} ms, {:?}",
         run.checked.starts,
         run.leaders,
         run.unfinished,
@@ -238,34 +254,36 @@
     );
     assert!(
         run.checked.starts >= JOBS as usize,
-        "the workers ran nothing"
+        "the agents started fewer tasks than there are jobs"
     );
     run.checked.violations.is_empty() && run.unfinished == 0
 }
 
-/// Plays runs with some seeds, several at a time; returns those that were not sound.
-fn play_all(seeds: std::ops::Range<u64>, at_a_time: usize) -> Vec<u64> {
+/// Runs a range of seeds, several at a time, and returns those that failed.
+fn failed_seeds(seeds: std::ops::Range<u64>, at_a_time: usize) -> Vec<u64> {
     let seeds = Arc::new(Mutex::new(seeds));
-    let play_on = |_| {
+    let run_seeds = |_| {
         let seeds = seeds.clone();
         std::thread::spawn(move || {
             let next = || seeds.lock().expect("the seeds").next();
-            let unsound = |seed: &u64| !is_sound(*seed);
-            std::iter::from_fn(next).filter(unsound).collect()
+            let fails = |seed: &u64| !run_passes(*seed);
+            std::iter::from_fn(next).filter(fails).collect()
         })
     };
-    let threads: Vec<std::thread::JoinHandle<Vec<u64>>> = (0..at_a_time).map(play_on).collect();
-    let found = threads.into_iter().map(|t| t.join().expect("its runs"));
+    let threads: Vec<std::thread::JoinHandle<Vec<u64>>> = (0..at_a_time).map(run_seeds).collect();
+    let found = threads
+        .into_iter()
+        .map(|t| t.join().expect("the runs of the thread"));
     found.flatten().collect()
 }
 
 #[test]
 fn no_team_exceeds_its_limit_while_controllers_fail() {
-    assert_eq!(play_all(1..4, 3), Vec::<u64>::new());
+    assert_eq!(failed_seeds(1..4, 3), Vec::<u64>::new());
 }
 
-/// More runs: `SEEDS=100..1100 AT_A_TIME=8 cargo test --release -p rudderreel --test loopback many --
-/// --ignored --nocapture`.
+/// Runs any range of seeds. The command is
+/// `SEEDS=100..1100 AT_A_TIME=8 cargo test --release -p rudderreel --test loopback many -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes long"]
 fn many_runs_of_team_limits() {
@@ -274,5 +292,5 @@
     let (from, to) = seeds.split_once("..").expect("SEEDS=from..to");
     let (from, to): (u64, u64) = (from.parse().expect("a seed"), to.parse().expect("a seed"));
     let at_a_time = var("AT_A_TIME").parse().unwrap_or(1);
-    assert_eq!(play_all(from..to, at_a_time), Vec::<u64>::new());
+    assert_eq!(failed_seeds(from..to, at_a_time), Vec::<u64>::new());
 }
