--- a/crates/controller/src/clients/cloud.rs
+++ b/crates/controller/src/clients/cloud.rs
@@ -10,7 +10,7 @@
 pub fn call_cloud(client: &Agent, addr: SocketAddrV4, call: &CloudCall) -> CloudAnswer {
     let reply = match call {
         CloudCall::Catalog => get(client, &format!("http://{addr}/catalog")),
-        CloudCall::Rent(rent) => post_json(client, &format!("http://{addr}/rentals"), rent),
+        CloudCall::ScaleOut(rent) => post_json(client, &format!("http://{addr}/rentals"), rent),
         CloudCall::Return(names) => {
             post_json(client, &format!("http://{addr}/rentals/return"), names)
         }
@@ -30,10 +30,12 @@
     };
     match (status, call) {
         (200, CloudCall::Catalog) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Catalog),
-        (200, CloudCall::Rent(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Rented),
+        (200, CloudCall::ScaleOut(_)) => {
+            parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Rented)
+        }
         (200..=204, CloudCall::Return(_)) => CloudAnswer::Returned,
         (200, CloudCall::List(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Page),
-        (503, CloudCall::Rent(_)) if is_no_capacity_error(&body) => CloudAnswer::NoCapacity,
+        (503, CloudCall::ScaleOut(_)) if is_no_capacity_error(&body) => CloudAnswer::NoCapacity,
         (400, _) => CloudAnswer::Rejected,
         _ => CloudAnswer::Refused,
     }
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -238,7 +238,7 @@
                     .get("after")
                     .map(|id| MachineId::from(id.as_str())),
             ),
-            (Method::Post, "/rentals") => CloudCall::Rent(read(body)),
+            (Method::Post, "/rentals") => CloudCall::ScaleOut(read(body)),
             (Method::Post, "/rentals/return") => CloudCall::Return(read(body)),
             _ => panic!("{method} {}", url.path),
         };
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -33,7 +33,7 @@
     fn to_call(&self) -> CloudCall {
         match self {
             Self::Catalog => CloudCall::Catalog,
-            Self::ScaleOut(request) => CloudCall::Rent(request.clone()),
+            Self::ScaleOut(request) => CloudCall::ScaleOut(request.clone()),
             Self::ScaleIn(machines) => CloudCall::Return(MachineNames {
                 machines: machines.clone(),
             }),
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -111,7 +111,7 @@
     /// Read the machine types.
     Catalog,
     /// Rent machines.
-    Rent(Rent),
+    ScaleOut(Rent),
     /// Return machines.
     Return(MachineNames),
     /// List the machines after a name if one is given, else from the first.
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -85,7 +85,7 @@
                     zones: self.zones.iter().map(|zone| (*zone).into()).collect(),
                 }],
             }),
-            CloudCall::Rent(rent) => {
+            CloudCall::ScaleOut(rent) => {
                 if let Some(machines) = self.requested.get(&rent.request) {
                     let machines = machines.clone();
                     return CloudAnswer::Rented(MachineNames { machines });
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -126,7 +126,7 @@
     fn cloud_call(&mut self, call: &CloudCall) {
         match call {
             CloudCall::Catalog => self.kind("catalog", 0),
-            CloudCall::Rent(rent) => {
+            CloudCall::ScaleOut(rent) => {
                 self.kind("rent", 0);
                 self.json(rent);
             }
