--- a/crates/controller/src/clients/cloud.rs
+++ b/crates/controller/src/clients/cloud.rs
@@ -11,7 +11,7 @@
     let reply = match call {
         CloudCall::Catalog => get(client, &format!("http://{addr}/catalog")),
         CloudCall::ScaleOut(rent) => post_json(client, &format!("http://{addr}/rentals"), rent),
-        CloudCall::Return(names) => {
+        CloudCall::ScaleIn(names) => {
             post_json(client, &format!("http://{addr}/rentals/return"), names)
         }
         CloudCall::List(after) => {
@@ -33,7 +33,7 @@
         (200, CloudCall::ScaleOut(_)) => {
             parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Rented)
         }
-        (200..=204, CloudCall::Return(_)) => CloudAnswer::Returned,
+        (200..=204, CloudCall::ScaleIn(_)) => CloudAnswer::Returned,
         (200, CloudCall::List(_)) => parse_json(&body, CloudAnswer::Unknown, CloudAnswer::Page),
         (503, CloudCall::ScaleOut(_)) if is_no_capacity_error(&body) => CloudAnswer::NoCapacity,
         (400, _) => CloudAnswer::Rejected,
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -239,7 +239,7 @@
                     .map(|id| MachineId::from(id.as_str())),
             ),
             (Method::Post, "/rentals") => CloudCall::ScaleOut(read(body)),
-            (Method::Post, "/rentals/return") => CloudCall::Return(read(body)),
+            (Method::Post, "/rentals/return") => CloudCall::ScaleIn(read(body)),
             _ => panic!("{method} {}", url.path),
         };
         let answer = {
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -34,7 +34,7 @@
         match self {
             Self::Catalog => CloudCall::Catalog,
             Self::ScaleOut(request) => CloudCall::ScaleOut(request.clone()),
-            Self::ScaleIn(machines) => CloudCall::Return(MachineNames {
+            Self::ScaleIn(machines) => CloudCall::ScaleIn(MachineNames {
                 machines: machines.clone(),
             }),
             Self::List(after) => CloudCall::List(after.clone()),
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -113,7 +113,7 @@
     /// Rent machines.
     ScaleOut(Rent),
     /// Return machines.
-    Return(MachineNames),
+    ScaleIn(MachineNames),
     /// List the machines after a name if one is given, else from the first.
     List(Option<MachineId>),
 }
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -102,7 +102,7 @@
                     .insert(rent.request.clone(), machines.clone());
                 CloudAnswer::Rented(MachineNames { machines })
             }
-            CloudCall::Return(names) => {
+            CloudCall::ScaleIn(names) => {
                 for id in &names.machines {
                     self.machines.remove(id);
                     self.booting.remove(id);
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -130,7 +130,7 @@
                 self.kind("rent", 0);
                 self.json(rent);
             }
-            CloudCall::Return(names) => {
+            CloudCall::ScaleIn(names) => {
                 self.kind("return", 0);
                 self.json(names);
             }
