--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Change, Event, History};
 use rudderreel_core::Value;
-use rudderreel_wire::cloud::Rent;
+use rudderreel_wire::cloud::ScaleOutRequest;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::worker::{
@@ -56,7 +56,7 @@
 /// An agent, which runs on threads of its own until its machine is gone.
 pub struct LoopbackAgent {
     id: MachineId,
-    rent: Rent,
+    rent: ScaleOutRequest,
     addr: SocketAddr,
     shared: Arc<Shared>,
     memory: Mutex<Memory>,
@@ -65,7 +65,7 @@
 
 impl LoopbackAgent {
     /// Starts one.
-    pub fn start(id: MachineId, rent: Rent, shared: Arc<Shared>) -> Arc<Self> {
+    pub fn start(id: MachineId, rent: ScaleOutRequest, shared: Arc<Shared>) -> Arc<Self> {
         let server = Server::http("127.0.0.1:0").expect("it listens");
         let addr = server.server_addr().to_ip().expect("an address");
         let memory = Memory {
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::io::{CallId, CloudCall, Output};
 use crate::units::{Span, Time};
-use rudderreel_wire::cloud::{MachineNames, Rent, MACHINES_PER_PAGE};
+use rudderreel_wire::cloud::{MachineNames, ScaleOutRequest, MACHINES_PER_PAGE};
 use rudderreel_wire::ids::MachineId;
 use std::collections::{HashMap, VecDeque};
 
@@ -21,7 +21,7 @@
     /// Read the machine types.
     Catalog,
     /// Request machines.
-    ScaleOut(Rent),
+    ScaleOut(ScaleOutRequest),
     /// Return machines.
     ScaleIn(Vec<MachineId>),
     /// Read the page of the machine list that follows this machine; the first page if there is none.
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::Machine;
 use crate::units::{Span, Time};
-use rudderreel_wire::cloud::{Rent, MACHINES_PER_RENTAL};
+use rudderreel_wire::cloud::{ScaleOutRequest, MACHINES_PER_RENTAL};
 use rudderreel_wire::ids::{Epoch, TypeName, Zone};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -51,8 +51,8 @@
     }
 }
 
-impl From<&Rent> for InstanceOffer {
-    fn from(request: &Rent) -> Self {
+impl From<&ScaleOutRequest> for InstanceOffer {
+    fn from(request: &ScaleOutRequest) -> Self {
         Self {
             machine_type: request.machine_type.clone(),
             zone: request.zone.clone(),
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub struct ScaleOutRequests {
     /// Requests that are queued, sent, or to be repeated.
-    open: Vec<Rent>,
+    open: Vec<ScaleOutRequest>,
     refused: BTreeMap<InstanceOffer, Refusal>,
     /// Number of the last request.
     last_number: u64,
@@ -91,7 +91,7 @@
 
 impl ScaleOutRequests {
     /// Returns the requests that are queued, sent, or to be repeated.
-    pub fn open_requests(&self) -> &[Rent] {
+    pub fn open_requests(&self) -> &[ScaleOutRequest] {
         &self.open
     }
 
@@ -121,7 +121,7 @@
     fn open_request(&mut self, offer: &InstanceOffer, count: u32, epoch: Epoch) {
         let request = self.next_request_id(epoch);
         log::info!("scale-out requested request={request} count={count} {offer}");
-        self.open.push(Rent {
+        self.open.push(ScaleOutRequest {
             request,
             machine_type: offer.machine_type.clone(),
             zone: offer.zone.clone(),
@@ -138,7 +138,7 @@
 
     /// Records that the cloud has answered a request with this many machines. If they are fewer than were requested,
     /// the cloud has no more of them, and the offer counts as refused.
-    pub fn fulfil(&mut self, request: &Rent, machines: usize, now: Time) {
+    pub fn fulfil(&mut self, request: &ScaleOutRequest, machines: usize, now: Time) {
         if (machines as u32) < request.count {
             self.refuse(request, now);
         } else {
@@ -148,7 +148,7 @@
     }
 
     /// Records that the cloud has refused a request, or the rest of it.
-    pub fn refuse(&mut self, request: &Rent, now: Time) {
+    pub fn refuse(&mut self, request: &ScaleOutRequest, now: Time) {
         self.close(request);
         let refusal = self
             .refused
@@ -158,7 +158,7 @@
         refusal.doublings = (refusal.doublings + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    fn close(&mut self, request: &Rent) {
+    fn close(&mut self, request: &ScaleOutRequest) {
         self.open.retain(|open| open.request != request.request);
     }
 
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -16,7 +16,7 @@
 pub use admin_request::AdminRequest;
 
 use crate::units::Time;
-use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
+use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, ScaleOutRequest};
 use rudderreel_wire::ids::{JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::peer::{
@@ -111,7 +111,7 @@
     /// Read the machine types.
     Catalog,
     /// Rent machines.
-    ScaleOut(Rent),
+    ScaleOut(ScaleOutRequest),
     /// Return machines.
     ScaleIn(MachineNames),
     /// List the machines after a name if one is given, else from the first.
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -6,7 +6,7 @@
 use crate::io::{CallId, CloudAnswer};
 use crate::node::Node;
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
+use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, ScaleOutRequest};
 use rudderreel_wire::ids::MachineId;
 
 /// Interval at which idle machines are returned together, since few calls to the cloud are allowed.
@@ -176,7 +176,7 @@
         }
     }
 
-    fn scale_out_answered(&mut self, request: &Rent, answer: CloudAnswer, now: Now) {
+    fn scale_out_answered(&mut self, request: &ScaleOutRequest, answer: CloudAnswer, now: Now) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -1,7 +1,7 @@
 //! A stand-in for an agent, by the protocol: incarnations, leases, tokens, commands.
 
 use super::ObservedJob;
-use rudderreel_wire::cloud::Rent;
+use rudderreel_wire::cloud::ScaleOutRequest;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
@@ -38,7 +38,7 @@
 pub struct SimulatedAgent {
     gang_wait_ms: u64,
     id: MachineId,
-    rent: Rent,
+    rent: ScaleOutRequest,
     pub incarnation: Incarnation,
     seq: u64,
     pub token: Epoch,
@@ -61,7 +61,7 @@
 
 impl SimulatedAgent {
     /// An agent whose gang tasks wait so long for the others.
-    pub fn new(id: MachineId, rent: Rent, gang_wait_ms: u64, now: u64) -> Self {
+    pub fn new(id: MachineId, rent: ScaleOutRequest, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
             id,
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -2,7 +2,7 @@
 
 use rudderreel_core::{CloudAnswer, CloudCall};
 use rudderreel_wire::cloud::{
-    Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, Rent,
+    Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, ScaleOutRequest,
 };
 use rudderreel_wire::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct Cloud {
     requested: BTreeMap<String, Vec<MachineId>>,
-    machines: BTreeMap<MachineId, (Rent, u64)>,
+    machines: BTreeMap<MachineId, (ScaleOutRequest, u64)>,
     /// Those that are not up yet.
     booting: BTreeSet<MachineId>,
     /// Those that were returned since this was last asked.
@@ -50,7 +50,7 @@
     }
 
     /// Machines that have come up since the last time.
-    pub fn booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
+    pub fn booted(&mut self, now: u64) -> Vec<(MachineId, ScaleOutRequest)> {
         let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot(id);
         let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
         let rented = |id: MachineId| {
@@ -133,7 +133,7 @@
         }
     }
 
-    fn add(&mut self, rent: &Rent, now: u64) -> MachineId {
+    fn add(&mut self, rent: &ScaleOutRequest, now: u64) -> MachineId {
         self.next += 1;
         let id = MachineId::from(format!("vm-{:06}", self.next).as_str());
         self.machines.insert(id.clone(), (rent.clone(), now));
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -78,7 +78,7 @@
 
 /// A scale-out request: machines to rent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct ScaleOutRequest {
     /// The request's id, never reused.
     #[serde(rename = "charter")]
     pub request: String,
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The words on the wire, as the protocol writes them.
 
-use rudderreel_wire::cloud::{Catalog, MachinePage, Rent};
+use rudderreel_wire::cloud::{Catalog, MachinePage, ScaleOutRequest};
 use rudderreel_wire::job::{JobSpec, Kind, Priority};
 use rudderreel_wire::settings::Settings;
 use rudderreel_wire::state::{Events, Transaction};
@@ -33,7 +33,9 @@
         {"verb":"reap","take":"wk-000398/0","launch":1}]}));
     assert!(matches!(reply.commands[1], Command::Stop { grace_s, .. } if grace_s == 10.0));
     round::<DirectCommands>(json!({"helm":41,"watch":1,"orders":[]}));
-    round::<Rent>(json!({"charter":"r-17","hull":"g8","berth":"a","driftwood":true,"count":12}));
+    round::<ScaleOutRequest>(
+        json!({"charter":"r-17","hull":"g8","berth":"a","driftwood":true,"count":12}),
+    );
     round::<Transaction<Value>>(json!({"if":[{"key":"a/b","stamp":0}],
         "apply":[{"set":"a/b","data":{"x":[1]},"mooring":7},{"delete":"c/d"}]}));
     round::<Events<Value>>(json!({"logline":433,"log":[
