--- a/crates/core/src/capacity/scale_out/tests.rs
+++ b/crates/core/src/capacity/scale_out/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::testing::{leader, NOW};
-use rudderreel_wire::cloud::MACHINES_PER_RENTAL;
+use rudderreel_wire::cloud::MAX_MACHINES_PER_SCALE_OUT;
 
 /// Guards against a fixed limit of five open requests of fifty machines, whatever rate of calls the cloud accepts: a
 /// fleet of thousands of machines was requested only at that rate.
@@ -25,7 +25,7 @@
             .open_requests()
             .iter()
             .map(|request| request.count);
-        assert!(counts.all(|count| count == MACHINES_PER_RENTAL));
+        assert!(counts.all(|count| count == MAX_MACHINES_PER_SCALE_OUT));
         assert!(leader.scale_out.may_request(&offer, NOW.time));
     }
 }
--- a/crates/core/src/cloud/scale_out_requests.rs
+++ b/crates/core/src/cloud/scale_out_requests.rs
@@ -5,7 +5,7 @@
 
 use crate::fleet::Machine;
 use crate::units::{Span, Time};
-use rudderreel_wire::cloud::{ScaleOutRequest, MACHINES_PER_RENTAL};
+use rudderreel_wire::cloud::{ScaleOutRequest, MAX_MACHINES_PER_SCALE_OUT};
 use rudderreel_wire::ids::{Epoch, TypeName, Zone};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
         for (offer, machines) in wanted {
             let mut remaining = machines.count;
             while remaining > 0 && self.open.len() < max_open {
-                let count = remaining.min(MACHINES_PER_RENTAL);
+                let count = remaining.min(MAX_MACHINES_PER_SCALE_OUT);
                 remaining -= count;
                 self.open_request(&offer, count, epoch);
             }
--- a/crates/core/src/cloud/scale_out_requests/tests.rs
+++ b/crates/core/src/cloud/scale_out_requests/tests.rs
@@ -46,7 +46,7 @@
 
 #[test]
 fn nothing_is_requested_while_several_requests_are_open() {
-    let mut requests = with_request(&offer("a"), 2 * MACHINES_PER_RENTAL);
+    let mut requests = with_request(&offer("a"), 2 * MAX_MACHINES_PER_SCALE_OUT);
     assert_eq!(requests.open_requests().len(), 2);
     requests.request(BTreeMap::from([(offer("b"), wanted(1))]), 5, EPOCH);
     assert_eq!(requests.open_requests().len(), 2);
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Machines that one rental request may name, by the protocol.
-pub const MACHINES_PER_RENTAL: u32 = 50;
+pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Machines that one return may name.
 pub const MACHINES_PER_RETURN: usize = 100;
 /// Machines on a page of the list.
