--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -10,7 +10,7 @@
 use crate::leader::Leader;
 use crate::scheduling::actions::should_avoid_gpus;
 use crate::units::{Now, Span, Time};
-use rudderreel_wire::cloud::MACHINES_PER_RETURN;
+use rudderreel_wire::cloud::MAX_MACHINES_PER_SCALE_IN;
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TypeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -146,14 +146,14 @@
 
 impl Leader {
     /// Marks machines as retired: idle ones once they have been paid for, stuck and dead ones. Returns those whose
-    /// return is to be requested now, at most [`MACHINES_PER_RETURN`].
+    /// return is to be requested now, at most [`MAX_MACHINES_PER_SCALE_IN`].
     pub(crate) fn machines_to_return(&mut self, now: Now) -> MachinesToReturn {
         let policy = ScaleInPolicy::new(self, now);
         let mut machines = Vec::new();
         let mut urgency = Urgency::CanWait;
         for machine in self.fleet.machines.values_mut() {
             policy.update_retirement(machine);
-            if policy.is_due(machine) && machines.len() < MACHINES_PER_RETURN {
+            if policy.is_due(machine) && machines.len() < MAX_MACHINES_PER_SCALE_IN {
                 machines.push(machine.id.clone());
                 if is_urgent(machine) {
                     urgency = Urgency::Now;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -6,7 +6,7 @@
 /// Machines that one rental request may name, by the protocol.
 pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Machines that one return may name.
-pub const MACHINES_PER_RETURN: usize = 100;
+pub const MAX_MACHINES_PER_SCALE_IN: usize = 100;
 /// Machines on a page of the list.
 pub const MACHINES_PER_PAGE: usize = 500;
 
