--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -105,7 +105,7 @@
             })
             .map(|machine_type| machine_type.price)
             .fold(f64::INFINITY, f64::min);
-        lowest_price * CHEAP_RATIO <= self.policy.catalog.most_dear()
+        lowest_price * CHEAP_RATIO <= self.policy.catalog.highest_price()
     }
 }
 
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -168,7 +168,7 @@
     /// GPUs cost next to nothing compared with those with GPUs, and the next job has to wait for a boot if they are
     /// gone.
     fn idle_retention(&self) -> BTreeMap<(TypeName, bool), Span> {
-        let highest_price = self.policy.catalog.most_dear();
+        let highest_price = self.policy.catalog.highest_price();
         let kinds = (self.policy.catalog.types.iter())
             .flat_map(|machine_type| [(machine_type, false), (machine_type, true)]);
         kinds
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -71,7 +71,7 @@
     }
 
     /// The highest ordinary price.
-    pub fn most_dear(&self) -> f64 {
+    pub fn highest_price(&self) -> f64 {
         self.types.iter().map(|t| t.price).fold(0.0, f64::max)
     }
 }
