--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -6,7 +6,7 @@
 
 use rudderreel_core::{ConnectionLimits, FleetLimits};
 use rudderreel_wire::peer::MAX_MESSAGE_BYTES;
-use rudderreel_wire::settings::{ProcessLimits as PlatformLimits, Settings};
+use rudderreel_wire::settings::{PlatformLimits, Settings};
 
 /// Number of sockets that is assumed if neither the platform nor the system sets a limit, and the most that is used of
 /// the system's own limit.
--- a/crates/core/src/overload/fleet_limits/tests.rs
+++ b/crates/core/src/overload/fleet_limits/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::testing::settings;
-use rudderreel_wire::settings::ProcessLimits;
+use rudderreel_wire::settings::PlatformLimits;
 
 fn with_sockets(fd_limit: u32) -> Option<FleetLimits> {
     let mut settings = settings();
-    settings.params.limits = Some(ProcessLimits {
+    settings.params.limits = Some(PlatformLimits {
         cpu_share: None,
         memory_mb: Some(258.0),
         fd_limit,
--- a/crates/core/src/overload/processor_share/tests.rs
+++ b/crates/core/src/overload/processor_share/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use crate::testing::settings;
-use rudderreel_wire::settings::ProcessLimits;
+use rudderreel_wire::settings::PlatformLimits;
 
 fn with_share(cpu_share: Option<f64>) -> ProcessorShare {
     let mut settings = settings();
-    settings.params.limits = Some(ProcessLimits {
+    settings.params.limits = Some(PlatformLimits {
         cpu_share,
         memory_mb: None,
         fd_limit: 0,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -83,7 +83,7 @@
     pub cloud: CloudLimits,
     /// What this process may use.
     #[serde(rename = "machine_limits", default)]
-    pub limits: Option<ProcessLimits>,
+    pub limits: Option<PlatformLimits>,
 }
 
 /// A team's guarantee and limit. 0 means none.
@@ -180,7 +180,7 @@
 
 /// What this process may use.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ProcessLimits {
+pub struct PlatformLimits {
     /// Part of one core; none if the platform names none.
     #[serde(rename = "core_share", default)]
     pub cpu_share: Option<f64>,
