--- a/crates/controller/src/clients/store.rs
+++ b/crates/controller/src/clients/store.rs
@@ -43,7 +43,7 @@
         StoreCall::Commit(transaction) => {
             post_json(client, &format!("http://{addr}/commit"), transaction)
         }
-        StoreCall::NewLease(ttl_ms) => {
+        StoreCall::AcquireLease(ttl_ms) => {
             let body = LeaseRequest { ttl_ms: *ttl_ms };
             post_json(client, &format!("http://{addr}/holds"), &body)
         }
@@ -77,7 +77,7 @@
         (200, StoreCall::Commit(_)) => parse_json(body, StoreAnswer::Unknown, |c: Committed| {
             StoreAnswer::Committed(c.revision)
         }),
-        (200, StoreCall::NewLease(_)) => parse_json(body, StoreAnswer::Unknown, |l: Lease| {
+        (200, StoreCall::AcquireLease(_)) => parse_json(body, StoreAnswer::Unknown, |l: Lease| {
             StoreAnswer::Lease(l.lease)
         }),
         (200..=204, StoreCall::Renew(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
--- a/crates/controller/src/clients/tests.rs
+++ b/crates/controller/src/clients/tests.rs
@@ -20,7 +20,7 @@
         StoreCall::Get("pub/job/wk-1".into()),
         StoreCall::List("pub/".into(), None),
         StoreCall::Commit(transaction),
-        StoreCall::NewLease(3_000),
+        StoreCall::AcquireLease(3_000),
         StoreCall::Changes("pub/".into(), Version(3)),
     ];
     for call in &calls {
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -75,7 +75,7 @@
 fn is_about_lease(call: &StoreCall) -> bool {
     matches!(
         call,
-        StoreCall::NewLease(_)
+        StoreCall::AcquireLease(_)
             | StoreCall::Renew(_)
             | StoreCall::EndLease(_)
             | StoreCall::Changes(..)
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -49,7 +49,7 @@
     };
     let answers: Vec<Option<Input>> = [
         Output::Store(id, StoreCall::Get("epoch".into())),
-        Output::Store(id, StoreCall::NewLease(3_000)),
+        Output::Store(id, StoreCall::AcquireLease(3_000)),
         Output::Watch(Version(3)),
         Output::Cloud(id, CloudCall::Catalog),
         direct,
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -197,7 +197,7 @@
             }
             (Method::Get, ["keys", key @ ..]) => StoreCall::Get(key.join("/")),
             (Method::Post, ["commit"]) => StoreCall::Commit(read(body)),
-            (Method::Post, ["holds"]) => StoreCall::NewLease(read::<LeaseRequest>(body).ttl_ms),
+            (Method::Post, ["holds"]) => StoreCall::AcquireLease(read::<LeaseRequest>(body).ttl_ms),
             (Method::Post, ["holds", id, "renew"]) => StoreCall::Renew(lease_id(id)),
             (Method::Delete, ["holds", id]) => StoreCall::EndLease(lease_id(id)),
             _ => panic!("{method} {}", url.path),
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -69,7 +69,7 @@
     /// Commit a transaction.
     Commit(Transaction<Value>),
     /// Acquire a lease with a time to live in milliseconds.
-    NewLease(u64),
+    AcquireLease(u64),
     /// Renew a lease.
     Renew(LeaseId),
     /// End a lease.
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -158,7 +158,7 @@
         if now < self.campaigns_paused_until {
             return self.give_up(now);
         }
-        let call = StoreCall::NewLease(LEADER_LEASE_TTL.0);
+        let call = StoreCall::AcquireLease(LEADER_LEASE_TTL.0);
         ElectionProgress::request(call, ElectionCall::AcquireLease)
     }
 
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -117,7 +117,7 @@
                 self.kind("commit", 0);
                 self.json(transaction);
             }
-            StoreCall::NewLease(ttl_ms) => self.kind("new lease", *ttl_ms),
+            StoreCall::AcquireLease(ttl_ms) => self.kind("new lease", *ttl_ms),
             StoreCall::Renew(lease) => self.kind("renew", lease.0),
             StoreCall::EndLease(lease) => self.kind("end lease", lease.0),
         }
--- a/crates/core/tests/sim/world/store.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -268,7 +268,7 @@
                 }
                 StoreAnswer::Committed(Version(self.revision))
             }
-            StoreCall::NewLease(ttl) => {
+            StoreCall::AcquireLease(ttl) => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*ttl, now + ttl));
                 StoreAnswer::Lease(LeaseId(self.next_lease))
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -154,7 +154,7 @@
             let leads = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
             t.conditions.iter().any(|c| leads(&c.key)) && !t.changes.is_empty()
         }
-        rudderreel_core::StoreCall::NewLease(_) => true,
+        rudderreel_core::StoreCall::AcquireLease(_) => true,
         _ => false,
     }
 }
