--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -165,7 +165,7 @@
             incarnation: memory.incarnation,
             seq: Seq(memory.seq),
             token: memory.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: memory.tasks.iter().map(listed).collect(),
         }
     }
--- a/crates/controller/tests/loopback/fleet.rs
+++ b/crates/controller/tests/loopback/fleet.rs
@@ -78,7 +78,7 @@
         incarnation: Incarnation(1),
         seq: Seq(seq),
         token: Epoch(0),
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: Vec::new(),
     };
     serde_json::to_string(&report).expect("JSON")
--- a/crates/core/src/agents/forwarded_reports.rs
+++ b/crates/core/src/agents/forwarded_reports.rs
@@ -52,7 +52,7 @@
                 Ok(StatusReport {
                     seq: Seq(forwarded.seq),
                     token: Epoch(forwarded.token),
-                    notice_s: forwarded.notice_s,
+                    reclaim_in_s: forwarded.reclaim_in_s,
                     ..repeated
                 })
             }
@@ -74,7 +74,7 @@
             incarnation: list.incarnation,
             seq: list.seq,
             token: self.term.epoch(),
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: machine.reported_tasks.tasks.to_vec(),
         })
     }
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -201,7 +201,7 @@
             incarnation: report.incarnation.0,
             seq: report.seq.0,
             token: report.token.0,
-            notice_s: report.notice_s,
+            reclaim_in_s: report.reclaim_in_s,
             tasks,
         }
     }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -201,7 +201,7 @@
         self.acknowledged_epoch = report.token;
         self.addr = Some(report.addr.clone());
         self.last_heard_at = Some(now);
-        self.reclaim_at = report.notice_s.map(|s| now + Span::secs(s));
+        self.reclaim_at = report.reclaim_in_s.map(|s| now + Span::secs(s));
         let mut changes = Vec::new();
         self.tasks.retain_mut(|placed| {
             let status = (report.tasks.iter()).find(|t| placed.is(&t.task, t.attempt));
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -41,7 +41,7 @@
         incarnation: Incarnation(incarnation),
         seq: Seq(seq),
         token: Epoch(token),
-        notice_s: None,
+        reclaim_in_s: None,
         tasks,
     }
 }
@@ -106,7 +106,7 @@
 fn a_late_copy_changes_nothing() {
     let mut m = machine();
     let mut newest = report(2, 9, 5, vec![]);
-    newest.notice_s = Some(10.0);
+    newest.reclaim_in_s = Some(10.0);
     m.apply_report(&newest, EPOCH, NOW);
     m.call_unanswered(NOW);
     let later = NOW + Span(30_000);
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -159,7 +159,7 @@
         incarnation: Incarnation(1),
         seq,
         token,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: vec![TaskStatus {
             task: task.clone(),
             attempt,
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -193,7 +193,7 @@
         incarnation: Incarnation(incarnation),
         seq: Seq(seq),
         token: Epoch(1),
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: Vec::new(),
     }
 }
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -113,7 +113,7 @@
             incarnation: self.incarnation,
             seq: Seq(self.seq),
             token: self.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: (self.tasks.values())
                 .map(|t| TaskStatus {
                     task: t.task.clone(),
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -208,7 +208,7 @@
     /// Highest fencing token that the agent has seen.
     pub token: u64,
     /// Seconds until the cloud reclaims the machine.
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// The tasks that it lists.
     pub tasks: ForwardedTasks,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -104,7 +104,7 @@
     pub token: Epoch,
     /// Seconds until the cloud reclaims the machine.
     #[serde(rename = "recallS", default)]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "takes", default)]
     pub tasks: Vec<TaskStatus>,
--- a/crates/wire/tests/peer_compatibility.rs
+++ b/crates/wire/tests/peer_compatibility.rs
@@ -139,7 +139,7 @@
         incarnation: 1,
         seq: 88,
         token: 41,
-        notice_s: Some(19.5),
+        reclaim_in_s: Some(19.5),
         tasks,
     };
     let reports = ForwardedReports {
