--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -238,7 +238,7 @@
         store_reachable: false,
         requests_lease_vote,
         machines: 0,
-        workers: 0,
+        agents: 0,
         forwards_reports: false,
         worker_silence_ms: 0,
         partitioned_zones: Default::default(),
--- a/crates/core/src/leadership/peers.rs
+++ b/crates/core/src/leadership/peers.rs
@@ -121,7 +121,7 @@
         if let Some(peer) = self.by_name.get_mut(name) {
             peer.leads = heartbeat.leads;
             peer.epoch = heartbeat.epoch;
-            peer.agent_count = heartbeat.workers;
+            peer.agent_count = heartbeat.agents;
             peer.forwards_reports = heartbeat.forwards_reports;
         }
     }
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -53,7 +53,7 @@
     }
 
     fn build_heartbeat(&mut self, counts: Option<Vec<Count>>, now: Now) -> Heartbeat {
-        let workers = self.reported_load(now.time);
+        let agents = self.reported_load(now.time);
         let leader = self.leader.as_ref();
         Heartbeat {
             from: self.settings.node.to_string(),
@@ -62,7 +62,7 @@
             store_reachable: self.election.store_reachable(now.time),
             requests_lease_vote: leader.is_some() || self.election.could_stand_in(now.time),
             machines: leader.map_or(0, Leader::fleet_size),
-            workers,
+            agents,
             forwards_reports: leader.is_some() || self.reachable_leader(now.time).is_some(),
             worker_silence_ms: self.agent_silence(now.time).0,
             partitioned_zones: (leader
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -37,7 +37,7 @@
     /// Machines that the leader knows.
     pub machines: u32,
     /// Agents that report to the sender.
-    pub workers: u32,
+    pub agents: u32,
     /// Whether the sender reaches the leader, so that it can forward agents' status reports.
     pub forwards_reports: bool,
     /// Milliseconds since an agent last reported to the sender, whatever it was answered.
--- a/crates/wire/tests/peer_compatibility.rs
+++ b/crates/wire/tests/peer_compatibility.rs
@@ -48,7 +48,7 @@
         store_reachable: false,
         requests_lease_vote: true,
         machines: 798,
-        workers: 160,
+        agents: 160,
         forwards_reports: true,
         worker_silence_ms: 1_250,
         partitioned_zones: vec![("qu-appelle".into(), 9_000)],
