--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -240,7 +240,7 @@
         machines: 0,
         agents: 0,
         forwards_reports: false,
-        worker_silence_ms: 0,
+        agent_silence_ms: 0,
         partitioned_zones: Default::default(),
         counts: None,
         cancellation_watermark: Version(watermark),
--- a/crates/core/src/node/heartbeats.rs
+++ b/crates/core/src/node/heartbeats.rs
@@ -64,7 +64,7 @@
             machines: leader.map_or(0, Leader::fleet_size),
             agents,
             forwards_reports: leader.is_some() || self.reachable_leader(now.time).is_some(),
-            worker_silence_ms: self.agent_silence(now.time).0,
+            agent_silence_ms: self.agent_silence(now.time).0,
             partitioned_zones: (leader
                 .iter()
                 .flat_map(|leader| leader.fleet.partitioned_zones.iter()))
@@ -121,7 +121,7 @@
             epoch: self.election.epoch(),
             store_reachable: self.election.store_reachable(now.time),
             grants_lease_vote,
-            worker_silence_ms: self.agent_silence(now.time).0,
+            agent_silence_ms: self.agent_silence(now.time).0,
             cancellation_watermark: self.cancellations.watermark(),
             catchup: catchup.map(|offer| offer.catchup),
         };
@@ -130,7 +130,7 @@
 
     fn record_peer_heartbeat(&mut self, heartbeat: &Heartbeat, now: Now) {
         let name = NodeName::from(heartbeat.from.as_str());
-        let silence = Span(heartbeat.worker_silence_ms);
+        let silence = Span(heartbeat.agent_silence_ms);
         self.peers
             .record_contact(&name, heartbeat.store_reachable, silence, now.time);
         self.peers.record_heartbeat(&name, heartbeat);
@@ -158,7 +158,7 @@
         // The catch-up must be applied before the lease vote in the same reply counts.
         self.apply_catch_up(&mut reply);
         let name = NodeName::from(reply.from.as_str());
-        let silence = Span(reply.worker_silence_ms);
+        let silence = Span(reply.agent_silence_ms);
         self.peers
             .record_contact(&name, reply.store_reachable, silence, now.time);
         self.election.observe_epoch(reply.epoch, now.time);
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -41,7 +41,7 @@
     /// Whether the sender reaches the leader, so that it can forward agents' status reports.
     pub forwards_reports: bool,
     /// Milliseconds since an agent last reported to the sender, whatever it was answered.
-    pub worker_silence_ms: u64,
+    pub agent_silence_ms: u64,
     /// Partitioned zones, and for how many milliseconds the leader has heard nothing of them. A leader that follows it
     /// could not know that.
     pub partitioned_zones: Vec<(String, u64)>,
@@ -119,7 +119,7 @@
     /// campaign while the vote is valid.
     pub grants_lease_vote: bool,
     /// Milliseconds since an agent last reported to the answering node, whatever it was answered.
-    pub worker_silence_ms: u64,
+    pub agent_silence_ms: u64,
     /// The answering node's cancellation watermark.
     pub cancellation_watermark: Version,
     /// In an outage of the state service: the cancellations that the candidate lacks. If they don't fit into one message,
--- a/crates/wire/tests/peer_compatibility.rs
+++ b/crates/wire/tests/peer_compatibility.rs
@@ -50,7 +50,7 @@
         machines: 798,
         agents: 160,
         forwards_reports: true,
-        worker_silence_ms: 1_250,
+        agent_silence_ms: 1_250,
         partitioned_zones: vec![("qu-appelle".into(), 9_000)],
         counts: Some(vec![Count {
             job: "wk-000405".into(),
@@ -65,7 +65,7 @@
         epoch: Epoch(41),
         store_reachable: false,
         grants_lease_vote: true,
-        worker_silence_ms: 300,
+        agent_silence_ms: 300,
         cancellation_watermark: Version(431),
         catchup: Some(Catchup {
             cancellation_watermark: Version(431),
