--- a/crates/controller/src/clients/store.rs
+++ b/crates/controller/src/clients/store.rs
@@ -3,7 +3,7 @@
 use super::{delete, get, parse_json, post, post_json, Reply};
 use rudderreel_core::{StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::Version;
-use rudderreel_wire::state::{Committed, Events, Item, Lease, LeaseRequest, Page};
+use rudderreel_wire::state::{Events, Item, Lease, LeaseRequest, Page, TransactionReply};
 use std::net::SocketAddrV4;
 use ureq::Agent;
 
@@ -74,15 +74,17 @@
                 StoreAnswer::Changes(e)
             })
         }
-        (200, StoreCall::Commit(_)) => parse_json(body, StoreAnswer::Unknown, |c: Committed| {
-            StoreAnswer::Committed(c.revision)
-        }),
+        (200, StoreCall::Commit(_)) => {
+            parse_json(body, StoreAnswer::Unknown, |c: TransactionReply| {
+                StoreAnswer::Committed(c.revision)
+            })
+        }
         (200, StoreCall::AcquireLease(_)) => parse_json(body, StoreAnswer::Unknown, |l: Lease| {
             StoreAnswer::Lease(l.lease)
         }),
         (200..=204, StoreCall::Renew(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
         (404, _) => StoreAnswer::Missing,
-        (409, _) => parse_json(body, StoreAnswer::Unknown, |c: Committed| {
+        (409, _) => parse_json(body, StoreAnswer::Unknown, |c: TransactionReply| {
             StoreAnswer::Conflict(c.failed)
         }),
         (400, StoreCall::Commit(_)) => {
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -5,7 +5,7 @@
 use crate::store::{Limits, Store};
 use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::{LeaseId, MachineId, Version};
-use rudderreel_wire::state::{Committed, Events, Lease, LeaseRequest};
+use rudderreel_wire::state::{Events, Lease, LeaseRequest, TransactionReply};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -295,11 +295,11 @@
         StoreAnswer::Changes(changes) => json(200, &changes),
         StoreAnswer::Committed(revision) => {
             let failed = Vec::new();
-            json(200, &Committed { revision, failed })
+            json(200, &TransactionReply { revision, failed })
         }
         StoreAnswer::Conflict(failed) => {
             let revision = Version(0);
-            json(409, &Committed { revision, failed })
+            json(409, &TransactionReply { revision, failed })
         }
         StoreAnswer::Lease(lease) => json(200, &Lease { lease }),
         StoreAnswer::Done => (200, "{}".into()),
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -55,7 +55,7 @@
 
 /// Answer to a transaction, or to the read of a key that does not exist.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Committed {
+pub struct TransactionReply {
     /// The store's revision.
     #[serde(rename = "logline")]
     pub revision: Version,
--- a/crates/wire/tests/recorded_forms.rs
+++ b/crates/wire/tests/recorded_forms.rs
@@ -6,7 +6,9 @@
 use rudderreel_wire::ids::{Class, NodeName, Team, Version, Zone};
 use rudderreel_wire::job::{JobAnswer, JobState, JobStatus, Kind, Priority};
 use rudderreel_wire::settings::Settings;
-use rudderreel_wire::state::{Committed, Events, Item, Lease, LeaseRequest, Page, Transaction};
+use rudderreel_wire::state::{
+    Events, Item, Lease, LeaseRequest, Page, Transaction, TransactionReply,
+};
 use rudderreel_wire::worker::{Cause, ReportRedirect, StatusReport, TaskState};
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value};
@@ -91,7 +93,7 @@
     assert_round_trip::<Item<Value>>(json!({"key":"a/b","data":{"x":1},"stamp":7,"mooring":3}));
     assert_round_trip::<Page<Value>>(json!({"entries":[{"key":"a/b","data":1,"stamp":7}],
         "hasNext":true,"logline":433}));
-    assert_round_trip::<Committed>(json!({"logline":433,"failed":["a/b"]}));
+    assert_round_trip::<TransactionReply>(json!({"logline":433,"failed":["a/b"]}));
     assert_round_trip::<LeaseRequest>(json!({"ttlMs":3000}));
     assert_round_trip::<Lease>(json!({"mooring":7}));
     assert_round_trip::<Transaction<Value>>(json!({"if":[{"key":"a","stamp":0}],
