--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -153,7 +153,7 @@
             task: task.clone(),
             attempt: *attempt,
             state: at.state,
-            why: at.why,
+            cause: at.why,
             saved: None,
         };
         StatusReport {
--- a/crates/core/src/agents/task_outcomes.rs
+++ b/crates/core/src/agents/task_outcomes.rs
@@ -171,7 +171,7 @@
         let exit = (status.state == TaskState::Exited).then(|| TaskExit {
             task: status.task.clone(),
             attempt: status.attempt,
-            cause: status.why.unwrap_or(Cause::Error),
+            cause: status.cause.unwrap_or(Cause::Error),
             ran: None,
         });
         if let Some(exit) = &exit {
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -46,12 +46,12 @@
     }
 }
 
-fn status(state: TaskState, why: Option<Cause>) -> TaskStatus {
+fn status(state: TaskState, cause: Option<Cause>) -> TaskStatus {
     TaskStatus {
         task: task(),
         attempt: Attempt(7),
         state,
-        why,
+        cause,
         saved: None,
     }
 }
--- a/crates/core/src/fleet/placed_task.rs
+++ b/crates/core/src/fleet/placed_task.rs
@@ -217,7 +217,7 @@
             return;
         }
         if status.state == TaskState::Exited {
-            let cause = status.why.unwrap_or(Cause::Error);
+            let cause = status.cause.unwrap_or(Cause::Error);
             self.phase = Phase::Exited(cause);
             changes.push(TaskChange::Exited(TaskExit {
                 task: self.task.clone(),
--- a/crates/core/src/testing.rs
+++ b/crates/core/src/testing.rs
@@ -164,7 +164,7 @@
             task: task.clone(),
             attempt,
             state: TaskState::Running,
-            why: None,
+            cause: None,
             saved: None,
         }],
     }
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -218,7 +218,7 @@
         task: stranger.task(7),
         attempt: rudderreel_wire::ids::Attempt(9),
         state: TaskState::Running,
-        why: None,
+        cause: None,
         saved: None,
     }];
     for bad in [
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -119,7 +119,7 @@
                     task: t.task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
+                    cause: t.why,
                     saved: None,
                 })
                 .collect(),
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -70,7 +70,7 @@
     pub state: TaskState,
     /// Why it ended, when it has.
     #[serde(rename = "cause", default)]
-    pub why: Option<Cause>,
+    pub cause: Option<Cause>,
     /// Whether its progress was saved.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
