--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' settings, as the administration API shows and takes them.
+//! Operators' settings, as the administration API returns and accepts them.
 
 use crate::ids::{Team, Version};
 use serde::{Deserialize, Serialize};
@@ -8,48 +8,49 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct AdminSettings {
-    /// Seconds between two scheduling cycles if nothing requests one sooner.
+    /// Seconds between two scheduling cycles if no event requests one sooner.
     pub period_s: f64,
-    /// Damps reclaim: at least 1.
+    /// Factor on a team's usage when reclaim compares it with the team's share: at least 1. A larger factor makes
+    /// reclaim rarer.
     pub reclaim_multiplier: f64,
-    /// Work that is younger is not reclaimed.
+    /// Run time in seconds below which a task is not reclaimed.
     pub reclaim_min_runtime_s: f64,
-    /// Work that is younger is not preempted within its team.
+    /// Run time in seconds below which a task is not preempted within its team.
     pub preempt_min_runtime_s: f64,
-    /// How long an idle machine is kept.
+    /// Time in seconds for which an idle machine is kept; machines of cheap types are kept longer.
     pub keep_idle_s: f64,
-    /// How much capacity is reserved for urgent arrivals, as a factor: 0 for none.
+    /// Factor on the capacity that is reserved for urgent arrivals: 1 for the usual amount, 0 for none.
     pub reserve_factor: f64,
-    /// With more machines than this, agents report to all nodes, which forward their status reports to the leader;
-    /// with fewer, to the leader.
+    /// Number of machines above which agents report to all nodes, which forward the status reports to the leader.
+    /// Otherwise agents report to the leader.
     pub spread_reports_from: f64,
-    /// Teams by name. Names that the platform's file does not know are groups of teams.
+    /// Settings of teams by name. A name that the platform's settings file does not contain is that of a group of teams.
     pub teams: BTreeMap<Team, TeamSettings>,
 }
 
-/// Operators' settings for a team or a group. What is missing stays as the platform gives it.
+/// Operators' settings for a team or a group. For a field that is missing, the platform's value applies.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TeamSettings {
-    /// The group that it belongs to.
+    /// The group that the team or group belongs to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub parent: Option<Team>,
-    /// CPUs guaranteed.
+    /// Number of CPUs that are guaranteed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub quota_cpus: Option<f64>,
-    /// GPUs guaranteed.
+    /// Number of GPUs that are guaranteed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub quota_gpus: Option<f64>,
-    /// CPUs at most; no more than the platform allows.
+    /// Maximum number of CPUs; no more than the platform allows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit_cpus: Option<f64>,
-    /// GPUs at most; no more than the platform allows.
+    /// Maximum number of GPUs; no more than the platform allows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit_gpus: Option<f64>,
-    /// Its weight in the division of what exceeds the quotas, among siblings of the same priority.
+    /// Weight by which resources beyond the quotas are divided among siblings of the same priority.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub weight: Option<f64>,
-    /// The order in which siblings get what is left: the highest first.
+    /// Order in which siblings receive resources beyond the quotas: the highest first.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub priority: Option<i32>,
 }
@@ -72,8 +73,8 @@
 /// Settings with their version. A change must name the version that it replaces (compare-and-swap).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// 0 while nothing has been set.
+    /// Version of the settings; 0 while nothing has been set.
     pub version: Version,
-    /// The settings.
+    /// The settings of this version.
     pub settings: AdminSettings,
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,24 +1,24 @@
-//! Small types for names, epochs and versions: what can be mixed up has a type of its own.
+//! Newtypes for names, ids, epochs and versions, so that the compiler keeps them apart.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::{fmt, str::FromStr, sync::Arc};
 
-/// A text that is no valid id.
+/// The error for a text that is not a valid id: the text, which may be truncated, and the kind of id.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not a valid {1}")]
 pub struct BadId(pub String, pub &'static str);
 
-/// A job's id, chosen by its user: `wk-` and digits.
+/// A job's id, chosen by its user: `wk-` and 1 to 20 digits.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Arc<str>);
 
 impl JobId {
-    /// The id as text.
+    /// Returns the id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// The task of this job with the given index.
+    /// Returns the id of this job's task with the given index.
     pub fn task(&self, index: u32) -> TaskId {
         TaskId {
             job: self.clone(),
@@ -41,12 +41,12 @@
     }
 }
 
-/// One task of a job.
+/// The id of a task of a job, written as `JOB/INDEX`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The task's job.
     pub job: JobId,
-    /// The task's number, from 0.
+    /// The task's index in the job, from 0.
     pub index: u32,
 }
 
@@ -54,11 +54,11 @@
     type Err = BadId;
 
     fn from_str(text: &str) -> Result<Self, BadId> {
-        let bad = || BadId(text.chars().take(40).collect(), "task id");
-        let (job, index) = text.split_once('/').ok_or_else(bad)?;
+        let error = || BadId(text.chars().take(40).collect(), "task id");
+        let (job, index) = text.split_once('/').ok_or_else(error)?;
         Ok(Self {
-            job: job.parse().map_err(|_| bad())?,
-            index: index.parse().map_err(|_| bad())?,
+            job: job.parse().map_err(|_| error())?,
+            index: index.parse().map_err(|_| error())?,
         })
     }
 }
@@ -106,7 +106,7 @@
         pub struct $name(pub Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -129,31 +129,31 @@
     };
 }
 name_id!(
-    /// A machine's name, given by the cloud.
+    /// Name of a machine, assigned by the cloud.
     MachineId
 );
 name_id!(
-    /// A machine type.
+    /// Name of a machine type.
     TypeName
 );
 name_id!(
-    /// A zone.
+    /// Name of a zone.
     Zone
 );
 name_id!(
-    /// A team.
+    /// Name of a team.
     Team
 );
 name_id!(
-    /// A class of jobs.
+    /// Name of a class of jobs.
     Class
 );
 name_id!(
-    /// An image.
+    /// Name of an image.
     Image
 );
 name_id!(
-    /// A controller node.
+    /// Name of a controller node.
     NodeName
 );
 
@@ -175,11 +175,12 @@
     };
 }
 number_id!(
-    /// The leader's epoch. It is the fencing token of its commands: an agent ignores those of a lower one.
+    /// A leader's epoch. It is the fencing token of the leader's commands: an agent that has seen an epoch ignores
+    /// commands of lower ones.
     Epoch
 );
 number_id!(
-    /// The attempt to run a task, which tells its starts apart. The tasks of a gang share it.
+    /// Number of an attempt to run a task, which distinguishes its starts. The tasks of a gang share one number.
     Attempt
 );
 number_id!(
@@ -187,14 +188,14 @@
     Version
 );
 number_id!(
-    /// A lease of the state service.
+    /// Id of a lease of the state service.
     LeaseId
 );
 number_id!(
-    /// One run of an agent's process, from its start to its end.
+    /// Incarnation of an agent: one run of its process, from its start to its end.
     Incarnation
 );
 number_id!(
-    /// Orders an agent's messages within its incarnation.
+    /// Sequence number, which orders an agent's messages within its incarnation.
     Seq
 );
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,16 +1,16 @@
-//! The users' API: submissions, cancellations, questions for a status, and their answers.
+//! The users' API: submissions, cancellations, status requests, and their answers.
 
 use crate::ids::{Class, Image, JobId, Team, TypeName, Zone};
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::HashSet;
 
-/// How a job's tasks belong together.
+/// The kind of a job, which determines how its tasks run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Tasks that all run at the same time, or none of them.
     #[serde(rename = "gang")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -21,13 +21,13 @@
 /// A job's priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Preempted first.
+    /// Preempted before work of any other priority.
     #[serde(rename = "low")]
     Low,
     /// The default.
     #[serde(rename = "normal")]
     Normal,
-    /// Before normal work.
+    /// Scheduled before normal work.
     #[serde(rename = "urgent")]
     High,
     /// Never evicted to make room; runs only within its team's quota.
@@ -35,7 +35,7 @@
     Production,
 }
 
-/// The field of a submission that names its dependencies. The text is fixed.
+/// Name of the submission's field that lists its dependencies. It must not change.
 pub const DEPENDENCIES: &str = "awaits";
 
 /// A submitted job.
@@ -46,57 +46,57 @@
     /// The class that service-level objectives are stated for.
     #[serde(rename = "reel")]
     pub class: Class,
-    /// The team that it counts for.
+    /// The team to which the job's resources are charged.
     #[serde(rename = "crew")]
     pub team: Team,
-    /// Array, gang or service.
+    /// The job's kind: array, gang or service.
     #[serde(rename = "rig")]
     pub kind: Kind,
-    /// Its priority.
+    /// The job's priority.
     #[serde(rename = "precedence")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "takes")]
     pub tasks: u32,
-    /// CPUs of each task.
+    /// Number of CPUs that each task needs.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs of each task.
+    /// Number of GPUs that each task needs.
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory that each task needs, in GB.
     #[serde(rename = "memoryGb")]
     pub memory_gb: f64,
-    /// Image that a machine must have.
+    /// Image that a machine must have to run a task.
     #[serde(rename = "pressing")]
     pub image: Image,
-    /// The image's size.
+    /// Size of the image, in GB.
     #[serde(rename = "pullGb")]
     pub image_gb: f64,
-    /// Allowed machine types, or any.
+    /// Allowed machine types; `None` allows all.
     #[serde(rename = "hulls", default)]
     pub types: Option<Vec<TypeName>>,
-    /// The only allowed zone, or any.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "berth", default)]
     pub zone: Option<Zone>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether the job may use spot instances.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "expectedS")]
     pub estimate_s: f64,
-    /// Interval of checkpoints; 0 if the task takes none.
+    /// Interval of a task's checkpoints, in seconds; 0 if it takes none.
     #[serde(rename = "snapshotS")]
     pub checkpoint_s: f64,
-    /// Time a task needs for its last checkpoint when it is stopped.
+    /// Time that a task needs for its last checkpoint when it is stopped, in seconds.
     #[serde(rename = "stowS")]
     pub save_s: f64,
-    /// When the job should be complete, from its submission.
+    /// Time within which the job should be complete, counted from its submission, in seconds.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts, each named once.
@@ -109,7 +109,7 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Reads a list of job ids that may be null, and drops repeated ids. The order is kept.
+/// Deserializes a list of job ids that may be null, and drops repeated ids. The order is kept.
 fn distinct_ids<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     let mut ids = Option::<Vec<JobId>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = HashSet::new();
@@ -117,31 +117,34 @@
     Ok(ids)
 }
 
-/// The largest number of tasks a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
 impl JobSpec {
-    /// Names the first field whose value cannot be right.
+    /// Returns the name of the first field whose value is invalid, if there is one.
     pub fn invalid_field(&self) -> Option<&'static str> {
-        let amount = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
+        let is_amount = |x: f64| x.is_finite() && (0.0..=1e9).contains(&x);
         let checks = [
             (self.class.as_str().is_empty(), "reel"),
             (self.team.as_str().is_empty(), "crew"),
             (!(1..=MAX_TASKS).contains(&self.tasks), "takes"),
-            (!amount(self.cpus), "vcpus"),
-            (!amount(self.gpus), "gpus"),
-            (!amount(self.memory_gb), "memoryGb"),
+            (!is_amount(self.cpus), "vcpus"),
+            (!is_amount(self.gpus), "gpus"),
+            (!is_amount(self.memory_gb), "memoryGb"),
             (self.image.as_str().is_empty(), "pressing"),
-            (!amount(self.image_gb), "pullGb"),
-            (!amount(self.estimate_s), "expectedS"),
-            (!amount(self.checkpoint_s), "snapshotS"),
-            (!amount(self.save_s), "stowS"),
-            (!self.deadline_s.is_none_or(amount), "dueS"),
+            (!is_amount(self.image_gb), "pullGb"),
+            (!is_amount(self.estimate_s), "expectedS"),
+            (!is_amount(self.checkpoint_s), "snapshotS"),
+            (!is_amount(self.save_s), "stowS"),
+            (!self.deadline_s.is_none_or(is_amount), "dueS"),
         ];
-        checks.iter().find(|(bad, _)| *bad).map(|(_, name)| *name)
+        checks
+            .iter()
+            .find(|(is_invalid, _)| *is_invalid)
+            .map(|(_, name)| *name)
     }
 
-    /// The most tasks that may be in one zone.
+    /// Returns the maximum number of tasks that may be in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
             self.tasks.div_ceil(2)
@@ -151,43 +154,43 @@
     }
 }
 
-/// The state of a job as its user is told it.
+/// The state of a job, as it is reported to its user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task runs.
+    /// Not done or cancelled, and no task is running.
     #[serde(rename = "pending")]
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
     /// All tasks are done.
     #[serde(rename = "done")]
     Done,
-    /// Cancelled by its user, or with a dependency.
+    /// Cancelled by its user, or together with a dependency.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Answer to a submission or a cancellation.
+/// The answer to a submission or a cancellation.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobAnswer {
-    /// The job.
+    /// The job's id.
     pub id: JobId,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "bearing")]
     pub state: JobState,
 }
 
-/// Answer to a status request.
+/// The answer to a status request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// The job's id.
     pub id: JobId,
-    /// Its state.
+    /// The job's state.
     #[serde(rename = "bearing")]
     pub state: JobState,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display.
     pub done: u32,
-    /// Tasks that run, for display.
+    /// Number of tasks that are running, for display.
     pub running: u32,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,10 +1,9 @@
-//! Types of everything that travels between rudderreel and others, or between its nodes.
+//! Types of all messages that rudderreel's nodes exchange with each other and with other programs.
 //!
-//! Names in the code are the field's standard terms; the words that travel on the wire appear only here, in serde
-//! renames. They are fixed: other parties speak them, and stored records hold them. Unknown JSON fields are
-//! ignored everywhere.
+//! Identifiers in the code are standard terms. The names on the wire appear only here, in serde renames. They must not
+//! change: other programs use them, and stored records contain them. Unknown JSON fields are ignored everywhere.
 //!
-//! | module | between | encoding |
+//! | module | parties | encoding |
 //! | --- | --- | --- |
 //! | [`job`] | users and nodes | JSON |
 //! | [`admin`] | administrators and nodes | JSON |
@@ -12,9 +11,9 @@
 //! | [`state`] | nodes and the state service | JSON |
 //! | [`cloud`] | nodes and the cloud | JSON |
 //! | [`peer`] | nodes and nodes | `bitcode` |
-//! | [`settings`] | the platform and a node, by its settings file | TOML |
+//! | [`settings`] | the platform and a node (settings file) | TOML |
 //!
-//! [`ids`] holds the names, numbers and versions that these share.
+//! [`ids`] contains the types of names, ids and versions that these modules share.
 #![forbid(unsafe_code)]
 
 pub mod admin;
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,64 +1,64 @@
-//! The settings file that the platform hands over.
+//! The settings file that the platform provides to a node.
 
 use crate::ids::{Class, NodeName, Team, Zone};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// Why a settings file can't be used.
+/// The reason why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum BadSettings {
-    /// Not TOML, or a field is missing or of the wrong type.
+    /// The file is not TOML, or a field is missing or of the wrong type.
     #[error("{0}")]
     Parse(String),
-    /// A field's value can't be right.
+    /// A field's value is invalid: the field's path, and what is wrong.
     #[error("field `{0}`: {1}")]
     Value(String, String),
 }
 
-/// All settings.
+/// The settings of a node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// This node's name.
     pub node: NodeName,
-    /// Its zone.
+    /// This node's zone.
     #[serde(rename = "domain")]
     pub zone: Zone,
-    /// The address of the public API listener, for users and agents.
+    /// Address of the public API listener, for users and agents.
     #[serde(rename = "front")]
     pub listen: SocketAddrV4,
-    /// The address of the peer listener, for other nodes and administrators.
+    /// Address of the peer listener, for other nodes and administrators.
     #[serde(rename = "peer_bind")]
     pub peer_listen: SocketAddrV4,
     /// The other nodes.
     #[serde(rename = "members", default)]
     pub peers: Vec<Peer>,
-    /// The services outside.
+    /// The external services.
     #[serde(rename = "outside")]
     pub services: Services,
-    /// The deployment.
+    /// The parameters of the deployment.
     pub params: Params,
 }
 
 /// Another node.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// The node's name.
     pub node: NodeName,
-    /// Where it listens for peers.
+    /// Address of the node's peer listener.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddrV4,
 }
 
-/// The services outside.
+/// The external services that a node calls.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Services {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddrV4,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddrV4,
 }
 
-/// The deployment.
+/// The parameters of the deployment.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Params {
     /// Number of controller nodes.
@@ -66,41 +66,41 @@
     /// All zones.
     #[serde(default)]
     pub zones: Vec<Zone>,
-    /// How far the time of day may be off.
+    /// Maximum error of the time of day, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
-    /// The teams.
+    /// The teams with their guaranteed and maximum resources.
     #[serde(default)]
     pub teams: Vec<TeamLimits>,
     /// The service-level objectives, as users state them.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// The timings of agents.
-    pub workers: Workers,
+    pub workers: AgentSettings,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Limits of this process.
     #[serde(rename = "machine_limits", default)]
     pub limits: Option<PlatformLimits>,
 }
 
-/// A team's guarantee and limit. 0 means none.
+/// The guaranteed and maximum resources of a team. 0 means no guarantee or no maximum.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TeamLimits {
-    /// Its name.
+    /// The team's name.
     pub name: Team,
-    /// CPUs guaranteed.
+    /// Number of CPUs that are guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs at most.
+    /// Maximum number of CPUs.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs guaranteed.
+    /// Number of GPUs that are guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs at most.
+    /// Maximum number of GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -108,63 +108,63 @@
 /// A service-level objective.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is counted.
+    /// What the objective measures: `wait` for the time until tasks start, `finished` for the time until jobs are done.
     pub kind: String,
-    /// The class of jobs that it is about.
+    /// The class of jobs that the objective applies to.
     #[serde(default)]
     pub class: Option<Class>,
-    /// Within what time.
+    /// Time within which this should happen, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// For what share.
+    /// Share of the cases that should keep to this time.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
 /// The timings of agents.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
-    /// Interval of status reports.
+pub struct AgentSettings {
+    /// Interval of an agent's status reports, in seconds.
     pub report_s: f64,
-    /// How long an agent keeps its tasks running without an answer: its lease.
+    /// Duration of an agent's lease, that is the time for which it keeps its tasks running without an answer, in seconds.
     pub lease_s: f64,
-    /// How long a gang's task waits for the others.
+    /// Time for which a task of a gang waits for the others, in seconds.
     pub gang_wait_s: f64,
-    /// How soon the tasks of a gang notice that one of them is lost.
+    /// Time within which the tasks of a gang notice that one of them is lost, in seconds.
     pub gang_peer_s: f64,
-    /// How long the tasks of a cancelled job may remain.
+    /// Time for which the tasks of a cancelled job may remain, in seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// Puts and deletes per second.
+    /// Maximum number of puts and deletes per second.
     pub write_rps: f64,
-    /// KiB per value.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Puts and deletes per transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that may come into force at any moment.
+    /// Announced limits, which may take effect at any time.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
-/// Announced limits of the state service. What is missing stays as it is.
+/// Announced limits of the state service. A limit that is missing does not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes per second.
+    /// Maximum number of puts and deletes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// KiB per value.
+    /// Maximum size of a value, in KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Puts and deletes per transaction.
+    /// Maximum number of puts and deletes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
@@ -172,32 +172,32 @@
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: f64,
-    /// How late the machine list is.
+    /// Lag of the machine list, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What this process may use.
+/// Limits that the platform sets on this process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PlatformLimits {
-    /// Part of one core; none if the platform names none.
+    /// Processor time that the process may use, in cores; `None` if the platform sets no limit.
     #[serde(rename = "core_share", default)]
     pub cpu_share: Option<f64>,
-    /// Memory; none if the platform names none.
+    /// Memory that the process may use, in MB; `None` if the platform sets no limit.
     #[serde(default)]
     pub memory_mb: Option<f64>,
-    /// Sockets; 0 if the platform names none.
+    /// Maximum number of open sockets; 0 if the platform sets no limit.
     #[serde(default)]
     pub fd_limit: u32,
 }
 
-/// The largest numbers of cores and memory that are taken for right. A larger one is a mistake in its unit.
-const MOST_CORES: f64 = 4_096.0;
-const MOST_MEMORY_MB: f64 = 16_777_216.0;
+/// Maximum limits that are accepted for this process. A larger value is a mistake in the unit.
+const MAX_CORES: f64 = 4_096.0;
+const MAX_MEMORY_MB: f64 = 16_777_216.0;
 
 impl Settings {
-    /// Reads and checks settings.
+    /// Parses and checks the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, BadSettings> {
         let settings: Self = toml::from_str(text).map_err(|e| {
             let line = e.span().map(|s| text[..s.start].lines().count().max(1));
@@ -224,27 +224,30 @@
         ];
         for (name, value) in positive {
             if !(value.is_finite() && value > 0.0) {
-                return Err(bad(name, "must be a number above 0"));
+                return Err(invalid_value(name, "must be a number above 0"));
             }
         }
         self.check_next_limits()?;
         self.check_process_limits()?;
         if !(p.cloud.list_lag_s.is_finite() && p.cloud.list_lag_s >= 0.0) {
-            return Err(bad("params.cloud.list_lag_s", "must not be negative"));
+            return Err(invalid_value(
+                "params.cloud.list_lag_s",
+                "must not be negative",
+            ));
         }
         if self.node.as_str().is_empty() {
-            return Err(bad("node", "must not be empty"));
+            return Err(invalid_value("node", "must not be empty"));
         }
         if self.peers.iter().any(|peer| peer.node == self.node) {
-            return Err(bad("members", "must not name this node"));
+            return Err(invalid_value("members", "must not name this node"));
         }
         if p.nodes as usize != self.peers.len() + 1 {
             let text = format!(
-                "is {}, but members name {} others",
+                "is {}, but `members` names {} other nodes",
                 p.nodes,
                 self.peers.len()
             );
-            return Err(bad("params.nodes", &text));
+            return Err(invalid_value("params.nodes", &text));
         }
         self.check_teams()
     }
@@ -264,7 +267,7 @@
         ];
         for (name, value) in positive {
             if value.is_some_and(|value| !(value.is_finite() && value > 0.0)) {
-                return Err(bad(name, "must be a number above 0"));
+                return Err(invalid_value(name, "must be a number above 0"));
             }
         }
         Ok(())
@@ -278,18 +281,18 @@
             (
                 "params.machine_limits.core_share",
                 limits.cpu_share,
-                MOST_CORES,
+                MAX_CORES,
             ),
             (
                 "params.machine_limits.memory_mb",
                 limits.memory_mb,
-                MOST_MEMORY_MB,
+                MAX_MEMORY_MB,
             ),
         ];
-        for (name, value, most) in bounded {
-            if value.is_some_and(|value| !(value > 0.0 && value <= most)) {
-                let text = format!("must be a number above 0 and at most {most}");
-                return Err(bad(name, &text));
+        for (name, value, max) in bounded {
+            if value.is_some_and(|value| !(value > 0.0 && value <= max)) {
+                let text = format!("must be a number above 0 and at most {max}");
+                return Err(invalid_value(name, &text));
             }
         }
         Ok(())
@@ -306,17 +309,20 @@
             ];
             for (name, value) in amounts {
                 if !(value.is_finite() && value >= 0.0) {
-                    return Err(bad(&field(name), "must not be negative"));
+                    return Err(invalid_value(&field(name), "must not be negative"));
                 }
             }
             if self.params.teams[..i].iter().any(|t| t.name == team.name) {
-                return Err(bad(&field("name"), "is used twice"));
+                return Err(invalid_value(
+                    &field("name"),
+                    "names a team that an earlier entry names",
+                ));
             }
         }
         Ok(())
     }
 }
 
-fn bad(field: &str, text: &str) -> BadSettings {
+fn invalid_value(field: &str, text: &str) -> BadSettings {
     BadSettings::Value(field.into(), text.into())
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,5 +1,5 @@
-//! The interface of the state service: a key-value store with revisions, transactions by compare-and-swap, leases
-//! and a watch. `V` is the type of a key's value.
+//! The API of the state service: a key-value store with revisions, compare-and-swap transactions, leases and a watch.
+//! `V` is the type of a key's value.
 
 use crate::ids::{LeaseId, Version};
 use serde::{Deserialize, Serialize};
@@ -9,12 +9,12 @@
 pub struct Condition {
     /// The key.
     pub key: String,
-    /// The version it must have; 0 if it must not exist.
+    /// The version that the key must have; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
 
-/// A change of a transaction.
+/// A change that a transaction makes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change<V> {
@@ -23,10 +23,10 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// Its value.
+        /// The key's new value.
         #[serde(rename = "data")]
         value: V,
-        /// The lease with which the key is deleted, if any.
+        /// The lease at whose end the key is deleted, if any.
         #[serde(rename = "mooring", skip_serializing_if = "Option::is_none", default)]
         lease: Option<LeaseId>,
     },
@@ -38,13 +38,13 @@
     },
 }
 
-/// A transaction: its changes are carried out together if all its conditions hold, and otherwise none is.
+/// A transaction. If all conditions hold, all changes are applied atomically; otherwise none is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction<V> {
-    /// The conditions.
+    /// Conditions that must all hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// The changes.
+    /// Changes to apply.
     #[serde(
         rename = "apply",
         skip_serializing_if = "Vec::is_empty",
@@ -53,40 +53,40 @@
     pub changes: Vec<Change<V>>,
 }
 
-/// Answer to a transaction, or to the read of a key that does not exist.
+/// The reply to a transaction, or to the read of a key that does not exist.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransactionReply {
     /// The store's revision.
     #[serde(rename = "logline")]
     pub revision: Version,
-    /// Keys whose conditions failed.
+    /// Keys whose conditions failed; empty if the transaction was committed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A key and its value.
+/// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item<V> {
     /// The key.
     pub key: String,
-    /// Its value.
+    /// The key's value.
     #[serde(rename = "data")]
     pub value: V,
-    /// Its version.
+    /// The key's version.
     #[serde(rename = "stamp")]
     pub version: Version,
-    /// The lease with which the key is deleted, if any.
+    /// The lease at whose end the key is deleted, if any.
     #[serde(rename = "mooring", skip_serializing_if = "Option::is_none", default)]
     pub lease: Option<LeaseId>,
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page<V> {
-    /// The keys.
+    /// The keys with their values.
     #[serde(rename = "entries")]
     pub items: Vec<Item<V>>,
-    /// Whether there are more.
+    /// Whether there are more pages.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
     /// The store's revision.
@@ -94,7 +94,7 @@
     pub revision: Version,
 }
 
-/// A change seen by a watch.
+/// A change that a watch returns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Event<V> {
@@ -103,10 +103,10 @@
         /// The key.
         #[serde(rename = "set")]
         key: String,
-        /// Its value.
+        /// The key's new value.
         #[serde(rename = "data")]
         value: V,
-        /// Its version.
+        /// The key's new version.
         #[serde(rename = "stamp")]
         version: Version,
     },
@@ -121,7 +121,7 @@
     },
 }
 
-/// What a watch returns.
+/// The reply to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Events<V> {
     /// The revision after which the next watch starts.
@@ -132,18 +132,18 @@
     pub events: Vec<Event<V>>,
 }
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// How long it lasts without a renewal.
+    /// Time to live of the lease without a renewal, in milliseconds.
     #[serde(rename = "ttlMs")]
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// The reply to a request for a lease.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its id.
+    /// The lease's id.
     #[serde(rename = "mooring")]
     pub lease: LeaseId,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,8 +1,8 @@
 //! Status reports of agents, and commands for them.
 //!
-//! An agent is the process on a machine that runs its tasks. It sends status reports, whose answers carry commands,
-//! and takes commands directly at its own address. Each command carries the leader's fencing token; the agent refuses
-//! those of a token lower than the highest that it has seen.
+//! An agent is the process that runs tasks on a machine. It sends status reports, whose answers carry commands, and
+//! accepts direct commands at its own address. All commands carry the leader's fencing token; an agent refuses commands
+//! whose token is lower than the highest that it has seen.
 
 use crate::ids::{Attempt, Epoch, Incarnation, MachineId, NodeName, Seq, TaskId, TypeName, Zone};
 use serde::{Deserialize, Serialize};
@@ -10,30 +10,30 @@
 /// The state of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Its image is fetched.
+    /// The machine is fetching the task's image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// Waits for the rest of its gang.
+    /// The task is waiting for the other tasks of its gang.
     #[serde(rename = "gathering")]
     Waiting,
-    /// Runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// It has a command to stop and takes its last checkpoint.
+    /// The task was commanded to stop and is taking its last checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// Ended.
+    /// The task has ended.
     #[serde(rename = "exited")]
     Exited,
 }
 
-/// Why a task ended.
+/// The reason why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Cause {
-    /// Completed.
+    /// The task is complete.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
     /// Another task of the gang is gone.
@@ -42,36 +42,36 @@
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
     Alone,
-    /// Failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: not enough room.
+    /// The start was refused: the machine has too few free resources.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// Refused: the task is here with another attempt.
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     Busy,
-    /// Refused: no such job or task.
+    /// The start was refused: there is no such job or task.
     #[serde(rename = "unknown")]
     Unknown,
 }
 
-/// A task in a status report.
+/// The status of one task in a status report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task.
+    /// The task's id.
     #[serde(rename = "take")]
     pub task: TaskId,
-    /// Its attempt.
+    /// The attempt to run the task.
     #[serde(rename = "launch")]
     pub attempt: Attempt,
-    /// Its state.
+    /// The task's state on the machine.
     #[serde(rename = "bearing")]
     pub state: TaskState,
-    /// Why it ended, when it has.
+    /// The reason why the task ended, if it has.
     #[serde(rename = "cause", default)]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved.
+    /// Whether the task's progress was saved.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
@@ -79,33 +79,33 @@
 /// An agent's status report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The machine.
+    /// The agent's machine.
     #[serde(rename = "deck")]
     pub machine: MachineId,
-    /// Where its agent takes commands.
+    /// Address at which the agent accepts direct commands, as IP:PORT.
     pub addr: String,
-    /// Its type.
+    /// The machine's type.
     #[serde(rename = "hull")]
     pub machine_type: TypeName,
-    /// Its zone.
+    /// The machine's zone.
     #[serde(rename = "berth")]
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// The agent's incarnation.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
-    /// Orders messages within the incarnation.
+    /// Sequence number of this message within the incarnation.
     #[serde(rename = "tally")]
     pub seq: Seq,
     /// Highest fencing token that the agent has seen.
     #[serde(rename = "helm", default)]
     pub token: Epoch,
-    /// Seconds until the cloud reclaims the machine.
+    /// Seconds until the cloud reclaims the machine; `None` if the cloud has announced no reclaim.
     #[serde(rename = "recallS", default)]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine.
+    /// The status of every task on the machine.
     #[serde(rename = "takes", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -117,33 +117,33 @@
     /// Start a task.
     #[serde(rename = "run")]
     Start {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "take")]
         task: TaskId,
-        /// Its attempt.
+        /// The attempt to start.
         #[serde(rename = "launch")]
         attempt: Attempt,
     },
     /// Stop a task.
     #[serde(rename = "stop")]
     Stop {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "take")]
         task: TaskId,
-        /// Its attempt.
+        /// The attempt to stop.
         #[serde(rename = "launch")]
         attempt: Attempt,
-        /// Time for the last checkpoint.
+        /// Time that the task has for its last checkpoint, in seconds.
         #[serde(rename = "slackS")]
         grace_s: f64,
     },
     /// Remove an exited task from the status reports.
     #[serde(rename = "reap")]
     Forget {
-        /// The task.
+        /// The task's id.
         #[serde(rename = "take")]
         task: TaskId,
-        /// Its attempt.
+        /// The attempt that exited.
         #[serde(rename = "launch")]
         attempt: Attempt,
     },
@@ -155,29 +155,29 @@
     /// The leader's fencing token.
     #[serde(rename = "helm")]
     pub token: Epoch,
-    /// What to do.
+    /// Commands for the agent.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// The answer of a node that sends the agent to another.
+/// The answer to a status report by a node that redirects the agent to another node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReportRedirect {
-    /// Where to report instead.
+    /// The node to report to instead; `None` for any other node.
     #[serde(rename = "harbour", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<NodeName>,
 }
 
-/// Commands sent to an agent's own address.
+/// Commands that are sent to an agent's own address.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DirectCommands {
     /// The leader's fencing token.
     #[serde(rename = "helm")]
     pub token: Epoch,
-    /// The incarnation that they are meant for.
+    /// The incarnation of the agent that the commands are for.
     #[serde(rename = "watch")]
     pub incarnation: Incarnation,
-    /// What to do.
+    /// Commands for the agent.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
