--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -24,7 +24,8 @@
     /// Number of machines above which agents report to all nodes, which forward the status reports to the leader.
     /// Otherwise agents report to the leader.
     pub spread_reports_from: f64,
-    /// Settings of teams by name. A name that the platform's settings file does not contain is that of a group of teams.
+    /// Settings of teams and groups by name. A name that the platform's settings file does not contain denotes a group
+    /// of teams.
     pub teams: BTreeMap<Team, TeamSettings>,
 }
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,8 @@
 //! Messages between nodes, in `bitcode`.
 //!
 //! `bitcode` writes no field names: the order and the types of the fields are the format. During a rolling upgrade,
-//! nodes of this version exchange messages with nodes of the previous version, so fields must never be moved or removed.
+//! nodes of this version exchange messages with nodes of the previous version. So fields must never be moved or
+//! removed.
 
 use crate::ids::{Epoch, Version};
 use crate::job::{JobSpec, DEPENDENCIES};
@@ -40,7 +41,8 @@
     pub agents: u32,
     /// Whether the sender leads, or reaches the leader and so can forward agents' status reports.
     pub forwards_reports: bool,
-    /// Milliseconds since the sender last received an agent's status report, whatever it answered.
+    /// Milliseconds since the sender last received an agent's status report, whatever it answered; `u64::MAX` if it
+    /// received none since its start.
     pub agent_silence_ms: u64,
     /// Partitioned zones, each with the number of milliseconds for which the leader has received nothing from machines
     /// there. The next leader could not know this otherwise.
@@ -114,16 +116,17 @@
     pub epoch: Epoch,
     /// Whether the state service answers the answering node.
     pub store_reachable: bool,
-    /// Whether the answering node grants a lease vote. With the lease votes of a majority, a leader continues through an
-    /// outage of the state service. A node that grants one receives no answers from the state service, knows no higher
-    /// epoch, and does not campaign while the vote is valid.
+    /// Whether the answering node grants a lease vote. With the lease votes of a majority, a leader continues through
+    /// an outage of the state service. A node that grants one receives no answers from the state service, knows no
+    /// higher epoch, and does not campaign while the vote is valid.
     pub grants_lease_vote: bool,
-    /// Milliseconds since the answering node last received an agent's status report, whatever it answered.
+    /// Milliseconds since the answering node last received an agent's status report, whatever it answered; `u64::MAX`
+    /// if it received none since its start.
     pub agent_silence_ms: u64,
     /// The answering node's cancellation watermark.
     pub cancellation_watermark: Version,
-    /// In an outage of the state service, the cancellations that the candidate lacks. If they don't fit into one message,
-    /// the vote is granted only with a later reply.
+    /// In an outage of the state service, the cancellations that the candidate lacks. If they don't fit into one
+    /// message, the vote is granted only with a later reply.
     pub catchup: Option<Catchup>,
 }
 
@@ -235,8 +238,8 @@
 /// The leader's answer to one forwarded status report.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum ForwardedAnswer {
-    /// The agent is answered, with this [`StatusReportReply`](crate::worker::StatusReportReply) as JSON; `None` if there
-    /// are no commands.
+    /// The agent is answered, with this [`StatusReportReply`](crate::worker::StatusReportReply) as JSON; `None` if
+    /// there are no commands.
     Answered(Option<String>),
     /// The leader needs the whole status report before it can answer.
     Whole,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -126,7 +126,7 @@
 pub struct AgentSettings {
     /// Interval of an agent's status reports, in seconds.
     pub report_s: f64,
-    /// Duration of an agent's lease, that is the time for which it keeps its tasks running without an answer, in seconds.
+    /// Duration of an agent's lease, in seconds: the time for which it keeps its tasks running without an answer.
     pub lease_s: f64,
     /// Time for which a task of a gang waits for the others, in seconds.
     pub gang_wait_s: f64,
--- a/crates/wire/tests/recorded_forms.rs
+++ b/crates/wire/tests/recorded_forms.rs
@@ -1,5 +1,5 @@
-//! Every form that leaves this program as text: messages of the protocol, the settings file, the deploy file and
-//! the operators' settings. A rename in the code that reaches one of them fails here.
+//! The format of all texts that enter or leave the process: protocol messages, the settings file, the deploy file and
+//! the operators' settings. These tests fail if a rename in the code changes one of their names.
 
 use rudderreel_wire::admin::{AdminSettings, TeamSettings, Versioned};
 use rudderreel_wire::cloud::{Catalog, ListedState, MachineNames, MachinePage};
@@ -14,53 +14,54 @@
 use serde_json::{json, Value};
 use std::fmt::Debug;
 
-/// What was recorded is read, and written again without a change.
+/// Asserts that a recorded message deserializes and serializes again without a change.
 fn assert_round_trip<T: DeserializeOwned + Serialize>(recorded: Value) -> T {
-    let read: T = serde_json::from_value(recorded.clone()).expect("it is read");
-    let written = serde_json::to_value(&read).expect("it is written");
+    let read: T =
+        serde_json::from_value(recorded.clone()).expect("recorded message must deserialize");
+    let written = serde_json::to_value(&read).expect("message must serialize");
     assert_eq!(written, recorded);
     read
 }
 
-/// Each value is written as its word, and read from it.
-fn assert_words<T>(words: &[(T, &str)])
+/// Asserts that each value serializes to its name on the wire, and deserializes from it.
+fn assert_wire_names<T>(names: &[(T, &str)])
 where
     T: DeserializeOwned + Serialize + PartialEq + Debug,
 {
-    for (value, word) in words {
-        assert_eq!(serde_json::to_value(value).expect("JSON"), json!(word));
-        let read: T = serde_json::from_value(json!(word)).expect(word);
+    for (value, name) in names {
+        assert_eq!(serde_json::to_value(value).expect("JSON"), json!(name));
+        let read: T = serde_json::from_value(json!(name)).expect(name);
         assert_eq!(read, *value);
     }
 }
 
 #[test]
-fn enumerations_keep_their_words() {
-    assert_words(&[
+fn enum_values_keep_their_wire_names() {
+    assert_wire_names(&[
         (Kind::Array, "sweep"),
         (Kind::Gang, "gang"),
         (Kind::Service, "standing"),
     ]);
-    assert_words(&[
+    assert_wire_names(&[
         (Priority::Low, "low"),
         (Priority::Normal, "normal"),
         (Priority::High, "urgent"),
         (Priority::Production, "prod"),
     ]);
-    assert_words(&[
+    assert_wire_names(&[
         (JobState::Queued, "pending"),
         (JobState::Running, "running"),
         (JobState::Done, "done"),
         (JobState::Cancelled, "aborted"),
     ]);
-    assert_words(&[
+    assert_wire_names(&[
         (TaskState::Fetching, "pulling"),
         (TaskState::Waiting, "gathering"),
         (TaskState::Running, "running"),
         (TaskState::Saving, "saving"),
         (TaskState::Exited, "exited"),
     ]);
-    assert_words(&[
+    assert_wire_names(&[
         (Cause::Done, "done"),
         (Cause::Stopped, "halted"),
         (Cause::Peers, "peers"),
@@ -70,7 +71,7 @@
         (Cause::Busy, "in_use"),
         (Cause::Unknown, "unknown"),
     ]);
-    assert_words(&[
+    assert_wire_names(&[
         (ListedState::Booting, "starting"),
         (ListedState::Running, "running"),
         (ListedState::Failed, "failed"),
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn answers_to_users_and_workers_keep_their_fields() {
+fn messages_of_users_and_agents_keep_their_fields() {
     assert_round_trip::<JobAnswer>(json!({"id":"wk-1","bearing":"pending"}));
     assert_round_trip::<JobStatus>(json!({"id":"wk-1","bearing":"running","done":1,"running":2}));
     assert_round_trip::<ReportRedirect>(json!({"harbour":"deckhand-1"}));
@@ -129,7 +130,7 @@
     assert_eq!((read.weight, read.priority), (Some(5.0), Some(6)));
 }
 
-/// Every field that the settings file knows, each with a value of its own.
+/// A settings file with every field, each with a different value.
 const ALL_SETTINGS: &str = r#"
 node = "deckhand-0"
 domain = "assiniboia"
@@ -183,7 +184,7 @@
 
 #[test]
 fn every_field_of_the_settings_file_is_read() {
-    let settings = Settings::parse(ALL_SETTINGS).expect("good settings");
+    let settings = Settings::parse(ALL_SETTINGS).expect("valid settings");
     assert_eq!(settings.node, NodeName::from("deckhand-0"));
     assert_eq!(settings.zone, Zone::from("assiniboia"));
     assert_eq!(settings.listen.to_string(), "10.0.0.1:8080");
@@ -217,14 +218,14 @@
     assert_eq!((next.rps, next.write_rps), (Some(240.0), Some(18.0)));
     assert_eq!((next.value_kb, next.txn_ops), (Some(2.0), Some(6)));
     assert_eq!((params.cloud.rps, params.cloud.list_lag_s), (4.0, 10.0));
-    let limits = params.limits.expect("limits of the process");
+    let limits = params.limits.expect("process limits");
     assert_eq!(
         (limits.cpu_share, limits.memory_mb, limits.fd_limit),
         (Some(0.064), Some(104.0), 1_800)
     );
 }
 
-/// What the platform reads to build and start the service.
+/// Guards the fields that the platform reads to build and start the service.
 #[test]
 fn the_deploy_file_keeps_its_fields() {
     let text = include_str!("../../../deploy/service.toml");
@@ -235,6 +236,6 @@
     assert_eq!(build, Some("cargo build --release --locked"));
     let run = deploy["run"].as_str();
     assert_eq!(run, Some("target/release/rudderreel --config"));
-    let production = deploy["production"].as_str().expect("a commit");
+    let production = deploy["production"].as_str().expect("commit hash");
     assert!(production.len() == 40 && production.chars().all(|c| c.is_ascii_hexdigit()));
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The words on the wire, as the protocol writes them.
+//! Examples of protocol messages and settings files, and how invalid ones are reported.
 
 use rudderreel_wire::cloud::{Catalog, MachinePage, ScaleOutRequest};
 use rudderreel_wire::job::{JobSpec, Kind, Priority};
@@ -10,16 +10,19 @@
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{json, Value};
 
-/// Reads an example and writes it again: nothing may be lost or renamed.
-fn round<T: DeserializeOwned + Serialize>(example: Value) -> T {
-    let read: T = serde_json::from_value(example.clone()).expect("it is read");
-    assert_eq!(serde_json::to_value(&read).expect("it is written"), example);
+/// Asserts that an example deserializes and serializes again with no field lost or renamed.
+fn assert_round_trip<T: DeserializeOwned + Serialize>(example: Value) -> T {
+    let read: T = serde_json::from_value(example.clone()).expect("example must deserialize");
+    assert_eq!(
+        serde_json::to_value(&read).expect("message must serialize"),
+        example
+    );
     read
 }
 
 #[test]
-fn examples_of_the_protocol_survive_a_round_trip() {
-    let job: JobSpec = round(
+fn protocol_examples_survive_a_round_trip() {
+    let job: JobSpec = assert_round_trip(
         json!({"id":"wk-000412","reel":"train","crew":"vision","rig":"gang",
         "precedence":"urgent","takes":16,"vcpus":8.0,"gpus":1.0,"memoryGb":64.0,
         "pressing":"img-07","pullGb":6.2,"hulls":["g8"],"berth":null,"together":true,
@@ -27,37 +30,37 @@
         "dueS":900.0}),
     );
     assert_eq!((job.kind, job.priority), (Kind::Gang, Priority::High));
-    let reply: StatusReportReply = round(json!({"helm":41,"orders":[
+    let reply: StatusReportReply = assert_round_trip(json!({"helm":41,"orders":[
         {"verb":"run","take":"wk-000412/4","launch":2},
         {"verb":"stop","take":"wk-000377/1","launch":1,"slackS":10.0},
         {"verb":"reap","take":"wk-000398/0","launch":1}]}));
     assert!(matches!(reply.commands[1], Command::Stop { grace_s, .. } if grace_s == 10.0));
-    round::<DirectCommands>(json!({"helm":41,"watch":1,"orders":[]}));
-    round::<ScaleOutRequest>(
+    assert_round_trip::<DirectCommands>(json!({"helm":41,"watch":1,"orders":[]}));
+    assert_round_trip::<ScaleOutRequest>(
         json!({"charter":"r-17","hull":"g8","berth":"a","driftwood":true,"count":12}),
     );
-    round::<Transaction<Value>>(json!({"if":[{"key":"a/b","stamp":0}],
+    assert_round_trip::<Transaction<Value>>(json!({"if":[{"key":"a/b","stamp":0}],
         "apply":[{"set":"a/b","data":{"x":[1]},"mooring":7},{"delete":"c/d"}]}));
-    round::<Events<Value>>(json!({"logline":433,"log":[
+    assert_round_trip::<Events<Value>>(json!({"logline":433,"log":[
         {"set":"c/9","data":{},"stamp":433},{"delete":"c/d","stamp":432}]}));
 }
 
 #[test]
-fn reports_are_read_with_fields_missing_or_unknown() {
+fn messages_with_missing_or_unknown_fields_are_accepted() {
     let report: StatusReport =
         serde_json::from_value(json!({"deck":"vm-000231","addr":"10.1.0.232:9000",
         "hull":"g8","berth":"a","driftwood":true,"watch":1,"tally":88,"new":1,
         "takes":[{"take":"wk-000412/3","launch":2,"bearing":"gathering"}]}))
-        .expect("it is read");
+        .expect("message must deserialize");
     assert_eq!(report.token.0, 0);
     assert_eq!(report.tasks[0].state, TaskState::Waiting);
     let page: MachinePage = serde_json::from_value(json!({"decks":[{"id":"vm-1","hull":"g8",
         "berth":"a","driftwood":false,"bearing":"melting"}]}))
-    .expect("an unknown state is read");
+    .expect("unknown state must deserialize");
     assert!(!page.more);
     let catalog: Catalog = serde_json::from_value(json!({"hulls":[{"label":"g8","vcpus":96,
         "memoryGb":768,"rate":12.0}]}))
-    .expect("it is read");
+    .expect("message must deserialize");
     assert_eq!(catalog.types[0].gpus, 0.0);
 }
 
@@ -69,43 +72,43 @@
 write_rps = 25.0\nvalue_kb = 32.0\ntxn_ops = 20\n[params.cloud]\nrps = 4.0\nlist_lag_s = 10.0\n";
 
 #[test]
-fn limits_announced_by_the_state_service_are_read() {
-    let without = Settings::parse(SETTINGS).expect("good settings");
+fn announced_limits_of_the_state_service_are_parsed_and_checked() {
+    let without = Settings::parse(SETTINGS).expect("valid settings");
     assert!(without.params.state.next.is_none());
-    let with = |next: &str| {
+    let parse_with = |next: &str| {
         let next = format!("[params.state.next]\n{next}\n[params.cloud]");
         Settings::parse(&SETTINGS.replacen("[params.cloud]", &next, 1))
     };
-    let limits = with("write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 6\nfuture = \"x\"");
-    let next = limits.expect("good settings").params.state.next;
+    let limits = parse_with("write_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 6\nfuture = \"x\"");
+    let next = limits.expect("valid settings").params.state.next;
     let next = next.expect("announced limits");
     assert_eq!((next.write_rps, next.value_kb), (Some(18.0), Some(2.0)));
     assert_eq!((next.txn_ops, next.rps), (Some(6), None));
-    assert!(with("")
-        .expect("none is missing")
+    assert!(parse_with("")
+        .expect("all limits are optional")
         .params
         .state
         .next
         .is_some());
-    for (line, named) in [
+    for (line, expected) in [
         ("write_rps = 0.0", "params.state.next.write_rps"),
         ("value_kb = -1.0", "params.state.next.value_kb"),
         ("txn_ops = 0", "params.state.next.txn_ops"),
         ("rps = inf", "params.state.next.rps"),
         ("txn_ops = 1.5", "txn_ops"),
     ] {
-        let message = with(line).expect_err(line).to_string();
+        let message = parse_with(line).expect_err(line).to_string();
         assert!(
-            message.contains(named) || message.contains("expected"),
+            message.contains(expected) || message.contains("expected"),
             "{message}"
         );
     }
 }
 
 #[test]
-fn settings_are_read_and_mistakes_are_named() {
-    let good = Settings::parse(SETTINGS).expect("good settings");
-    assert_eq!(good.params.teams[0].cpus, 43.0);
+fn errors_in_settings_name_the_field() {
+    let valid = Settings::parse(SETTINGS).expect("valid settings");
+    assert_eq!(valid.params.teams[0].cpus, 43.0);
     let cases = [
         ("lease_s = 12.0", "lease_s = -1.0", "params.workers.lease_s"),
         ("lease_s = 12.0", "lease_s = nan", "params.workers.lease_s"),
@@ -120,45 +123,51 @@
         ("node = \"n0\"", "node = \"\"", "`node`"),
         ("rps = 250.0", "rps = \"many\"", "expected f64"),
     ];
-    for (from, to, named) in cases {
+    for (from, to, expected) in cases {
         let text = SETTINGS.replacen(from, to, 1);
         let message = Settings::parse(&text).expect_err(to).to_string();
         assert!(
-            message.contains(named) && !message.contains('\n'),
+            message.contains(expected) && !message.contains('\n'),
             "{message}"
         );
     }
 }
 
-/// A share or a memory that can't be right ends the process at its start; one that is left out is no limit.
+/// An invalid processor share or memory limit is an error, which ends the process at its start. A limit that is left
+/// out does not exist.
 #[test]
-fn limits_of_the_process_are_checked() {
-    let with = |limits: &str| {
+fn process_limits_are_checked() {
+    let parse_with = |limits: &str| {
         let text = format!("{SETTINGS}\n[params.machine_limits]\n{limits}\n");
         Settings::parse(&text)
     };
-    let good = with("core_share = 0.032\nmemory_mb = 46.0\nfd_limit = 1200").expect("settings");
-    let limits = good.params.limits.expect("limits");
+    let valid = parse_with("core_share = 0.032\nmemory_mb = 46.0\nfd_limit = 1200")
+        .expect("valid settings");
+    let limits = valid.params.limits.expect("limits");
     assert_eq!(
         (limits.cpu_share, limits.memory_mb),
         (Some(0.032), Some(46.0))
     );
-    let none = with("").expect("settings").params.limits.expect("limits");
+    let none = parse_with("")
+        .expect("valid settings")
+        .params
+        .limits
+        .expect("limits");
     assert_eq!(
         (none.cpu_share, none.memory_mb, none.fd_limit),
         (None, None, 0)
     );
     for field in ["core_share", "memory_mb"] {
         for bad in ["0.0", "-1.0", "nan", "inf", "1e300"] {
-            let message = with(&format!("{field} = {bad}"))
+            let message = parse_with(&format!("{field} = {bad}"))
                 .expect_err(bad)
                 .to_string();
-            let named = format!("params.machine_limits.{field}");
-            assert!(message.contains(&named), "{message}");
+            let path = format!("params.machine_limits.{field}");
+            assert!(message.contains(&path), "{message}");
         }
     }
     for bad in ["-1", "1e9", "99999999999"] {
-        let message = with(&format!("fd_limit = {bad}"))
+        let message = parse_with(&format!("fd_limit = {bad}"))
             .expect_err(bad)
             .to_string();
         assert!(!message.is_empty());
