--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -3,7 +3,7 @@
 
 use crate::history::{Change, Event, History};
 use rudderreel_core::Value;
-use rudderreel_wire::cloud::Rent;
+use rudderreel_wire::cloud::ScaleOutRequest;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::worker::{
@@ -60,7 +60,7 @@
 /// An agent, which runs on its own threads until its machine is terminated.
 pub struct LoopbackAgent {
     id: MachineId,
-    rent: Rent,
+    rent: ScaleOutRequest,
     addr: SocketAddr,
     shared: Arc<Shared>,
     state: Mutex<AgentState>,
@@ -69,7 +69,7 @@
 
 impl LoopbackAgent {
     /// Starts an agent on a machine that has booted.
-    pub fn start(id: MachineId, rent: Rent, shared: Arc<Shared>) -> Arc<Self> {
+    pub fn start(id: MachineId, rent: ScaleOutRequest, shared: Arc<Shared>) -> Arc<Self> {
         let server = Server::http("127.0.0.1:0").expect("the agent listens");
         let addr = server.server_addr().to_ip().expect("an address");
         let state = AgentState {
@@ -157,7 +157,7 @@
             task: id.clone(),
             attempt: *attempt,
             state: task.state,
-            why: task.cause,
+            cause: task.cause,
             saved: None,
         };
         StatusReport {
@@ -169,7 +169,7 @@
             incarnation: state.incarnation,
             seq: Seq(state.seq),
             token: state.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: state.tasks.iter().map(status).collect(),
         }
     }
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -5,7 +5,7 @@
 use crate::store::{Limits, Store};
 use rudderreel_core::{CloudAnswer, CloudCall, StoreAnswer, StoreCall, Value};
 use rudderreel_wire::ids::{LeaseId, MachineId, Version};
-use rudderreel_wire::state::{Committed, Events, Lease, LeaseRequest};
+use rudderreel_wire::state::{Events, Lease, LeaseRequest, TransactionReply};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -198,7 +198,7 @@
             (Method::Get, ["keys", key @ ..]) => StoreCall::Get(key.join("/")),
             (Method::Post, ["commit"]) => StoreCall::Commit(parse_body(body)),
             (Method::Post, ["holds"]) => {
-                StoreCall::NewLease(parse_body::<LeaseRequest>(body).ttl_ms)
+                StoreCall::AcquireLease(parse_body::<LeaseRequest>(body).ttl_ms)
             }
             (Method::Post, ["holds", id, "renew"]) => StoreCall::Renew(lease_id(id)),
             (Method::Delete, ["holds", id]) => StoreCall::EndLease(lease_id(id)),
@@ -241,8 +241,8 @@
                     .get("after")
                     .map(|id| MachineId::from(id.as_str())),
             ),
-            (Method::Post, "/rentals") => CloudCall::Rent(parse_body(body)),
-            (Method::Post, "/rentals/return") => CloudCall::Return(parse_body(body)),
+            (Method::Post, "/rentals") => CloudCall::ScaleOut(parse_body(body)),
+            (Method::Post, "/rentals/return") => CloudCall::ScaleIn(parse_body(body)),
             _ => panic!("unexpected request: {method} {}", url.path),
         };
         let answer = {
@@ -298,11 +298,11 @@
         StoreAnswer::Changes(changes) => json(200, &changes),
         StoreAnswer::Committed(revision) => {
             let failed = Vec::new();
-            json(200, &Committed { revision, failed })
+            json(200, &TransactionReply { revision, failed })
         }
         StoreAnswer::Conflict(failed) => {
             let revision = Version(0);
-            json(409, &Committed { revision, failed })
+            json(409, &TransactionReply { revision, failed })
         }
         StoreAnswer::Lease(lease) => json(200, &Lease { lease }),
         StoreAnswer::Done => (200, "{}".into()),
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::io::{CallId, CloudCall, Output};
 use crate::units::{Span, Time};
-use rudderreel_wire::cloud::{MachineNames, Rent, MACHINES_PER_PAGE};
+use rudderreel_wire::cloud::{MachineNames, ScaleOutRequest, MACHINES_PER_PAGE};
 use rudderreel_wire::ids::MachineId;
 use std::collections::{HashMap, VecDeque};
 
@@ -21,7 +21,7 @@
     /// Read the machine types.
     Catalog,
     /// Request machines.
-    ScaleOut(Rent),
+    ScaleOut(ScaleOutRequest),
     /// Return machines.
     ScaleIn(Vec<MachineId>),
     /// Read the page of the machine list that follows this machine; the first page if there is none.
@@ -33,8 +33,8 @@
     fn to_call(&self) -> CloudCall {
         match self {
             Self::Catalog => CloudCall::Catalog,
-            Self::ScaleOut(request) => CloudCall::Rent(request.clone()),
-            Self::ScaleIn(machines) => CloudCall::Return(MachineNames {
+            Self::ScaleOut(request) => CloudCall::ScaleOut(request.clone()),
+            Self::ScaleIn(machines) => CloudCall::ScaleIn(MachineNames {
                 machines: machines.clone(),
             }),
             Self::List(after) => CloudCall::List(after.clone()),
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -16,7 +16,7 @@
 pub use admin_request::AdminRequest;
 
 use crate::units::Time;
-use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, Rent};
+use rudderreel_wire::cloud::{Catalog, MachineNames, MachinePage, ScaleOutRequest};
 use rudderreel_wire::ids::{JobId, LeaseId, MachineId, NodeName, Version};
 use rudderreel_wire::job::JobSpec;
 use rudderreel_wire::peer::{
@@ -69,7 +69,7 @@
     /// Commit a transaction.
     Commit(Transaction<Value>),
     /// Acquire a lease with a time to live in milliseconds.
-    NewLease(u64),
+    AcquireLease(u64),
     /// Renew a lease.
     Renew(LeaseId),
     /// End a lease.
@@ -111,9 +111,9 @@
     /// Read the machine types.
     Catalog,
     /// Rent machines.
-    Rent(Rent),
+    ScaleOut(ScaleOutRequest),
     /// Return machines.
-    Return(MachineNames),
+    ScaleIn(MachineNames),
     /// List the machines after a name if one is given, else from the first.
     List(Option<MachineId>),
 }
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -193,7 +193,7 @@
         incarnation: Incarnation(incarnation),
         seq: Seq(seq),
         token: Epoch(1),
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: Vec::new(),
     }
 }
@@ -218,7 +218,7 @@
         task: stranger.task(7),
         attempt: rudderreel_wire::ids::Attempt(9),
         state: TaskState::Running,
-        why: None,
+        cause: None,
         saved: None,
     }];
     for bad in [
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -1,7 +1,7 @@
 //! A stand-in for an agent that follows the protocol: incarnations, leases, tokens and commands.
 
 use super::ObservedJob;
-use rudderreel_wire::cloud::Rent;
+use rudderreel_wire::cloud::ScaleOutRequest;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, JobId, MachineId, Seq, TaskId};
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::worker::{Cause, Command, StatusReport, TaskState, TaskStatus};
@@ -43,7 +43,7 @@
 pub struct SimulatedAgent {
     gang_wait_ms: u64,
     id: MachineId,
-    rent: Rent,
+    rent: ScaleOutRequest,
     pub incarnation: Incarnation,
     seq: u64,
     /// Highest epoch in an answer or a command that it has accepted.
@@ -71,7 +71,7 @@
 
 impl SimulatedAgent {
     /// Creates an agent whose tasks of gangs wait `gang_wait_ms` for the rest of their gang.
-    pub fn new(id: MachineId, rent: Rent, gang_wait_ms: u64, now: u64) -> Self {
+    pub fn new(id: MachineId, rent: ScaleOutRequest, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
             id,
@@ -125,13 +125,13 @@
             incarnation: self.incarnation,
             seq: Seq(self.seq),
             token: self.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: (self.tasks.values())
                 .map(|t| TaskStatus {
                     task: t.task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
+                    cause: t.why,
                     saved: None,
                 })
                 .collect(),
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -2,7 +2,7 @@
 
 use rudderreel_core::{CloudAnswer, CloudCall};
 use rudderreel_wire::cloud::{
-    Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, Rent,
+    Catalog, ListedMachine, ListedState, MachineNames, MachinePage, MachineType, ScaleOutRequest,
 };
 use rudderreel_wire::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
     /// Rented machines by the id of their request, so that a repeated request rents nothing more.
     requested: BTreeMap<String, Vec<MachineId>>,
     /// Rented machines, each with its request and the time at which it was rented.
-    machines: BTreeMap<MachineId, (Rent, u64)>,
+    machines: BTreeMap<MachineId, (ScaleOutRequest, u64)>,
     /// Machines that have not booted yet.
     booting: BTreeSet<MachineId>,
     /// Machines that were returned since the last call of [`Cloud::take_returned`].
@@ -53,7 +53,7 @@
     }
 
     /// Returns the machines that have booted since the last call.
-    pub fn take_booted(&mut self, now: u64) -> Vec<(MachineId, Rent)> {
+    pub fn take_booted(&mut self, now: u64) -> Vec<(MachineId, ScaleOutRequest)> {
         let up = |id: &&MachineId| now >= self.machines[*id].1 + self.boot_duration_ms(id);
         let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
         let rented = |id: MachineId| {
@@ -88,7 +88,7 @@
                     zones: self.zones.iter().map(|zone| (*zone).into()).collect(),
                 }],
             }),
-            CloudCall::Rent(rent) => {
+            CloudCall::ScaleOut(rent) => {
                 if let Some(machines) = self.requested.get(&rent.request) {
                     let machines = machines.clone();
                     return CloudAnswer::Rented(MachineNames { machines });
@@ -105,7 +105,7 @@
                     .insert(rent.request.clone(), machines.clone());
                 CloudAnswer::Rented(MachineNames { machines })
             }
-            CloudCall::Return(names) => {
+            CloudCall::ScaleIn(names) => {
                 for id in &names.machines {
                     self.machines.remove(id);
                     self.booting.remove(id);
@@ -136,7 +136,7 @@
         }
     }
 
-    fn add(&mut self, rent: &Rent, now: u64) -> MachineId {
+    fn add(&mut self, rent: &ScaleOutRequest, now: u64) -> MachineId {
         self.next_id += 1;
         let id = MachineId::from(format!("vm-{:06}", self.next_id).as_str());
         self.machines.insert(id.clone(), (rent.clone(), now));
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -118,7 +118,7 @@
                 self.kind("commit", 0);
                 self.json(transaction);
             }
-            StoreCall::NewLease(ttl_ms) => self.kind("new lease", *ttl_ms),
+            StoreCall::AcquireLease(ttl_ms) => self.kind("new lease", *ttl_ms),
             StoreCall::Renew(lease) => self.kind("renew", lease.0),
             StoreCall::EndLease(lease) => self.kind("end lease", lease.0),
         }
@@ -127,11 +127,11 @@
     fn cloud_call(&mut self, call: &CloudCall) {
         match call {
             CloudCall::Catalog => self.kind("catalog", 0),
-            CloudCall::Rent(rent) => {
+            CloudCall::ScaleOut(rent) => {
                 self.kind("rent", 0);
                 self.json(rent);
             }
-            CloudCall::Return(names) => {
+            CloudCall::ScaleIn(names) => {
                 self.kind("return", 0);
                 self.json(names);
             }
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -160,7 +160,7 @@
             let leads = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
             t.conditions.iter().any(|c| leads(&c.key)) && !t.changes.is_empty()
         }
-        rudderreel_core::StoreCall::NewLease(_) => true,
+        rudderreel_core::StoreCall::AcquireLease(_) => true,
         _ => false,
     }
 }
