--- a/crates/core/src/agents/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -13,19 +13,22 @@
 
 /// Number of unanswered calls at which a machine that has missed a report is declared dead.
 const UNANSWERED_CALLS_AFTER_MISSED_REPORT: u32 = 2;
-/// Least number of unanswered calls for declaring a machine dead that has not missed a report yet.
+/// Number of unanswered calls at which a machine that has not missed a report yet may be declared dead.
 const UNANSWERED_CALLS_WITHOUT_MISSED_REPORT: u32 = 3;
-/// Time for which such a machine must also have answered no calls, and have been silent before that.
+/// Time for which calls to a machine must have been unanswered before it is declared dead if it has not missed a report
+/// yet, or if this leader has never heard from it. In the first case it must also have been silent for this time before
+/// the first of these calls was found to be unanswered.
 const UNANSWERED_TIME: Span = Span(1_200);
 /// Time without any answer to a direct call after which it is not known whether any agent would answer.
 const MAX_TIME_SINCE_ANY_ANSWER: Span = Span(2_000);
 /// Time by which a status report may be late, in addition to a quarter of the interval.
 const REPORT_DELAY: Span = Span(500);
-/// Time by which most reports are late at most.
+/// Maximum delay of most reports.
 const SHORT_REPORT_DELAY: Span = Span(100);
-/// Time for an agent's failover: it waits 4 s for an answer and one more before it tries another node.
+/// Time for an agent's failover: the agent waits 4 s for an answer, and one second more before it tries another node.
 const AGENT_FAILOVER: Span = Span(6_500);
-/// Margin after three quarters of the lease: only the rest of the lease is left to an agent that is silent for longer.
+/// Margin that is added to three quarters of the lease in the upper bound of the silence timeout: only the rest of the
+/// lease is left to an agent that is silent for longer.
 const SILENCE_MARGIN: Span = Span(1_000);
 /// Number of leases for which machines in a partitioned zone are kept.
 const LEASES_KEPT_IN_PARTITION: u64 = 4;
@@ -36,7 +39,7 @@
 /// failure of this node's connection.
 #[derive(Clone, Copy)]
 struct OwnConnection {
-    hears_most_machines: bool,
+    hears_from_most_machines: bool,
     reaches_agents: bool,
 }
 
@@ -44,7 +47,7 @@
     /// Returns the machines that have surely failed or can't be commanded, and the reasons.
     pub fn machines_declared_dead(&self, now: Time) -> BTreeMap<MachineId, RetireReason> {
         let connection = OwnConnection {
-            hears_most_machines: self.hears_most_machines(now),
+            hears_from_most_machines: self.hears_from_most_machines(now),
             reaches_agents: self.has_recent_answer(now),
         };
         (self.fleet.machines.values())
@@ -83,9 +86,9 @@
         self.fleet.reachability.since_last_answer(now) > MAX_TIME_SINCE_ANY_ANSWER
     }
 
-    /// Returns whether most machines that were ever heard from were heard from lately, and some just now: if not, it is
-    /// more likely that this node is cut off. Machines in partitioned zones don't count.
-    fn hears_most_machines(&self, now: Time) -> bool {
+    /// Returns whether most machines that were ever heard from were heard from lately, and some of them just now. If
+    /// not, it is more likely that this node is cut off. Machines in partitioned zones don't count.
+    fn hears_from_most_machines(&self, now: Time) -> bool {
         let heard_at: Vec<Time> = (self.fleet.machines.values())
             .filter(|machine| !self.fleet.partitioned_zones.contains(&machine.zone))
             .filter_map(|machine| machine.last_heard_at)
@@ -111,7 +114,7 @@
         now: Time,
     ) -> Option<RetireReason> {
         let OwnConnection {
-            hears_most_machines,
+            hears_from_most_machines,
             reaches_agents,
         } = connection;
         let unreachable_for = (machine.unreachable_since).map_or(Span(0), |since| now - since);
@@ -127,9 +130,9 @@
         let hangs = unanswered
             && unreachable_for > UNANSWERED_TIME
             && silent_for > unreachable_for + UNANSWERED_TIME;
-        if hears_most_machines && silent_for > self.silence_timeout() {
+        if hears_from_most_machines && silent_for > self.silence_timeout() {
             Some(RetireReason::Silent)
-        } else if hears_most_machines && reaches_agents && (missed_report || hangs) {
+        } else if hears_from_most_machines && reaches_agents && (missed_report || hangs) {
             Some(RetireReason::DoesNotAnswer)
         } else if reaches_agents
             && unanswered
@@ -160,7 +163,7 @@
         let is_unanswered = machine.unanswered_calls > UNANSWERED_CALLS_AFTER_MISSED_REPORT
             && unreachable_for > UNANSWERED_TIME;
         let is_report_due = now - self.term.elected_at() > self.report_timeout();
-        let can_tell = connection.hears_most_machines && connection.reaches_agents;
+        let can_tell = connection.hears_from_most_machines && connection.reaches_agents;
         (is_unanswered && can_tell && is_report_due).then_some(RetireReason::DoesNotAnswer)
     }
 
--- a/crates/core/src/agents/failure_detection/tests.rs
+++ b/crates/core/src/agents/failure_detection/tests.rs
@@ -201,7 +201,7 @@
 /// after the first.
 #[test]
 fn the_number_of_open_probes_grows_with_the_fleet() {
-    for (machines, least) in [(30, 20), (1_000, 64), (4_000, 250), (6_000, 375)] {
+    for (machines, expected_probes) in [(30, 20), (1_000, 64), (4_000, 250), (6_000, 375)] {
         let mut leader = leader();
         for n in 0..machines {
             add_live_machine(&mut leader, &format!("vm-{n}"), "a");
@@ -209,12 +209,12 @@
         (leader.fleet.reachability).call_answered(NOW.time + Span(3_000));
         let probed = leader.machines_to_probe(NOW.time + Span(3_000));
         assert!(
-            probed.len() >= least,
+            probed.len() >= expected_probes,
             "{machines} machines: {}",
             probed.len()
         );
         assert!(
-            probed.len() <= least.max(64),
+            probed.len() <= expected_probes.max(64),
             "{machines} machines: {}",
             probed.len()
         );
--- a/crates/core/src/agents/peer_selection.rs
+++ b/crates/core/src/agents/peer_selection.rs
@@ -6,8 +6,9 @@
 //!
 //! **Guards.** An agent is moved only if the loads differ enough to make it worthwhile, so that agents don't move back
 //! and forth. A node that no agent reaches seems idle; if it can't be reached, every agent sent there loses time, so
-//! only one is sent there on trial from time to time. Otherwise a leader that is cut off from agents seems idle to the
-//! other nodes, which redirect all of their agents to it, again and again, until the leases expire.
+//! only one is sent there on trial from time to time. Without this limit a leader that is cut off from agents would
+//! seem idle to the other nodes, which would redirect all of their agents to it, again and again, until the leases
+//! expire.
 
 use crate::leadership::peers::{PeerStatus, PeerTable};
 use crate::overload::backlog::Backlog;
@@ -23,16 +24,18 @@
 const FAILED_SUCCESSOR_WEIGHT: u32 = 4;
 /// Difference between the loads of two nodes that is accepted, in agents, in addition to a quarter of the smaller load.
 const MAX_IMBALANCE: u32 = 8;
-/// Time by which a report is late when its agent counts as reporting elsewhere, but see [`MIN_AGENT_TIMEOUT`].
+/// Time by which a report has to be late for its agent to count as reporting elsewhere. Its last report must also be
+/// [`MIN_AGENT_TIMEOUT`] old.
 const AGENT_TIMEOUT_MARGIN: Span = Span(2_000);
-/// Time since an agent's last report before which the agent does not count as reporting elsewhere.
+/// Minimum time since an agent's last report for the agent to count as reporting elsewhere.
 const MIN_AGENT_TIMEOUT: Span = Span(8_000);
 /// Interval at which agents that report elsewhere are removed. The count is needed with every report, so looking
 /// through all agents each time would have a cost that is quadratic in the size of the fleet.
 const PRUNE_INTERVAL: Span = Span(200);
 /// Time without any agent reaching a node after which the node is perhaps cut off from its agents.
 const MAX_AGENT_SILENCE: Span = Span(1_500);
-/// The same for a node with few agents, as a multiple of the mean time between their reports.
+/// Time without any agent reaching a node with few agents after which the node is perhaps cut off from them, as a
+/// multiple of the mean time between their reports.
 const AGENT_SILENCE_IN_REPORT_GAPS: u64 = 5;
 /// Interval at which an agent is sent on trial to a node that no agent reaches.
 const TRIAL_INTERVAL: Span = Span(1_000);
--- a/crates/core/src/agents/probing.rs
+++ b/crates/core/src/agents/probing.rs
@@ -22,7 +22,7 @@
 const CONTROL_PROBES: usize = 3;
 /// Half of the pause after the first call without an answer. The pause doubles with each further one.
 const PROBE_RETRY_BASE: Span = Span(100);
-/// Number of times that [`PROBE_RETRY_BASE`] doubles at most.
+/// Maximum number of times that [`PROBE_RETRY_BASE`] is doubled.
 const MAX_PROBE_RETRY_DOUBLINGS: u32 = 5;
 
 impl Leader {
--- a/crates/core/src/agents/zone_partitions.rs
+++ b/crates/core/src/agents/zone_partitions.rs
@@ -9,13 +9,13 @@
 use rudderreel_wire::ids::Zone;
 use std::collections::BTreeMap;
 
-/// Least number of machines that should report from a zone for the zone to count as partitioned.
+/// Minimum number of machines that should report from a zone for the zone to count as partitioned.
 const MIN_MACHINES_OF_PARTITIONED_ZONE: usize = 4;
-/// Number of machines in a zone from which on a silence of less than a report interval is significant.
+/// Minimum number of machines in a zone for a silence of less than a report interval to be significant.
 const MIN_MACHINES_FOR_EARLY_DETECTION: usize = 24;
-/// Least silence of such a zone that is significant.
+/// Minimum silence of such a zone that is significant.
 const MIN_ZONE_SILENCE: Span = Span(1_000);
-/// Least silence of such a zone as a multiple of the mean time between two reports from there.
+/// Minimum silence of such a zone that is significant, as a multiple of the mean time between two reports from there.
 const ZONE_SILENCE_IN_REPORT_GAPS: u64 = 10;
 
 /// The status reports from a zone.
@@ -67,7 +67,7 @@
             (was_partitioned || reports.expected >= MIN_MACHINES_OF_PARTITIONED_ZONE)
                 && now - reports.last_heard_at > max_silence
                 && (was_partitioned
-                    || self.hears_other_zones(zone, max_silence, expected_elsewhere, now))
+                    || self.hears_from_other_zones(zone, max_silence, expected_elsewhere, now))
         };
         (zones.iter())
             .filter(|(zone, reports)| is_silent(zone, reports))
@@ -88,7 +88,13 @@
 
     /// Returns whether at least a third of the reports arrived that the machines of other zones should send within a
     /// time. After a failover all agents report at once, and then none for a while.
-    fn hears_other_zones(&self, zone: &Zone, within: Span, expected: usize, now: Time) -> bool {
+    fn hears_from_other_zones(
+        &self,
+        zone: &Zone,
+        within: Span,
+        expected: usize,
+        now: Time,
+    ) -> bool {
         let heard = (self.fleet.machines.values())
             .filter(|machine| machine.zone != *zone && machine.is_heard_within(within, now))
             .count();
--- a/crates/core/src/api/admin/overview.rs
+++ b/crates/core/src/api/admin/overview.rs
@@ -16,13 +16,13 @@
 pub struct Overview<'a> {
     /// The node that answers the request.
     pub node: &'a NodeName,
-    /// The leader according to the leader's key in the state service, if there is one.
+    /// The leader according to the leader key in the store, if there is one.
     pub leader: Option<&'a NodeName>,
     /// The leader's epoch.
     pub epoch: Option<Epoch>,
     /// Whether the node that answers the request leads.
     pub leads: bool,
-    /// Whether the state service answers this node.
+    /// Whether the store answers this node.
     pub state_service_answers: bool,
     /// Number of jobs in the node's cache.
     pub jobs_known: usize,
@@ -32,7 +32,7 @@
     pub pauses: PauseFigures,
     /// Number of stored records that could not be read since the node started.
     pub unreadable_records: u64,
-    /// How many agents the nodes' connections suffice for; none if the settings contain no limit on sockets.
+    /// Number of agents that the nodes' connections suffice for; none if the settings contain no limit on sockets.
     pub connections_for: Option<FleetLimits>,
     /// Whether the node keeps up with its inputs.
     pub backlog: Value,
@@ -46,7 +46,7 @@
 /// Upper bound on the age of a node's cache.
 #[derive(Serialize)]
 pub struct CacheAge {
-    /// The revision of the state service up to which every change has been applied.
+    /// The revision of the store up to which every change has been applied.
     revision: Version,
     /// Milliseconds since the latest moment at which that was surely the newest revision; null if changes may have
     /// been missed.
--- a/crates/core/src/api/admin/settings.rs
+++ b/crates/core/src/api/admin/settings.rs
@@ -15,14 +15,14 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// A number lies outside its bounds, or is not a number (NaN).
-    #[error("{field}: must be from {least} to {most}")]
+    #[error("{field}: must be from {min} to {max}")]
     OutOfRange {
         /// Name of the setting.
         field: &'static str,
         /// Lower bound of the setting.
-        least: f64,
+        min: f64,
         /// Upper bound of the setting.
-        most: f64,
+        max: f64,
     },
     /// The settings of a team or group are invalid.
     #[error(transparent)]
@@ -69,8 +69,8 @@
     }
     Err(SettingsError::OutOfRange {
         field,
-        least: *range.start(),
-        most: *range.end(),
+        min: *range.start(),
+        max: *range.end(),
     })
 }
 
--- a/crates/core/src/api/admin/wait_reason.rs
+++ b/crates/core/src/api/admin/wait_reason.rs
@@ -16,7 +16,7 @@
     Cancelled,
     /// Some dependencies of the job are not done.
     Dependencies,
-    /// The job's tasks fail on every machine, so the job itself is suspected of a fault.
+    /// The job's tasks fail on every machine, so the job itself is suspected of a mistake.
     Suspected,
     /// No task is left to start.
     NothingToStart,
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -42,7 +42,7 @@
     /// The job depends on a service, which is never done.
     #[error("the job depends on a service, which is never done")]
     DependsOnService,
-    /// The job's record would be larger than the state service accepts.
+    /// The job's record would be larger than the store accepts.
     #[error("the submission is too large to be stored: fewer dependencies or machine types")]
     TooLarge,
 }
@@ -67,7 +67,7 @@
     pub teams: &'a TeamTree,
     /// The accepted jobs that this node knows of.
     pub jobs: &'a JobCache,
-    /// The limits of the state service.
+    /// The limits of the store.
     pub limits: &'a StoreLimits,
 }
 
@@ -76,7 +76,7 @@
 pub struct NewJob {
     /// The job's record.
     pub record: JobRecord,
-    /// Which dependencies of the job the commit confirms.
+    /// The dependencies that the commit confirms.
     pub confirms: ConfirmedDependencies,
 }
 
@@ -182,8 +182,8 @@
             record = record.cancelled(now, Some(dependency), self.limits);
             unfinished.clear();
         }
-        // The job's own key takes up one of the transaction's conditions.
-        let confirms = if unfinished.len() < self.limits.conditions() {
+        // One of the transaction's conditions is that on the job's own key.
+        let confirms = if unfinished.len() < self.limits.max_conditions() {
             ConfirmedDependencies::All
         } else {
             unfinished.clear();
--- a/crates/core/src/api/cancellation_replication.rs
+++ b/crates/core/src/api/cancellation_replication.rs
@@ -1,28 +1,28 @@
 //! Replication of cancellations, and the decision when a user may be told that a job is cancelled.
 //!
-//! A node that answers agents keeps their tasks running. In an outage of the state service it may do so by lease
-//! votes of a majority, without being able to read what was committed before. It must not keep a task running after
-//! the user was told that the task's job is cancelled. The argument that it never does:
+//! A node that answers agents keeps their tasks running. In an outage of the store it may do so by lease votes of a
+//! majority, without being able to read what was committed before. It must not keep a task running after the user was
+//! told that the task's job is cancelled. The argument that it never does:
 //!
 //! - **Quorum to acknowledge.** No user is told of a cancellation before a majority of the nodes, this one
 //!   included, knows the cancellation: [`CancellationReplicator::acknowledge_or_wait`].
-//! - **Catch-up with a lease vote.** A node that grants a lease vote sends with it all cancellations that it knows
-//!   and the candidate lacks, and the vote counts only after the candidate has applied them:
+//! - **Catch-up with a lease vote.** A node that grants a lease vote sends with it all cancellations that it knows and
+//!   the requester lacks, and the vote counts only after the requester has applied them:
 //!   [`CancellationReplicator::catch_up_for`]. If they don't fit into one message, the vote is not granted yet.
 //! - **Quorum intersection.** Any two majorities share a node. So a node that holds the votes of a majority has, for
 //!   each cancellation that was ever acknowledged to a user, caught up with a node that knows this cancellation, and
 //!   stops the job's tasks.
 //!
-//! **Replication watermark.** A node knows all cancellations up to the revision that its watch (or its catch-up)
-//! has reached, and possibly single later ones. That revision is its watermark. Nodes send their watermarks to each
-//! other with heartbeats and replication messages. A node that wants to acknowledge a cancellation sends the
-//! cancellations above a peer's watermark to that peer; each answer acknowledges the cancellations that were sent. A
-//! watermark may only state that *everything* below it is known, so a catch-up that is cut off advances the watermark
-//! no further than the cut.
+//! **Replication watermark.** A node knows all cancellations up to the revision that its watch (or its catch-up) has
+//! reached, and possibly some later ones. That revision is its watermark. Nodes send their watermarks to each other
+//! with heartbeats and replication messages. A node that wants to acknowledge a cancellation sends the cancellations
+//! above a peer's watermark to that peer; each answer acknowledges the cancellations that were sent. A watermark may
+//! only state that *everything* below it is known, so a catch-up that is cut off advances the watermark no further than
+//! the cut.
 //!
-//! If too few peers acknowledge in time, the user's request is refused and may be sent again. The nodes that the state
-//! service serves then publish their watermarks through it (see `watermark_publication`), since links between nodes
-//! may fail while each node reaches the state service.
+//! If too few peers acknowledge in time, the user's request is refused and may be sent again. The nodes that the store
+//! serves then publish their watermarks through it (see `watermark_publication`), since links between nodes may fail
+//! while each node reaches the store.
 //!
 //! **Exception.** A leader that holds a valid lease and has recovered all placements may acknowledge at once if
 //! no task of the job is left: every start is recorded in the placement log that the leader has read back, and no other
@@ -88,7 +88,7 @@
     retry_at: Option<Time>,
 }
 
-/// A request that waits to be answered that its job is cancelled.
+/// A request whose job is cancelled, and which waits until its user may be told so.
 #[derive(Debug)]
 struct WaitingRequest {
     request: PendingRequest,
@@ -195,8 +195,8 @@
         is_majority && leader_settled || context.is_surely_without_tasks(id)
     }
 
-    /// Logs on what the acknowledgement of a cancellation to its user is based: the revision of the cancellation, and
-    /// whether a majority knows it; if not, no task of the job is left.
+    /// Logs the basis on which a cancellation is acknowledged to its user: the revision of the cancellation, and
+    /// whether a majority knows it. If no majority knows it, no task of the job is left.
     fn log_acknowledgement(&self, id: &JobId, version: Version) {
         let is_known_to_majority = self.knowledge.is_known_to_majority(id, version);
         log::debug!(
@@ -314,9 +314,9 @@
         retry_at: Option<Time>,
     ) -> Option<Vec<MissingCancellation>> {
         let link = self.links.get_mut(peer)?;
-        let held = link.in_flight.take()?;
+        let ended = link.in_flight.take()?;
         link.retry_at = retry_at;
-        Some(held)
+        Some(ended)
     }
 
     /// Returns the cancellations that the sender of a heartbeat lacks, if it asks for a lease vote. Without this offer
@@ -344,7 +344,7 @@
         })
     }
 
-    /// Applies the watermark records that nodes have published in the state service.
+    /// Applies the watermark records that nodes have published in the store.
     pub fn watermark_records_read(&mut self, records: &BTreeMap<NodeName, WatermarkRecord>) {
         for (node, record) in records {
             (self.knowledge).advance_reported_watermark(node, record.cancellation_watermark);
--- a/crates/core/src/api/cancellation_replication/knowledge.rs
+++ b/crates/core/src/api/cancellation_replication/knowledge.rs
@@ -1,7 +1,7 @@
-//! The record of which nodes are known to know which cancellations.
+//! The record of which nodes surely know which cancellations.
 //!
-//! A node's knowledge consists of its watermark, up to which it knows every cancellation, and of the single later
-//! cancellations that it has acknowledged. Knowledge only grows: no node forgets a cancellation.
+//! A node's knowledge consists of its watermark, up to which it knows every cancellation, and of the later
+//! cancellations that it has acknowledged one by one. Knowledge only grows: no node forgets a cancellation.
 
 use rudderreel_wire::ids::{JobId, NodeName, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
     own_watermark: Version,
     /// The highest watermark that each other node has reported. This node's own published record may be among them.
     reported_watermarks: BTreeMap<NodeName, Version>,
-    /// Replications of the cancellations that, by the watermarks, no majority is known to know.
+    /// Replications of the cancellations that, by the watermarks alone, no majority surely knows.
     replications: BTreeMap<JobId, Replication>,
 }
 
@@ -26,7 +26,7 @@
 struct Replication {
     /// The revision of the cancellation.
     version: Version,
-    /// Peers that are known to know the cancellation, whatever their watermarks.
+    /// Peers that surely know the cancellation, whatever their watermarks.
     acknowledged_by: BTreeSet<NodeName>,
     /// Whether the cancellation is sent to peers.
     demand: Demand,
@@ -41,7 +41,7 @@
     Requested,
 }
 
-/// A cancellation that has to be sent to a peer, because the peer is not known to know it.
+/// A cancellation that has to be sent to a peer, because the peer may not know it.
 #[derive(Clone, Debug)]
 pub(super) struct MissingCancellation {
     pub(super) id: JobId,
@@ -77,7 +77,7 @@
         *known = watermark.max(*known);
     }
 
-    /// Returns whether a node is known to know a cancellation.
+    /// Returns whether a node surely knows a cancellation.
     pub(super) fn is_known_to(&self, node: &NodeName, id: &JobId, version: Version) -> bool {
         let watermark = self.reported_watermarks.get(node);
         let acknowledged = |replication: &Replication| replication.acknowledged_by.contains(node);
@@ -85,7 +85,7 @@
             || self.replications.get(id).is_some_and(acknowledged)
     }
 
-    /// Returns whether a majority of the nodes, this node included, is known to know a cancellation.
+    /// Returns whether a majority of the nodes, this node included, surely knows a cancellation.
     pub(super) fn is_known_to_majority(&self, id: &JobId, version: Version) -> bool {
         let knowing_peers = self.peers.iter();
         let knowing_peers = knowing_peers.filter(|peer| self.is_known_to(peer, id, version));
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the replication of a cancellation, which is created as only observed if there is none.
+    /// Returns the replication of a cancellation. If there is none, creates one that is only observed.
     fn replication_of(&mut self, id: &JobId, version: Version) -> &mut Replication {
         let replication = self.replications.entry(id.clone());
         replication.or_insert_with(|| Replication {
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Returns the requested cancellations that a peer is not known to know, at most `max_count` of them.
+    /// Returns at most `max_count` of the requested cancellations that a peer may not know.
     pub(super) fn missing_at(&self, peer: &NodeName, max_count: usize) -> Vec<MissingCancellation> {
         let watermark = self.reported_watermarks.get(peer);
         let watermark = watermark.copied().unwrap_or_default();
--- a/crates/core/src/api/cancellation_replication/tests.rs
+++ b/crates/core/src/api/cancellation_replication/tests.rs
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_lease_vote_comes_with_the_cancellations_that_the_candidate_lacks() {
+fn a_lease_vote_comes_with_the_cancellations_that_the_requester_lacks() {
     let jobs = cache();
     let replicator = replicator();
     let offer = replicator.catch_up_for(&heartbeat(19, true), &jobs);
--- a/crates/core/src/api/cancellation_replication/watermark_publication.rs
+++ b/crates/core/src/api/cancellation_replication/watermark_publication.rs
@@ -1,8 +1,8 @@
-//! The record in which a node publishes its watermark in the state service.
+//! The record in which a node publishes its watermark in the store.
 //!
-//! Links between nodes may fail while each of them reaches the state service. A node whose users could not be told
-//! of a cancellation then requests, in its own record, that the other nodes publish their watermarks. A node writes
-//! its record only if it has to request or to publish a watermark, and at most once per [`WRITE_INTERVAL`].
+//! Links between nodes may fail while each node reaches the store. A node whose users could not be told of a
+//! cancellation then requests, in its own record, that the other nodes publish their watermarks. A node writes its
+//! record only if it has to request or to publish a watermark, and at most once per [`WRITE_INTERVAL`].
 
 use crate::store::records::WatermarkRecord;
 use crate::units::{Span, Time};
--- a/crates/core/src/api/read_confirmation.rs
+++ b/crates/core/src/api/read_confirmation.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads of unfinished jobs: the cached state of a job is confirmed with the state service before a user
-//! is answered.
+//! Linearizable reads of unfinished jobs: the cached state of a job is confirmed with the store before a user is
+//! answered.
 //!
 //! Reads that arrive within a short time are confirmed together, by a commit that only compares versions and changes
 //! nothing. If all versions are as cached, the cache was fresh at the moment of the commit. That moment lies after
@@ -10,9 +10,9 @@
 //! sound because done and cancelled are final states: a job that was not cancelled at a later transaction was not
 //! cancelled at an earlier one either.
 //!
-//! [`ConfirmationQueue`] owns the waiting reads and decides when batches may be sent; its budget is a part of the
-//! node's calls to the state service. The cost of reads therefore grows with the number of jobs that users ask about
-//! and with time, but not with the number of requests. [`ConfirmationBatch`] is one set that is being confirmed.
+//! [`ConfirmationQueue`] owns the waiting reads and decides when batches may be sent; its budget is a fraction of the
+//! node's calls to the store. The cost of reads therefore grows with the number of jobs that users ask about and with
+//! time, but not with the number of requests. [`ConfirmationBatch`] is one set that is being confirmed.
 
 use crate::api::user_requests::{PendingRequest, REQUEST_TIMEOUT};
 use crate::cache::job_cache::JobCache;
@@ -25,17 +25,17 @@
 
 /// Minimum time for which reads are collected before they are confirmed together.
 const COLLECTION_TIME: Span = Span(15);
-/// Fraction of a node's calls to the state service that confirmations may use.
-const CALLS_FRACTION: f64 = 0.3;
+/// Fraction of a node's calls to the store that confirmations may use.
+const CONFIRMATION_CALLS_FRACTION: f64 = 0.3;
 /// Lower bound of the rate of confirmations, in calls per second.
 const MIN_CALLS_PER_S: f64 = 0.1;
-/// Number of batches that are sent in one round, at most; reads that don't fit wait for the next round.
-pub(crate) const BATCHES_PER_ROUND: usize = 2;
-/// Lower bound of the number of reads that may wait, however few the state service permits to confirm before they
+/// Maximum number of batches that are sent in one round. Reads that don't fit wait for the next round.
+pub(crate) const MAX_BATCHES_PER_ROUND: usize = 2;
+/// Lower bound of the limit on waiting reads, however few reads the limits of the store permit to confirm before they
 /// are overdue.
 const MIN_QUEUE_LIMIT: usize = 2_000;
 
-/// The limits of the state service that bound the confirmations of a node.
+/// The limits of the store that bound the confirmations of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfirmationBudget {
     /// Calls per second that this node may make for all purposes together.
@@ -83,9 +83,9 @@
     reads: Vec<PendingRequest>,
     /// The cached versions that must be fresh: those of the reads' jobs and of their unfinished dependencies.
     versions: BTreeMap<JobId, Version>,
-    /// How many of the versions, in the order of the map, earlier transactions have compared.
+    /// Number of versions, in the order of the map, that earlier transactions have compared.
     compared: usize,
-    /// How many of the versions the transaction in flight compares.
+    /// Number of versions that the transaction in flight compares.
     comparing: usize,
 }
 
@@ -124,13 +124,14 @@
 impl ConfirmationBudget {
     /// Returns the number of confirmation rounds per second.
     fn rounds_per_s(self) -> f64 {
-        (self.calls_per_s * CALLS_FRACTION).max(MIN_CALLS_PER_S)
+        (self.calls_per_s * CONFIRMATION_CALLS_FRACTION).max(MIN_CALLS_PER_S)
     }
 
     /// Returns how many reads may wait: as many as can be confirmed before they are overdue, but no fewer than
     /// [`MIN_QUEUE_LIMIT`].
     fn queue_limit(self) -> usize {
-        let batches_per_s = self.calls_per_s * CALLS_FRACTION * BATCHES_PER_ROUND as f64;
+        let batches_per_s =
+            self.calls_per_s * CONFIRMATION_CALLS_FRACTION * MAX_BATCHES_PER_ROUND as f64;
         let jobs = batches_per_s * self.max_conditions as f64 * REQUEST_TIMEOUT.as_secs();
         MIN_QUEUE_LIMIT.max(jobs as usize)
     }
--- a/crates/core/src/api/refusal.rs
+++ b/crates/core/src/api/refusal.rs
@@ -20,8 +20,8 @@
 /// The reason for refusing a request.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Refusal {
-    /// The calls that this node has queued or in flight for users use up all that the state service admits, or too
-    /// many requests wait for acknowledgements of cancellations.
+    /// The calls for users that this node has queued or in flight use up all that the store admits, or too many
+    /// requests wait for acknowledgements of cancellations.
     #[error("too many requests are open")]
     TooManyOpenRequests,
     /// The queue of reads to be confirmed is full, or the read was not taken from it in time.
@@ -33,7 +33,7 @@
     /// The machine types are not known yet, so it can't be decided whether the job can run.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
-    /// The state service does not serve this node.
+    /// The store does not serve this node.
     #[error("the state service does not answer")]
     StoreUnreachable,
     /// All attempts to serve the request, or the time for them, are used up.
@@ -78,7 +78,7 @@
     /// The operators' settings are invalid.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The operators' settings are larger than a value that the state service stores.
+    /// The operators' settings are larger than a value that the store accepts.
     #[error("the settings are larger than the state service stores")]
     SettingsTooLarge,
     /// The change of the operators' settings is based on an older version of them.
--- a/crates/core/src/api/user_requests.rs
+++ b/crates/core/src/api/user_requests.rs
@@ -1,12 +1,12 @@
 //! The users' requests that a node is serving: submissions, status queries and cancellations.
 //!
-//! A [`PendingRequest`] exists from the receipt of a request until its answer, and is answered exactly once. Until
-//! then it has one owner: a call to the state service ([`UserCall`] names each kind), the queue of reads to be
-//! confirmed, the peer that the request was forwarded to, or the list of requests that wait for the acknowledgements
-//! of a cancellation. [`UserRequests`] counts the calls in flight and holds the ids of the forwarded requests.
+//! A [`PendingRequest`] exists from the receipt of a request until its answer, and is answered exactly once. Until then
+//! it has one owner: a call to the store ([`UserCall`] names each kind), the queue of reads to be confirmed, the peer
+//! that the request was forwarded to, or the list of requests that wait for the acknowledgements of a cancellation.
+//! [`UserRequests`] counts the open calls and holds the ids of the forwarded requests.
 //!
 //! Answers about a job never go back to an older state. A final state in the cache is answered at once; anything else
-//! is confirmed with the state service first (see [`read_confirmation`](crate::api::read_confirmation)).
+//! is confirmed with the store first (see [`read_confirmation`](crate::api::read_confirmation)).
 
 use crate::api::admission::NewJob;
 use crate::api::read_confirmation::{ConfirmationBatch, ConfirmationQueue};
@@ -25,8 +25,8 @@
 const MAX_FORWARD_AGE: Span = Span(1_000);
 /// Maximum number of further attempts at one request, in which its job is read or confirmed again.
 const MAX_ATTEMPTS: u32 = 4;
-/// Lower bound of the limit on calls in flight for users. The limit is higher if the state service admits more calls
-/// within [`REQUEST_TIMEOUT`].
+/// Lower bound of the limit on open calls for users. The limit is higher if the store admits more calls within
+/// [`REQUEST_TIMEOUT`].
 const MIN_CALL_LIMIT: usize = 400;
 
 /// A user's request that has not been answered yet.
@@ -39,7 +39,7 @@
     attempts: u32,
 }
 
-/// A call to the state service for users.
+/// A call to the store for users.
 #[derive(Clone, Debug)]
 pub enum UserCall {
     /// Reads the job, in order to serve the request according to its record.
@@ -50,7 +50,7 @@
     ReadDependency(PendingRequest, JobId),
     /// Writes the job's cancelled record.
     CancelJob(PendingRequest, Box<JobRecord>),
-    /// Compares cached versions with those in the state service.
+    /// Compares cached versions with those in the store.
     ConfirmReads(ConfirmationBatch),
     /// Reads a job whose cached version was out of date, for all requests whose answers depend on the job.
     RereadStaleJob(JobId, Vec<PendingRequest>),
@@ -67,7 +67,7 @@
     forwarded: BTreeSet<ReqId>,
     /// Times from the receipt of a request to its answer.
     latency: LatencyHistogram,
-    /// Number of calls to the state service that are in flight for users.
+    /// Number of open calls to the store for users.
     open_calls: usize,
 }
 
@@ -171,8 +171,8 @@
 }
 
 impl UserRequests {
-    /// Returns whether the calls for one more request may be made, given the number of calls per second that this
-    /// node may make to the state service.
+    /// Returns whether the calls for one more request may be made, given the number of calls per second that this node
+    /// may make to the store.
     pub fn has_room(&self, calls_per_s: f64) -> bool {
         let admitted_in_time = calls_per_s * REQUEST_TIMEOUT.as_secs();
         self.open_calls < MIN_CALL_LIMIT.max(admitted_in_time as usize)
--- a/crates/core/src/api/user_requests/tests.rs
+++ b/crates/core/src/api/user_requests/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn calls_in_flight_are_limited_by_what_the_store_admits_within_the_timeout() {
+fn open_calls_are_limited_by_what_the_store_admits_within_the_timeout() {
     let mut requests = UserRequests::default();
     for _ in 0..MIN_CALL_LIMIT {
         assert!(requests.has_room(1.0));
--- a/crates/core/src/cache/dependencies/tests.rs
+++ b/crates/core/src/cache/dependencies/tests.rs
@@ -8,8 +8,8 @@
 
 /// Limits that no record in these tests reaches.
 const LARGE_LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 1 << 20,
-    operations: 100,
+    max_value_bytes: 1 << 20,
+    max_operations: 100,
     requests_per_s: 100.0,
     writes_per_s: 100.0,
 };
--- a/crates/core/src/cache/job_cache.rs
+++ b/crates/core/src/cache/job_cache.rs
@@ -49,13 +49,13 @@
     /// Whether all watched keys have been listed and the watch has not been lost since.
     is_complete: bool,
     confirmation: CacheConfirmation,
-    /// Whether a record of a job was seen whose user named dependencies.
+    /// Whether the record of a job was seen whose user named dependencies.
     dependencies_seen: bool,
     /// Machine types that a leader has stored, until `take_catalog` takes them.
     pub(super) catalog: Option<Catalog>,
     /// Whether the machine types are stored in the key that every version reads.
     pub(super) catalog_in_common_key: bool,
-    /// Whether the machine types are stored in the key that only versions which know dependencies read (see
+    /// Whether the machine types are stored in the key that only versions with support for dependencies read (see
     /// `leadership::version_gate`).
     pub(super) catalog_in_gated_key: bool,
     /// Operators' settings with their version, until `take_admin_settings` takes them.
@@ -191,14 +191,14 @@
         self.dependencies_seen = true;
     }
 
-    /// Returns whether the machine types are stored only in the key that versions which know no dependencies don't
-    /// read.
+    /// Returns whether the machine types are stored only in the key that versions without support for dependencies
+    /// don't read.
     pub fn is_catalog_moved(&self) -> bool {
         self.catalog_in_gated_key && !self.catalog_in_common_key
     }
 
-    /// Records that this node has moved the machine types to the key that versions which know no dependencies don't
-    /// read.
+    /// Records that this node has moved the machine types to the key that versions without support for dependencies
+    /// don't read.
     pub fn record_catalog_move(&mut self) {
         self.catalog_in_gated_key = true;
         self.catalog_in_common_key = false;
--- a/crates/core/src/cache/leader_keys.rs
+++ b/crates/core/src/cache/leader_keys.rs
@@ -1,13 +1,13 @@
 //! The cached leader keys: which node leads, and whether its version may keep leading (see `leadership::version_gate`).
 
 use super::job_cache::JobCache;
-use crate::leadership::election::LeaderSlot;
+use crate::leadership::election::LeaderKeyState;
 use crate::store::records::{LeaderKey, LeaderRecord, StoredLeader};
 use rudderreel_wire::ids::{LeaseId, Version};
 
 /// Cached state of one leader key.
 #[derive(Debug, Default)]
-struct HeldKey {
+struct CachedLeaderKey {
     /// The leader that the key holds, if it is known to hold one.
     leader: Option<StoredLeader>,
     /// The newest revision at which the key's state is known.
@@ -18,20 +18,20 @@
 #[derive(Debug, Default)]
 pub(super) struct LeaderKeys {
     /// The key that every version reads.
-    common: HeldKey,
+    common: CachedLeaderKey,
     /// The key behind the version gate.
-    gated: HeldKey,
+    gated: CachedLeaderKey,
 }
 
 impl LeaderKeys {
-    fn held(&self, key: LeaderKey) -> &HeldKey {
+    fn cached(&self, key: LeaderKey) -> &CachedLeaderKey {
         match key {
             LeaderKey::Common => &self.common,
             LeaderKey::Gated => &self.gated,
         }
     }
 
-    fn held_mut(&mut self, key: LeaderKey) -> &mut HeldKey {
+    fn cached_mut(&mut self, key: LeaderKey) -> &mut CachedLeaderKey {
         match key {
             LeaderKey::Common => &mut self.common,
             LeaderKey::Gated => &mut self.gated,
@@ -40,17 +40,17 @@
 
     /// Updates a key unless a newer revision of it is known.
     fn update(&mut self, key: LeaderKey, revision: Version, leader: Option<StoredLeader>) {
-        let held = self.held_mut(key);
-        if revision >= held.revision {
-            held.revision = revision;
-            held.leader = leader;
+        let cached = self.cached_mut(key);
+        if revision >= cached.revision {
+            cached.revision = revision;
+            cached.leader = leader;
         }
     }
 
     /// Removes the leader that holds a lease.
     fn forget(&mut self, lease: LeaseId) {
-        for held in [&mut self.common, &mut self.gated] {
-            held.leader.take_if(|leader| leader.record.lease == lease);
+        for cached in [&mut self.common, &mut self.gated] {
+            cached.leader.take_if(|leader| leader.record.lease == lease);
         }
     }
 
@@ -77,7 +77,7 @@
 
     fn stored_leader(&self) -> Option<&StoredLeader> {
         let key = self.leader_keys.current();
-        self.leader_keys.held(key).leader.as_ref()
+        self.leader_keys.cached(key).leader.as_ref()
     }
 
     /// Returns the superseded leader that the common key holds once leaders hold the gated one.
@@ -86,19 +86,20 @@
     }
 
     /// Returns the state of the leader key as this node knows it.
-    pub fn leader_slot(&self) -> LeaderSlot<'_> {
+    pub fn leader_key_state(&self) -> LeaderKeyState<'_> {
         match self.stored_leader() {
-            None => LeaderSlot::Vacant {
+            None => LeaderKeyState::Vacant {
                 superseded: self.superseded_leader(),
             },
-            Some(leader) if self.is_outdated(&leader.record) => LeaderSlot::Outdated(leader),
-            Some(_) => LeaderSlot::Held(self.leader_keys.current()),
+            Some(leader) if self.is_outdated(&leader.record) => LeaderKeyState::Outdated(leader),
+            Some(_) => LeaderKeyState::Held(self.leader_keys.current()),
         }
     }
 
-    /// Returns whether a leader's version must not lead any more: it knows no dependencies, and they are in use.
+    /// Returns whether a leader's version must not lead any more: it does not support dependencies, and they are in
+    /// use.
     fn is_outdated(&self, record: &LeaderRecord) -> bool {
-        !record.knows_dependencies() && self.dependencies_in_use()
+        !record.supports_dependencies() && self.dependencies_in_use()
     }
 
     /// Updates a leader key with what it held at a revision.
@@ -113,7 +114,7 @@
 
     /// Updates a leader key with what a read of that key alone returned. The revision of such a read is not known.
     pub fn update_leader_read(&mut self, key: LeaderKey, leader: Option<StoredLeader>) {
-        let known_at = self.leader_keys.held(key).revision;
+        let known_at = self.leader_keys.cached(key).revision;
         let revision = leader.as_ref().map_or(known_at, |leader| leader.version);
         self.leader_keys.update(key, revision, leader);
     }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -56,7 +56,7 @@
     pub is_spot: bool,
     /// Resources that the machine offers; none while its type is unknown.
     pub capacity: Resources,
-    /// Address at which its agent takes direct calls; none until the agent has reported or the cloud has listed it.
+    /// Address at which its agent accepts direct calls; none until the agent has reported or the cloud has listed it.
     pub addr: Option<String>,
     /// Newest message of its agent that was applied.
     pub last_message: MessageOrder,
--- a/crates/core/src/fleet/reasons.rs
+++ b/crates/core/src/fleet/reasons.rs
@@ -75,7 +75,7 @@
     UnreachableForCommands,
     /// The machine's agent has not reported for longer than a failover to another node takes.
     Silent,
-    /// Twice the lease of the machine's agent has expired.
+    /// For twice the lease no node can have answered the machine's agent, and the leader has not heard from the agent.
     LeaseExpired,
 }
 
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -2,7 +2,7 @@
 //!
 //! # The leader's lease and the fencing token
 //!
-//! The leader's key is attached to a lease of the store. The commit that sets the key bumps the epoch, which is the
+//! The leader key is attached to a lease of the store. The commit that sets the key bumps the epoch, which is the
 //! fencing token that agents see. A leader acts only while its lease is surely alive by its own clock, counted from the
 //! *sending* of the renewal.
 //!
@@ -16,7 +16,7 @@
 //! - A node grants no vote before it has read the epoch since its process started, so the votes that it granted before
 //!   a restart still bind it; nor before it has read the jobs, so that it knows every cancellation that it
 //!   acknowledged.
-//! - It grants none while a campaign of its own is in progress or has an unknown outcome: it may itself be leading.
+//! - It grants none while a campaign of its own is in progress or has an unknown outcome: it may be leading itself.
 //! - It does not campaign until its last vote has expired.
 //!
 //! If the process of the leader ends in an outage, no node can be elected. Then any node may stand in for the leader:
@@ -54,7 +54,8 @@
 pub use commits::epoch_change;
 pub use lease_votes::VoteRequester;
 pub use messages::{
-    Claim, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest, ElectionWin, LeaderSlot,
+    Claim, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest, ElectionWin,
+    LeaderKeyState,
 };
 
 use super::quorum::{majority_of, QuorumTracker};
@@ -81,7 +82,7 @@
 const LEASE_RENEWAL_INTERVAL: Span = Span(750);
 /// Delay before a renewal that failed is repeated.
 const LEASE_RENEWAL_RETRY_INTERVAL: Span = Span(250);
-/// Interval at which a node that does not lead reads the leader's key.
+/// Interval at which a node that does not lead reads the leader key.
 const LEADER_KEY_POLL_INTERVAL: Span = Span(1_000);
 
 /// The state of this node in the election.
@@ -110,7 +111,7 @@
     campaign: Campaign,
     /// Time before which this node does not campaign, because of a failed campaign or a leadership transfer.
     campaigns_paused_until: Time,
-    /// Time since when no leader is known to hold the leader's key; one that must not lead any more does not count.
+    /// Time since when no leader is known to hold the leader key; one that must not lead any more does not count.
     vacant_since: Option<Time>,
     next_supersede_at: Time,
     next_key_poll_at: Time,
@@ -162,7 +163,7 @@
         self.store.observe(now, answer);
     }
 
-    /// Records an epoch that a peer or a leader's key named. Votes for an earlier epoch do not count for a later one.
+    /// Records an epoch that a peer or a leader key named. Votes for an earlier epoch do not count for a later one.
     pub fn observe_epoch(&mut self, epoch: Epoch, now: Time) {
         if epoch > self.epoch {
             self.epoch = epoch;
@@ -196,14 +197,14 @@
     pub fn tick(
         &mut self,
         now: Time,
-        leader_slot: LeaderSlot<'_>,
+        leader_key_state: LeaderKeyState<'_>,
         held_lease: Option<LeaseId>,
     ) -> Vec<ElectionRequest> {
         if let Some(lease) = held_lease {
             return self.renew_if_due(now, lease).into_iter().collect();
         }
-        let poll = self.poll_leader_key_if_due(now, leader_slot);
-        let campaign = self.campaign_if_due(now, leader_slot);
+        let poll = self.poll_leader_key_if_due(now, leader_key_state);
+        let campaign = self.campaign_if_due(now, leader_key_state);
         poll.into_iter().chain(campaign).collect()
     }
 
@@ -215,13 +216,13 @@
     fn poll_leader_key_if_due(
         &mut self,
         now: Time,
-        leader_slot: LeaderSlot<'_>,
+        leader_key_state: LeaderKeyState<'_>,
     ) -> Option<ElectionRequest> {
         if now < self.next_key_poll_at {
             return None;
         }
         self.next_key_poll_at = now + LEADER_KEY_POLL_INTERVAL;
-        let key = leader_slot.key();
+        let key = leader_key_state.key();
         let call = StoreCall::Get(key.name().into());
         Some(ElectionRequest::new(call, ElectionCall::ReadLeaderKey(key)))
     }
--- a/crates/core/src/leadership/election/campaign.rs
+++ b/crates/core/src/leadership/election/campaign.rs
@@ -1,13 +1,13 @@
 //! A campaign: the calls by which a node tries to win the election, made one after the other.
 //!
 //! The node ends the lease of a superseded leader if there is one, reads the epoch, acquires a lease, then sets the
-//! leader's key and bumps the epoch in one commit, the *claim*. A claim of unknown outcome is verified until the
-//! outcome is known; until then the node grants no lease vote, because it may be leading.
+//! leader key and bumps the epoch in one commit, the *claim*. A claim of unknown outcome is verified until the outcome
+//! is known; until then the node grants no lease vote, because it may be leading.
 
 use super::commits::{epoch_change, supersede};
 use super::{
     lease_renewal, Claim, Election, ElectionCall, ElectionEvent, ElectionProgress, ElectionRequest,
-    ElectionWin, LeaderSlot, LEADER_LEASE_TTL,
+    ElectionWin, LeaderKeyState, LEADER_LEASE_TTL,
 };
 use crate::io::{StoreAnswer, StoreCall, Value};
 use crate::store::records::{
@@ -24,7 +24,7 @@
 const CAMPAIGN_RETRY_MS_PER_RANK: u64 = 100;
 /// Time by which a node campaigns for a vacant key later than the node of the preceding rank.
 const CAMPAIGN_DELAY_MS_PER_RANK: u64 = 60;
-/// Interval at which the commit that detaches an outdated leader's key from its lease is sent, until the change is
+/// Interval at which the commit that detaches the key of an outdated leader from its lease is sent, until the change is
 /// seen.
 const SUPERSEDE_RETRY_INTERVAL: Span = Span(300);
 /// Time after its acquisition at which a lease that nothing renews has surely ended, if the store works.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Campaign {
     state: CampaignState,
-    /// The leader's key that the campaign is for.
+    /// The leader key that the campaign is for.
     key: LeaderKey,
     /// The version of the common key, if leaders hold the gated key.
     superseded: Option<Version>,
@@ -68,9 +68,9 @@
     pub(super) fn campaign_if_due(
         &mut self,
         now: Time,
-        leader_slot: LeaderSlot<'_>,
+        leader_key_state: LeaderKeyState<'_>,
     ) -> Option<ElectionRequest> {
-        if let LeaderSlot::Held(_) = leader_slot {
+        if let LeaderKeyState::Held(_) = leader_key_state {
             self.vacant_since = None;
             return None;
         }
@@ -78,11 +78,11 @@
         if !self.may_campaign(now, vacant_since) {
             return None;
         }
-        match leader_slot {
-            LeaderSlot::Held(_) => None,
-            LeaderSlot::Outdated(leader) => self.supersede_if_due(now, leader),
-            LeaderSlot::Vacant { superseded } => {
-                Some(self.begin_campaign(leader_slot.key(), superseded))
+        match leader_key_state {
+            LeaderKeyState::Held(_) => None,
+            LeaderKeyState::Outdated(leader) => self.supersede_if_due(now, leader),
+            LeaderKeyState::Vacant { superseded } => {
+                Some(self.begin_campaign(leader_key_state.key(), superseded))
             }
         }
     }
@@ -184,7 +184,7 @@
         ElectionProgress::request(call, ElectionCall::Claim(claim))
     }
 
-    /// Returns the commit that sets the leader's key and bumps the epoch. If leaders hold the gated key, the common key
+    /// Returns the commit that sets the leader key and bumps the epoch. If leaders hold the gated key, the common key
     /// must still be at the version at which it was read.
     fn claim_commit(&self, claim: &Claim) -> Transaction<Value> {
         let record = LeaderRecord::new(self.node.clone(), claim.epoch, claim.lease);
@@ -217,13 +217,13 @@
         }
     }
 
-    /// Reads the leader's key to see whether a claim was carried out.
+    /// Reads the leader key to see whether a claim was carried out.
     fn verify(&self, claim: Claim) -> ElectionProgress {
         let call = StoreCall::Get(self.campaign.key.name().into());
         ElectionProgress::request(call, ElectionCall::VerifyClaim(claim))
     }
 
-    /// Handles the answer to reading the leader's key after a claim of unknown outcome.
+    /// Handles the answer to reading the leader key after a claim of unknown outcome.
     pub(super) fn claim_verified(
         &mut self,
         now: Time,
--- a/crates/core/src/leadership/election/commits.rs
+++ b/crates/core/src/leadership/election/commits.rs
@@ -8,7 +8,7 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Transaction;
 
-/// Returns the commit that detaches an outdated leader's key from its lease. The version of the key changes, so no
+/// Returns the commit that detaches the key of an outdated leader from its lease. The version of the key changes, so no
 /// write of that leader is carried out after the commit.
 pub(super) fn supersede(leader: &StoredLeader) -> Transaction<Value> {
     let tombstone = leader.record.tombstone(Some(leader.record.lease));
@@ -18,7 +18,7 @@
     }
 }
 
-/// Returns the commit that sets the leader's key and the epoch, by which a node wins an election or a leader bumps its
+/// Returns the commit that sets the leader key and the epoch, by which a node wins an election or a leader bumps its
 /// epoch.
 pub fn epoch_change(
     key: LeaderKey,
--- a/crates/core/src/leadership/election/messages.rs
+++ b/crates/core/src/leadership/election/messages.rs
@@ -5,9 +5,9 @@
 use crate::units::Time;
 use rudderreel_wire::ids::{Epoch, LeaseId, Version};
 
-/// The state of the leader's key, as a node knows it.
+/// The state of the leader key, as this node knows it.
 #[derive(Clone, Copy, Debug)]
-pub enum LeaderSlot<'a> {
+pub enum LeaderKeyState<'a> {
     /// No node holds the key that leaders hold.
     Vacant {
         /// The record in the common key, if leaders hold the gated key by now.
@@ -19,7 +19,7 @@
     Outdated(&'a StoredLeader),
 }
 
-impl LeaderSlot<'_> {
+impl LeaderKeyState<'_> {
     /// Returns the key that leaders hold, be it vacant or not.
     pub(super) fn key(&self) -> LeaderKey {
         match self {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The last step of a campaign: the commit that sets the leader's key and bumps the epoch.
+/// The last step of a campaign: the commit that sets the leader key and bumps the epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The lease that the key is attached to.
@@ -46,7 +46,7 @@
 /// The purpose of a call of the election.
 #[derive(Clone, Debug)]
 pub enum ElectionCall {
-    /// Read a leader's key.
+    /// Read a leader key.
     ReadLeaderKey(LeaderKey),
     /// Campaign: end the lease of a superseded leader.
     EndSupersededLease,
@@ -54,15 +54,15 @@
     ReadEpoch,
     /// Campaign: acquire a lease.
     AcquireLease,
-    /// Campaign: set the leader's key.
+    /// Campaign: set the leader key.
     Claim(Claim),
-    /// Campaign: read the leader's key to see whether a claim of unknown outcome was carried out.
+    /// Campaign: read the leader key to see whether a claim of unknown outcome was carried out.
     VerifyClaim(Claim),
     /// Renew the leader's lease.
     Renew(LeaseId),
     /// End a lease; nothing depends on the outcome.
     EndLease,
-    /// Detach an outdated leader's key from its lease; the outcome is read from the key.
+    /// Detach the key of an outdated leader from its lease; the outcome is read from the key.
     Supersede,
 }
 
@@ -86,13 +86,13 @@
 pub struct ElectionWin {
     /// The epoch of the new term.
     pub epoch: Epoch,
-    /// The lease that the leader's key is attached to.
+    /// The lease that the leader key is attached to.
     pub lease: LeaseId,
     /// Time at which the call that acquired the lease was sent.
     pub lease_sent: Time,
-    /// The leader's key that the node holds.
+    /// The leader key that the node holds.
     pub key: LeaderKey,
-    /// The version of the leader's key and of the epoch's key: one commit sets both.
+    /// The version of the leader key and of the epoch's key: one commit sets both.
     pub version: Version,
 }
 
@@ -102,7 +102,7 @@
     /// No action.
     #[default]
     Nothing,
-    /// Record the content of a leader's key that was read; none if it holds no leader's record.
+    /// Record the content of a leader key that was read; none if it holds no leader's record.
     LeaderKeyRead(LeaderKey, Option<StoredLeader>),
     /// Begin a term: this node now leads.
     Won(ElectionWin),
--- a/crates/core/src/leadership/election/tests.rs
+++ b/crates/core/src/leadership/election/tests.rs
@@ -104,7 +104,7 @@
     assert!(node.grant_lease_vote(now, Epoch(4), VoteRequester::Leader));
     node.observe_store_answer(now, &StoreAnswer::Missing);
     let campaigns = |node: &mut Election, at: Time| {
-        let requests = node.tick(at, LeaderSlot::Vacant { superseded: None }, None);
+        let requests = node.tick(at, LeaderKeyState::Vacant { superseded: None }, None);
         (requests.iter()).any(|request| matches!(request.purpose, ElectionCall::ReadEpoch))
     };
     assert!(!campaigns(&mut node, now + Span(1_400)));
@@ -171,7 +171,7 @@
     }
 }
 
-/// Returns the purposes of a campaign's calls. Reads of the leader's key are left out.
+/// Returns the purposes of a campaign's calls. Reads of the leader key are left out.
 fn purposes<'a>(requests: impl IntoIterator<Item = &'a ElectionRequest>) -> Vec<String> {
     let campaign = (requests.into_iter())
         .filter(|request| !matches!(request.purpose, ElectionCall::ReadLeaderKey(_)));
@@ -187,7 +187,7 @@
     let mut node = node();
     node.observe_store_answer(NOW, &StoreAnswer::Missing);
     let leader = outdated_leader();
-    let requests = node.tick(NOW, LeaderSlot::Outdated(&leader), None);
+    let requests = node.tick(NOW, LeaderKeyState::Outdated(&leader), None);
     assert_eq!(purposes(&requests), ["Supersede"]);
     let Some(StoreCall::Commit(transaction)) = requests.last().map(|request| &request.call) else {
         panic!("a commit is expected");
@@ -201,7 +201,7 @@
     assert!(tombstone.superseded);
     assert_eq!(tombstone.lease_to_end(), Some(LeaseId(1)));
     // The commit is not sent on every tick.
-    let requests = node.tick(NOW + Span(100), LeaderSlot::Outdated(&leader), None);
+    let requests = node.tick(NOW + Span(100), LeaderKeyState::Outdated(&leader), None);
     assert_eq!(purposes(&requests), Vec::<String>::new());
 }
 
@@ -215,11 +215,11 @@
         version,
         record: record.tombstone(Some(record.lease)),
     };
-    let leader_slot = LeaderSlot::Vacant {
+    let leader_key_state = LeaderKeyState::Vacant {
         superseded: Some(&common),
     };
     assert_eq!(
-        purposes(&node.tick(NOW, leader_slot, None)),
+        purposes(&node.tick(NOW, leader_key_state, None)),
         ["EndSupersededLease"]
     );
     let end = ElectionCall::EndSupersededLease;
@@ -227,7 +227,7 @@
     assert!(progress.request.is_none(), "the lease may not have ended");
     let later = NOW + Span(2_000);
     assert_eq!(
-        purposes(&node.tick(later, leader_slot, None)),
+        purposes(&node.tick(later, leader_key_state, None)),
         ["EndSupersededLease"]
     );
     let progress = node.answered(later, later, end, StoreAnswer::Done);
--- a/crates/core/src/leadership/mod.rs
+++ b/crates/core/src/leadership/mod.rs
@@ -1,6 +1,6 @@
 //! Leader election, and what a leader may do during its term.
 //!
-//! - [`election`]: campaigns for the leader's key, which is attached to a lease of the store; lease votes, which let a
+//! - [`election`]: campaigns for the leader key, which is attached to a lease of the store; lease votes, which let a
 //!   leader, or a node that stands in for it, keep answering agents in an outage of the store.
 //! - [`term`]: what a leader holds for its term: lease, epoch (the fencing token), lease votes, acknowledgements.
 //! - [`quorum`]: counts the answers of a majority, each of which is valid for a limited time.
--- a/crates/core/src/leadership/quorum.rs
+++ b/crates/core/src/leadership/quorum.rs
@@ -9,8 +9,10 @@
     nodes / 2 + 1
 }
 
-/// The latest agreement of each other node. An agreement counts for a limited time from the *sending* of the heartbeat
-/// that it answers, so the node that agreed has never counted it for longer than this node.
+/// The latest agreement of each other node. This node counts an agreement for a limited time from the *sending* of the
+/// heartbeat that it answers. The node that agreed counts it from a later moment, that of handling the heartbeat, and
+/// for at least as long, clock drift included. So it still holds itself bound at every moment at which this node counts
+/// the agreement.
 #[derive(Clone, Debug)]
 pub struct QuorumTracker {
     ttl: Span,
--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -1,14 +1,14 @@
 //! A leader's term: its lease, its fencing token, and the acknowledgements and lease votes of the other nodes.
 //!
-//! Every write of a leader depends on the version of the leader's key ([`Term::key_condition`]), so a leader that was
+//! Every write of a leader depends on the version of the leader key ([`Term::key_condition`]), so a leader that was
 //! replaced, or whose epoch was bumped by another node, can't write any more. The epoch is the fencing token that
 //! agents see: they drop commands with an epoch lower than the highest that they have seen.
 //!
 //! A leader acts by its lease only while its cache of the store is as fresh as the lease ([`Term::may_act_until`]): the
 //! right to act must not outlast the knowledge that it is used with.
 //!
-//! The leader counts its lease from the sending of the renewals, and shorter than the store does by what clocks may
-//! drift, so it relies on the lease only while the lease is surely alive.
+//! The leader counts its lease from the sending of the renewals, and shorter than the store does by more than clocks
+//! may drift apart, so it relies on the lease only while the lease is surely alive.
 
 use super::election::{
     epoch_change, ElectionWin, ACKNOWLEDGEMENT_TTL, LEADER_LEASE_TTL, LEASE_VOTE_TTL,
@@ -25,10 +25,11 @@
 
 /// Bits of the number of an attempt or a segment within its epoch; the bits above them hold the epoch.
 const SEQUENCE_NUMBER_BITS: u32 = 24;
-/// Clocks drift by at most one part in this many, so a lease is counted shorter by that part.
-const CLOCK_DRIFT_DIVISOR: u64 = 500;
+/// A lease is counted shorter by one part in this many: twice as much as two clocks may drift apart
+/// ([`Span::with_drift`]).
+const LEASE_MARGIN_DIVISOR: u64 = 500;
 
-/// The state of epoch bumps. A bumped epoch proves that nothing sent under the old one will be carried out any more.
+/// The state of epoch bumps. A committed bump proves that nothing sent under the old one will be carried out any more.
 #[derive(Clone, Copy, Debug)]
 struct EpochBump {
     /// Time of the last epoch bump or attempt to bump the epoch.
@@ -45,7 +46,7 @@
     lease_until: Time,
     /// How old the node's cache of the store may be.
     cache: CacheConfirmation,
-    /// The leader's key, on whose version every write depends.
+    /// The leader key, on whose version every write depends.
     key: LeaderKey,
     key_version: Version,
     /// The version of the epoch's key.
@@ -93,13 +94,13 @@
         self.epoch
     }
 
-    /// Returns the lease that the leader's key is attached to. It distinguishes this term from others of the same node:
+    /// Returns the lease that the leader key is attached to. It distinguishes this term from others of the same node:
     /// answers to calls of an earlier term are dropped.
     pub fn lease_id(&self) -> LeaseId {
         self.lease_id
     }
 
-    /// Returns the leader's key that this leader holds.
+    /// Returns the leader key that this leader holds.
     pub fn key(&self) -> LeaderKey {
         self.key
     }
@@ -289,7 +290,7 @@
 
 /// Returns the time until which a lease is surely alive that was acquired or last renewed by a call sent at `sent`.
 fn lease_alive_until(sent: Time) -> Time {
-    sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(CLOCK_DRIFT_DIVISOR))
+    sent + Span(LEADER_LEASE_TTL.0 - LEADER_LEASE_TTL.0.div_ceil(LEASE_MARGIN_DIVISOR))
 }
 
 #[cfg(test)]
--- a/crates/core/src/leadership/term/tests.rs
+++ b/crates/core/src/leadership/term/tests.rs
@@ -28,9 +28,9 @@
 fn a_lease_counts_from_the_sending_and_ends_before_the_store_ends_it() {
     let mut term = term();
     confirm_cache(&mut term, NOW + Span(1_000));
-    let drift = LEADER_LEASE_TTL.0.div_ceil(CLOCK_DRIFT_DIVISOR);
-    assert!(term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - drift - 1)));
-    assert!(!term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - drift)));
+    let margin = LEADER_LEASE_TTL.0.div_ceil(LEASE_MARGIN_DIVISOR);
+    assert!(term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - margin - 1)));
+    assert!(!term.may_act(NOW + Span(LEADER_LEASE_TTL.0 - margin)));
     term.lease_renewed(NOW + Span(1_000));
     assert!(term.may_act(NOW + Span(LEADER_LEASE_TTL.0)));
 }
--- a/crates/core/src/leadership/version_gate.rs
+++ b/crates/core/src/leadership/version_gate.rs
@@ -6,11 +6,11 @@
 //!
 //! - It can't read the record of an unfinished job that has dependencies (see [`crate::store::records`]), so it neither
 //!   starts such a job nor answers the job's user with anything but 503.
-//! - It campaigns only when the common leader's key does not exist. Once a job depends on another, the leader moves to
+//! - It campaigns only when the common leader key does not exist. Once a job depends on another, the leader moves to
 //!   the gated key, which such a version does not read, and leaves the common key in the store permanently. If a
 //!   process of such a version leads at that time, any other node supersedes it (see [`super::election`]).
 //! - It admits no submission before it has read the machine types, which only a leader requests from the cloud. The
-//!   leader moves them to a key that such a version does not read, too.
+//!   leader moves them, too, to a key that such a version does not read.
 //! - A submission that it forwards to a newer node, because the store refuses its calls, has lost its dependencies.
 //!   Newer nodes name the dependencies even if there are none, and refuse a submission that does not name them.
 //!
@@ -26,7 +26,7 @@
 use rudderreel_wire::ids::Version;
 use rudderreel_wire::state::Transaction;
 
-/// Delay before a commit that moves the leader's key and had no usable answer is sent again.
+/// Delay before a commit that moves the leader key and had no usable answer is sent again.
 pub const KEY_MOVE_RETRY_INTERVAL: Span = Span(200);
 
 /// The step that a leader has reached in closing the gate.
@@ -34,13 +34,13 @@
 pub enum VersionGateStep {
     /// No step is in progress.
     Idle,
-    /// The commit that moves the leader's key is in flight. Until its outcome is known nothing else is committed: any
+    /// The commit that moves the leader key is in flight. Until its outcome is known nothing else is committed: any
     /// commit that depends on the key may fail.
     MovingKey,
-    /// The commit that moves the leader's key had no usable answer: it may have been carried out, or may yet be. It is
+    /// The commit that moves the leader key had no usable answer: it may have been carried out, or may yet be. It is
     /// sent again at this time; at most one of all attempts is carried out.
     RetryKeyMoveAt(Time),
-    /// The commit that moves the leader's key failed, possibly because an earlier attempt was carried out. The gated
+    /// The commit that moves the leader key failed, possibly because an earlier attempt was carried out. The gated
     /// key is read to find out.
     VerifyingKey,
     /// The commit that moves the machine types is in flight.
@@ -72,7 +72,7 @@
         self.key() == LeaderKey::Common
     }
 
-    /// Returns the commit that moves the leader's key. Once it is carried out, late writes that depend on the common
+    /// Returns the commit that moves the leader key. Once it is carried out, late writes that depend on the common
     /// key fail, and are sent again with a condition on the gated key.
     pub fn key_move_commit(&self, record: &LeaderRecord) -> Transaction<Value> {
         Transaction {
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Returns the commit that moves the machine types; null is stored if they are too large.
+    /// Returns the commit that moves the machine types to the gated key. If they are too large, `machine_types` is
+    /// none, and null is stored.
     pub fn catalog_move_commit(&self, machine_types: &Option<Value>) -> Transaction<Value> {
         Transaction {
             conditions: vec![self.key_condition()],
--- a/crates/core/src/node/cascade.rs
+++ b/crates/core/src/node/cascade.rs
@@ -16,7 +16,7 @@
         let mut due =
             (leader.jobs).due_cascade_cancellations(&self.job_cache, &self.store_limits, now);
         while let Some(leader) = self.leader.as_mut() {
-            let wanted = due.len().min(leader.store_limits.operations);
+            let wanted = due.len().min(leader.store_limits.max_operations);
             let writes_per_s = leader.store_limits.placement_writes_per_s();
             let taken =
                 (leader.placement_log).take_cancellation_writes(wanted, writes_per_s, now.time);
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -13,7 +13,7 @@
 const RETURN_INTERVAL: Span = Span(2_000);
 /// Time for which a follower waits for the stored machine types before it requests them from the cloud.
 const FOLLOWER_CATALOG_INTERVAL: Span = Span(10_000);
-/// Delay before the machine types are read again if a call for them has no answer.
+/// Delay before the machine types are read again after a call for them had no answer.
 const CATALOG_RETRY_INTERVAL: Span = Span(5_000);
 /// Interval at which the machine types are read.
 const CATALOG_INTERVAL: Span = Span(60_000);
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -111,7 +111,7 @@
             .filter(|job| !job.completion_open && job.is_active() && job.is_complete())
             .collect();
         let mut commits = Vec::new();
-        for jobs in due.chunks_mut(limits.operations.min(MAX_JOBS_PER_COMMIT)) {
+        for jobs in due.chunks_mut(limits.max_operations.min(MAX_JOBS_PER_COMMIT)) {
             let mut conditions = vec![leadership.clone()];
             let mut changes = Vec::new();
             for job in jobs.iter_mut() {
--- a/crates/core/src/node/election.rs
+++ b/crates/core/src/node/election.rs
@@ -14,25 +14,25 @@
 use rudderreel_wire::settings::Settings;
 
 /// Fraction of the store's rate limit that calls may use; the rest is left for watches.
-const CALL_RATE_FRACTION: f64 = 0.8;
+const STORE_CALLS_FRACTION: f64 = 0.8;
 
-/// Returns how many calls a second a node may make to the store. The leader, which writes the placement log, may make
+/// Returns how many calls per second a node may make to the store. The leader, which writes the placement log, may make
 /// twice as many as other nodes. Each node's watch has a share of its own.
 pub(super) fn store_call_rate(settings: &Settings, leads: bool) -> f64 {
     let parts = f64::from(settings.params.nodes.max(1) + 1);
     StoreLimits::of(&settings.params.state).requests_per_s
-        * CALL_RATE_FRACTION
+        * STORE_CALLS_FRACTION
         * if leads { 2.0 } else { 1.0 }
         / parts
 }
 
 impl Node {
-    /// Makes the calls of the election that are due: renewals of a leader's lease, reads of the leader's key, and
+    /// Makes the calls of the election that are due: renewals of a leader's lease, reads of the leader key, and
     /// campaigns.
     pub(super) fn election_tick(&mut self, now: Now) {
         let held_lease = self.leader.as_ref().map(|leader| leader.term.lease_id());
-        let leader_slot = self.job_cache.leader_slot();
-        for request in self.election.tick(now.time, leader_slot, held_lease) {
+        let leader_key_state = self.job_cache.leader_key_state();
+        for request in self.election.tick(now.time, leader_key_state, held_lease) {
             self.enqueue_election_request(request);
         }
     }
@@ -136,7 +136,7 @@
         self.job_cache.forget_leader(leader.term.lease_id());
     }
 
-    /// Steps down if a failed commit shows that the leader's key no longer belongs to this leader; returns whether it
+    /// Steps down if a failed commit shows that the leader key no longer belongs to this leader; returns whether it
     /// did. While a commit of this leader may be changing the key, a conflict on the key proves nothing.
     pub(crate) fn step_down_if_superseded(&mut self, answer: &StoreAnswer) -> bool {
         let StoreAnswer::Conflict(keys) = answer else {
@@ -151,7 +151,7 @@
         is_superseded
     }
 
-    /// Returns whether `keys` contains the leader's key that this node holds.
+    /// Returns whether `keys` contains the leader key that this node holds.
     fn contains_leader_key(&self, keys: &[String]) -> bool {
         let held = self.leader.as_ref().map(|leader| leader.term.key().name());
         keys.iter().any(|key| Some(key.as_str()) == held)
--- a/crates/core/src/node/epoch_bump.rs
+++ b/crates/core/src/node/epoch_bump.rs
@@ -2,8 +2,8 @@
 //! carried out, since agents refuse a token older than the highest that they know.
 //!
 //! A leader bumps its epoch if nothing else can show that a start which it sent will not be carried out any more. The
-//! commit rewrites the leader's key and the epoch's key together. While it is open no other commit is made, since every
-//! write depends on the version of the leader's key. If its outcome is unknown, the leader's key is read until it shows
+//! commit rewrites the leader key and the epoch's key together. While it is open no other commit is made, since every
+//! write depends on the version of the leader key. If its outcome is unknown, the leader key is read until it shows
 //! the new epoch; if the key shows anything else, the commit may still be carried out, and the leader steps down.
 
 use crate::io::{StoreAnswer, StoreCall};
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Reads the leader's key to check whether the commit was carried out.
+    /// Reads the leader key to check whether the commit was carried out.
     fn verify_epoch_bump(&mut self, epoch: Epoch) {
         let Some(leader) = self.leader.as_ref() else {
             return;
@@ -57,7 +57,7 @@
         self.call_store_as_leader(call, LeaderCall::VerifyEpochBump(epoch));
     }
 
-    /// Handles the leader's key as read after a commit of unknown outcome.
+    /// Handles the leader key as read after a commit of unknown outcome.
     pub(super) fn epoch_bump_verification_answered(
         &mut self,
         epoch: Epoch,
--- a/crates/core/src/node/leader_tick.rs
+++ b/crates/core/src/node/leader_tick.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Makes the leader's commits that are due. None is made before the state has been recovered, nor while the
-    /// leader's key, which every write depends on, may be changing.
+    /// Makes the leader's commits that are due. None is made before the state has been recovered, nor while the leader
+    /// key, which every write depends on, may be changing.
     pub(crate) fn flush_leader_commits(&mut self, now: Now) {
         let may_commit = (self.leader.as_ref()).is_some_and(|leader| {
             leader.recovery.is_complete()
--- a/crates/core/src/node/leadership_transfer.rs
+++ b/crates/core/src/node/leadership_transfer.rs
@@ -7,7 +7,7 @@
 //! - Agents reach other nodes but not this one.
 //! - This node has been far behind with its inputs for `FAR_BEHIND_TIMEOUT`, while the agents' leases last only several
 //!   times that long. This is no reason soon after an election: all agents report at once then, and where all nodes are
-//!   slow the next leader would be no better. Nodes would lead by turns, and recover the state each time.
+//!   slow the next leader would be no better. Nodes would lead in turn, and recover the state each time.
 
 use crate::leader::Leader;
 use crate::leadership::step_down_reason::StepDownReason;
--- a/crates/core/src/node/read_confirmation.rs
+++ b/crates/core/src/node/read_confirmation.rs
@@ -2,7 +2,7 @@
 
 use crate::api::read_confirmation::{
     BatchProgress, ConfirmationBatch, ConfirmationBudget, FreshVersions, QueueFull, ReadResult,
-    SettledRead, BATCHES_PER_ROUND,
+    SettledRead, MAX_BATCHES_PER_ROUND,
 };
 use crate::api::refusal::Refusal;
 use crate::api::user_requests::{PendingRequest, UserCall};
@@ -18,7 +18,7 @@
     fn confirmation_budget(&self) -> ConfirmationBudget {
         ConfirmationBudget {
             calls_per_s: self.store_calls.rate(),
-            max_conditions: self.store_limits.conditions(),
+            max_conditions: self.store_limits.max_conditions(),
         }
     }
 
@@ -38,14 +38,14 @@
         if !queue.begin_round(budget, now.time) {
             return;
         }
-        for _ in 0..BATCHES_PER_ROUND {
+        for _ in 0..MAX_BATCHES_PER_ROUND {
             self.send_next_batch(now);
         }
         self.user_requests.confirmation_queue.end_round(now.time);
     }
 
     fn send_next_batch(&mut self, now: Now) {
-        let max_conditions = self.store_limits.conditions();
+        let max_conditions = self.store_limits.max_conditions();
         let queue = &mut self.user_requests.confirmation_queue;
         let next = queue.next_batch(&self.job_cache, max_conditions, now.time);
         for settled in next.settled {
@@ -67,7 +67,7 @@
     /// Sends the next transaction of a batch.
     fn send_confirmation(&mut self, mut batch: ConfirmationBatch) {
         let call = StoreCall::Commit(Transaction {
-            conditions: batch.next_conditions(self.store_limits.conditions()),
+            conditions: batch.next_conditions(self.store_limits.max_conditions()),
             changes: Vec::new(),
         });
         self.user_call(call, UserCall::ConfirmReads(batch));
--- a/crates/core/src/node/recovery.rs
+++ b/crates/core/src/node/recovery.rs
@@ -1,6 +1,6 @@
 //! Failover recovery: reads the state that earlier leaders left in the store, before the new leader makes any decision.
 //!
-//! All jobs are read, then all segments of the placement log. The leader's key is held meanwhile, so no other node
+//! All jobs are read, then all segments of the placement log. The leader key is held meanwhile, so no other node
 //! writes segments. Jobs may change during the recovery; the newer version wins, whichever source it comes from.
 
 use crate::io::{StoreAnswer, StoreCall, Value};
--- a/crates/core/src/node/report_forwarding.rs
+++ b/crates/core/src/node/report_forwarding.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the leader, if a heartbeat or a reply was received from it recently. A node that the store refuses may
-    /// not have seen the leader's key change, but learns from heartbeats which node leads in a later epoch.
+    /// not have seen the leader key change, but learns from heartbeats which node leads in a later epoch.
     pub(crate) fn reachable_leader(&self, now: Time) -> Option<NodeName> {
         let leads = |peer: &PeerStatus| peer.leads && peer.is_reachable(now);
         let recorded = self.job_cache.leader().map(|record| &record.node);
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -1,5 +1,5 @@
 //! Makes the commits by which a leader closes the version gate (see [`crate::leadership::version_gate`]): first the
-//! leader's key is moved, then the machine types. Also refuses the requests that the gate rules out.
+//! leader key is moved, then the machine types. Also refuses the requests that the gate rules out.
 
 use crate::api::refusal::Refusal;
 use crate::io::{ReqId, RequestOrigin, StoreAnswer, StoreCall, UserRequest, Value};
@@ -17,7 +17,8 @@
 
 impl Node {
     /// Handles a user's request that a peer forwards. Once jobs depend on others, a submission that was forwarded by a
-    /// version that knows no dependencies is refused: that version may have dropped the submission's dependencies.
+    /// version that does not support dependencies is refused: that version may have dropped the submission's
+    /// dependencies.
     pub(crate) fn forwarded_request_received(
         &mut self,
         req: ReqId,
@@ -91,7 +92,7 @@
 
     fn key_move_answered(&mut self, answer: StoreAnswer, now: Now) {
         match answer {
-            StoreAnswer::Committed(version) => self.gated_key_held(version),
+            StoreAnswer::Committed(version) => self.switch_to_gated_key(version),
             StoreAnswer::Refused => self.set_version_gate(VersionGateStep::Idle),
             StoreAnswer::NoSuchLease => self.step_down(StepDownReason::LeaseEnded),
             StoreAnswer::Conflict(_) => {
@@ -115,7 +116,7 @@
                 let record = LeaderRecord::deserialize_from(&item.value);
                 let lease = self.leader.as_ref().map(|leader| leader.term.lease_id());
                 if record.is_some_and(|record| Some(record.lease) == lease) {
-                    self.gated_key_held(item.version);
+                    self.switch_to_gated_key(item.version);
                 } else {
                     self.step_down(StepDownReason::KeyChanged);
                 }
@@ -126,7 +127,7 @@
     }
 
     /// Records that this leader holds the gated key.
-    fn gated_key_held(&mut self, version: Version) {
+    fn switch_to_gated_key(&mut self, version: Version) {
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::cache::job_cache::JobCache;
-use crate::leadership::election::{LeaderSlot, LEADER_LEASE_TTL};
+use crate::leadership::election::{LeaderKeyState, LEADER_LEASE_TTL};
 use crate::store::records::{LeaderKey, StoredLeader, LEADER_KEY, RECORD_FORMAT};
 use crate::testing::{leader, node, NOW};
 use rudderreel_wire::ids::{Epoch, LeaseId};
@@ -49,25 +49,25 @@
     };
     cache.update_leader(LeaderKey::Common, Version(3), stored(3, record(0)));
     assert!(matches!(
-        cache.leader_slot(),
-        LeaderSlot::Held(LeaderKey::Common)
+        cache.leader_key_state(),
+        LeaderKeyState::Held(LeaderKey::Common)
     ));
     cache.set_dependencies_seen();
     assert!(matches!(
-        cache.leader_slot(),
-        LeaderSlot::Outdated(leader) if leader.version == Version(3)
+        cache.leader_key_state(),
+        LeaderKeyState::Outdated(leader) if leader.version == Version(3)
     ));
     let tombstone = record(0).tombstone(Some(LeaseId(1)));
     cache.update_leader(LeaderKey::Common, Version(5), stored(5, tombstone));
     assert!(matches!(
-        cache.leader_slot(),
-        LeaderSlot::Vacant { superseded: Some(leader) } if leader.version == Version(5)
+        cache.leader_key_state(),
+        LeaderKeyState::Vacant { superseded: Some(leader) } if leader.version == Version(5)
     ));
     let new = stored(6, record(RECORD_FORMAT));
     cache.update_leader(LeaderKey::Gated, Version(6), new);
     assert!(matches!(
-        cache.leader_slot(),
-        LeaderSlot::Held(LeaderKey::Gated)
+        cache.leader_key_state(),
+        LeaderKeyState::Held(LeaderKey::Gated)
     ));
 }
 
--- a/crates/core/src/placement_log/compaction.rs
+++ b/crates/core/src/placement_log/compaction.rs
@@ -45,7 +45,7 @@
         context: &mut LogContext<'_>,
         now: Time,
     ) -> Option<SegmentCommit> {
-        let max_deletes = context.limits.operations;
+        let max_deletes = context.limits.max_operations;
         if self.dead.len() < max_deletes / 2 || !self.uncommitted.is_empty() {
             return None;
         }
@@ -84,7 +84,7 @@
         by_live_bytes.sort_unstable();
         let mut bytes_left = max_entry_bytes(limits);
         let selected: Vec<SegmentId> = (by_live_bytes.into_iter())
-            .take(limits.operations.saturating_sub(RESERVED_OPERATIONS))
+            .take(limits.max_operations.saturating_sub(RESERVED_OPERATIONS))
             .take_while(|(bytes, _)| {
                 let fits = bytes_left >= *bytes;
                 bytes_left = bytes_left.saturating_sub(*bytes);
--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -185,7 +185,7 @@
             return None;
         }
         let max_deletes =
-            (context.limits.operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
+            (context.limits.max_operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
         let deletes = self.take_affordable_dead(max_deletes, context.writes_per_s, now);
         Some(self.open_commit(pending, deletes, context.term))
     }
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -54,7 +54,7 @@
 
 /// Returns the number of bytes up to which a segment is filled.
 fn max_segment_bytes(limits: &StoreLimits) -> usize {
-    ((limits.value_bytes as f64 * FILL_FACTOR) as usize).min(MAX_SEGMENT_BYTES)
+    ((limits.max_value_bytes as f64 * FILL_FACTOR) as usize).min(MAX_SEGMENT_BYTES)
 }
 
 /// Returns the number of bytes that the entries of a segment may take together.
@@ -165,8 +165,8 @@
         let id = &job.spec.id;
         self.estimated_bytes += progress_bytes(job);
         if job.is_suspected() {
-            let tries = job.failures.failed_attempts();
-            self.record.suspected.push((id.clone(), tries));
+            let failed_attempts = job.failures.failed_attempts();
+            self.record.suspected.push((id.clone(), failed_attempts));
         }
         let ranges = job.recorded_done.ranges().collect();
         self.record.done.push((id.clone(), ranges));
--- a/crates/core/src/placement_log/tests.rs
+++ b/crates/core/src/placement_log/tests.rs
@@ -75,9 +75,9 @@
             return segments;
         }
         let (bytes, estimated) = (json_bytes(pending.record()), pending.estimated_bytes());
-        let most = leader.store_limits.value_bytes;
+        let max_bytes = leader.store_limits.max_value_bytes;
         assert!(bytes <= estimated, "{bytes} bytes, estimated {estimated}");
-        assert!(bytes <= most, "{bytes} bytes of {most}");
+        assert!(bytes <= max_bytes, "{bytes} bytes of {max_bytes}");
         segments += 1;
         commit(leader, pending, Vec::new());
     }
@@ -92,7 +92,7 @@
         machines in 1u32..30, jobs in 1u32..20, tasks in 1u32..60, kib in 1usize..5, done in 0u32..60,
     ) {
         let mut leader = leader_with_work(machines, jobs, tasks);
-        leader.store_limits.value_bytes = kib * 1024;
+        leader.store_limits.max_value_bytes = kib * 1024;
         for job in leader.jobs.values_mut() {
             // Every other task is done, which gives the largest possible number of ranges.
             (0..done.min(tasks)).step_by(2).for_each(|index| job.finish(index));
@@ -111,7 +111,7 @@
     let pending = collect(&mut leader);
     let before = json_bytes(pending.record());
     let segment = open(&mut leader, pending, Vec::new());
-    leader.store_limits.value_bytes = before / 3;
+    leader.store_limits.max_value_bytes = before / 3;
     let result = answer(&mut leader, segment, &StoreAnswer::Rejected);
     assert!(matches!(result, CommitResult::Rejected));
     assert!(leader.placement_log.uncommitted.is_empty());
@@ -131,7 +131,7 @@
         job.has_unrecorded_progress = true;
     }
     assert_eq!(record_all(&mut leader), 1);
-    leader.store_limits.value_bytes = 1_024;
+    leader.store_limits.max_value_bytes = 1_024;
     for job in leader.jobs.values_mut() {
         job.finish(1);
         job.has_unrecorded_progress = true;
@@ -149,8 +149,8 @@
 #[test]
 fn merged_segments_fit_into_one() {
     let mut leader = leader_with_work(120, 120, 1);
-    leader.store_limits.value_bytes = 4_096;
-    leader.store_limits.operations = 20;
+    leader.store_limits.max_value_bytes = 4_096;
+    leader.store_limits.max_operations = 20;
     record_all(&mut leader);
     // The remaining tasks are spread over segments that do not have the line of the task's machine.
     let old: Vec<SegmentId> = (0..20).map(|_| leader.term.next_segment()).collect();
@@ -174,7 +174,10 @@
         let mut pending = PendingSegment::new(leader.term.next_segment(), &leader.store_limits);
         pending.collect_referring_to(&selected, &mut leader.fleet, &leader.jobs);
         let bytes = json_bytes(pending.record());
-        assert!(bytes <= leader.store_limits.value_bytes, "{bytes} bytes");
+        assert!(
+            bytes <= leader.store_limits.max_value_bytes,
+            "{bytes} bytes"
+        );
         commit(&mut leader, pending, selected);
     }
     assert!(merged >= 8, "{merged} segments were merged");
--- a/crates/core/src/store/limits.rs
+++ b/crates/core/src/store/limits.rs
@@ -12,8 +12,8 @@
 const KIB: f64 = 1024.0;
 /// Number of conditions that the protocol allows in a transaction for each change that it allows.
 const CONDITIONS_PER_OPERATION: usize = 4;
-/// Share of the write rate that the leader may use for placements.
-const PLACEMENT_WRITES_SHARE: f64 = 0.7;
+/// Fraction of the write rate that the leader may use for placements.
+const PLACEMENT_WRITES_FRACTION: f64 = 0.7;
 /// Minimum number of changes of a transaction: the leader key and one more.
 const MIN_OPERATIONS: usize = 2;
 /// Minimum size limit of a value: the smallest record has to fit.
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
     /// Maximum size of a value as JSON, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Maximum number of puts and deletes in a transaction.
-    pub operations: usize,
+    pub max_operations: usize,
     /// Maximum requests per second of all nodes together.
     pub requests_per_s: f64,
     /// Maximum puts and deletes per second of all nodes together.
@@ -37,10 +37,10 @@
     pub fn of(state: &StateLimits) -> Self {
         let next = state.next.clone().unwrap_or_default();
         let smaller = |present: f64, next: Option<f64>| next.map_or(present, |n| n.min(present));
-        let operations = next.txn_ops.unwrap_or(state.txn_ops).min(state.txn_ops);
+        let max_operations = next.txn_ops.unwrap_or(state.txn_ops).min(state.txn_ops);
         Self {
-            value_bytes: (smaller(state.value_kb, next.value_kb) * KIB) as usize,
-            operations: operations.max(MIN_OPERATIONS),
+            max_value_bytes: (smaller(state.value_kb, next.value_kb) * KIB) as usize,
+            max_operations: max_operations.max(MIN_OPERATIONS),
             requests_per_s: smaller(state.rps, next.rps),
             writes_per_s: smaller(state.write_rps, next.write_rps),
         }
@@ -48,24 +48,24 @@
 
     /// Returns how many puts and deletes per second the leader may make for placements; the rest is for users.
     pub fn placement_writes_per_s(&self) -> f64 {
-        self.writes_per_s * PLACEMENT_WRITES_SHARE
+        self.writes_per_s * PLACEMENT_WRITES_FRACTION
     }
 
     /// Returns the maximum number of conditions in a transaction.
-    pub fn conditions(&self) -> usize {
-        CONDITIONS_PER_OPERATION * self.operations
+    pub fn max_conditions(&self) -> usize {
+        CONDITIONS_PER_OPERATION * self.max_operations
     }
 
     /// Returns whether a value is small enough to be stored.
     pub fn fits<T: Serialize>(&self, value: &T) -> bool {
-        serde_json::to_vec(value).is_ok_and(|json| json.len() <= self.value_bytes)
+        serde_json::to_vec(value).is_ok_and(|json| json.len() <= self.max_value_bytes)
     }
 
     /// Halves the limits on sizes, down to their minimums, after a transaction within them was rejected: the store's
     /// limits are lower than was known.
     pub fn halve(&mut self) {
-        self.value_bytes = (self.value_bytes / 2).max(MIN_VALUE_BYTES);
-        self.operations = (self.operations / 2).max(MIN_OPERATIONS);
+        self.max_value_bytes = (self.max_value_bytes / 2).max(MIN_VALUE_BYTES);
+        self.max_operations = (self.max_operations / 2).max(MIN_OPERATIONS);
     }
 }
 
--- a/crates/core/src/store/limits/tests.rs
+++ b/crates/core/src/store/limits/tests.rs
@@ -14,8 +14,11 @@
 #[test]
 fn the_smaller_of_present_and_announced_limits_holds() {
     let present = limits(None);
-    assert_eq!((present.value_bytes, present.operations), (32_768, 20));
-    assert_eq!(present.conditions(), 80);
+    assert_eq!(
+        (present.max_value_bytes, present.max_operations),
+        (32_768, 20)
+    );
+    assert_eq!(present.max_conditions(), 80);
     let next = NextStateLimits {
         write_rps: Some(18.0),
         value_kb: Some(2.0),
@@ -23,9 +26,9 @@
         rps: None,
     };
     let smaller = limits(Some(next));
-    assert_eq!(smaller.value_bytes, 2_048);
+    assert_eq!(smaller.max_value_bytes, 2_048);
     assert_eq!(
-        smaller.operations, 20,
+        smaller.max_operations, 20,
         "a larger announced limit does not count"
     );
     assert_eq!(
@@ -37,7 +40,7 @@
 #[test]
 fn a_value_fits_up_to_the_last_byte() {
     let mut limits = limits(None);
-    limits.value_bytes = 7;
+    limits.max_value_bytes = 7;
     assert!(limits.fits(&"12345"));
     assert!(!limits.fits(&"123456"));
 }
@@ -46,6 +49,6 @@
 fn halving_stops_at_the_minimums_that_every_record_needs() {
     let mut limits = limits(None);
     (0..40).for_each(|_| limits.halve());
-    assert_eq!(limits.value_bytes, MIN_VALUE_BYTES);
-    assert_eq!(limits.operations, MIN_OPERATIONS);
+    assert_eq!(limits.max_value_bytes, MIN_VALUE_BYTES);
+    assert_eq!(limits.max_operations, MIN_OPERATIONS);
 }
--- a/crates/core/src/store/records.rs
+++ b/crates/core/src/store/records.rs
@@ -5,7 +5,7 @@
 //! | `pub/job/<id>` | any node creates or cancels; the leader completes | submission and state |
 //! | `pub/leader` | the leader, on its lease | who leads, and its epoch |
 //! | `pub/admin` | any node, for an administrator | operators' settings |
-//! | `epoch` | the leader | the last epoch given out |
+//! | `epoch` | the leader | the last epoch that was assigned |
 //! | `book/<segment>` | the leader, before a start is sent | tasks that may be on machines; tasks that are done |
 //! | `pub/catalog` | the leader | machine types as last fetched, until jobs depend on others |
 //! | `pub/machine-types` | the leader | machine types once jobs depend on others (see `leadership::version_gate`) |
@@ -34,12 +34,12 @@
 pub const JOB_PREFIX: &str = "pub/job/";
 /// The common leader key, which every version reads.
 pub const LEADER_KEY: &str = "pub/leader";
-/// The gated leader key, which leaders hold once jobs depend on others. Versions that know no dependencies don't read
-/// it.
+/// The gated leader key, which leaders hold once jobs depend on others. Versions without support for dependencies don't
+/// read it.
 pub const GATED_LEADER_KEY: &str = "pub/seat";
 /// The key of the operators' settings.
 pub const ADMIN_SETTINGS_KEY: &str = "pub/admin";
-/// The key of the last epoch given out.
+/// The key of the last epoch that was assigned.
 pub const EPOCH_KEY: &str = "epoch";
 /// Prefix of the nodes' cancellation watermarks, which they write when they can't reach one another.
 pub const WATERMARK_PREFIX: &str = "pub/known/";
@@ -47,8 +47,8 @@
 pub const SEGMENT_PREFIX: &str = "book/";
 /// The common key of the machine types, which every version reads.
 pub const CATALOG_KEY: &str = "pub/catalog";
-/// The gated key of the machine types, used once jobs depend on others. Versions that know no dependencies don't read
-/// it.
+/// The gated key of the machine types, used once jobs depend on others. Versions without support for dependencies don't
+/// read it.
 pub const GATED_CATALOG_KEY: &str = "pub/machine-types";
 
 /// Returns the key of a job.
--- a/crates/core/src/store/records/jobs.rs
+++ b/crates/core/src/store/records/jobs.rs
@@ -1,4 +1,4 @@
-//! Job records and their stored form, which versions that know no dependencies read and write, too.
+//! Job records and their stored form, which versions without support for dependencies read and write, too.
 
 use crate::store::limits::StoreLimits;
 use crate::units::Wall;
@@ -38,10 +38,10 @@
     Dependent(DependentState),
 }
 
-/// The stored state of an unfinished job that depends on others. It is a state of its own so that a version that
-/// knows no dependencies can't read the record: such a version would drop the dependencies, start the job before they
-/// are done, and report it as queued after they are cancelled. A job whose record it can't read it neither
-/// starts nor reports to users.
+/// The stored state of an unfinished job that depends on others. It is a state of its own so that a version without
+/// support for dependencies can't read the record: such a version would drop the dependencies, start the job before
+/// they are done, and report it as queued after they are cancelled. Such a version neither starts a job whose record it
+/// can't read nor reports the job to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum DependentState {
     #[serde(rename = "dependent")]
--- a/crates/core/src/store/records/leaders.rs
+++ b/crates/core/src/store/records/leaders.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The latest record format that this version understands: 2 since jobs may depend on others. A leader's record without
-/// a format is that of a version that knows no dependencies.
+/// a format is that of a version without support for dependencies.
 pub const RECORD_FORMAT: u32 = 2;
 
 /// One of the two keys of which a leader holds one. Every write of a leader is conditional on the version of that key.
@@ -46,7 +46,7 @@
     pub epoch: Epoch,
     /// The lease with whose end the key is deleted.
     pub lease: LeaseId,
-    /// The latest record format that the leader's version understands; 0 for versions that know no dependencies.
+    /// The latest record format that the leader's version understands; 0 for versions without support for dependencies.
     #[serde(skip_serializing_if = "is_zero", default)]
     pub format: u32,
     /// Whether the key was permanently detached from its lease, since leaders hold the other key now (see
@@ -83,8 +83,8 @@
         (self.superseded && self.lease != NO_LEASE).then_some(self.lease)
     }
 
-    /// Returns whether the leader's version knows dependencies.
-    pub fn knows_dependencies(&self) -> bool {
+    /// Returns whether the leader's version supports dependencies.
+    pub fn supports_dependencies(&self) -> bool {
         self.format >= RECORD_FORMAT
     }
 
@@ -110,9 +110,9 @@
     *format == 0
 }
 
-/// The record of the last epoch given out.
+/// The record of the last epoch that was assigned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EpochRecord {
-    /// The last epoch given out.
+    /// The last epoch that was assigned.
     pub epoch: Epoch,
 }
--- a/crates/core/src/store/records/tests.rs
+++ b/crates/core/src/store/records/tests.rs
@@ -11,8 +11,8 @@
 use serde_json::{json, Value};
 
 const LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 2_048,
-    operations: 6,
+    max_value_bytes: 2_048,
+    max_operations: 6,
     requests_per_s: 250.0,
     writes_per_s: 18.0,
 };
@@ -131,10 +131,10 @@
         (&value["node"], &value["epoch"], &value["lease"]),
         (&json!("deckhand-1"), &json!(41), &json!(7))
     );
-    assert!(current.knows_dependencies());
+    assert!(current.supports_dependencies());
     let production = json!({"node":"deckhand-1","epoch":41,"lease":7});
     let production: LeaderRecord = serde_json::from_value(production).expect("a record");
-    assert!(!production.knows_dependencies());
+    assert!(!production.supports_dependencies());
 }
 
 /// A submission without dependencies is stored and forwarded exactly as production does it.
--- a/crates/core/src/units.rs
+++ b/crates/core/src/units.rs
@@ -30,7 +30,7 @@
 }
 
 const MS_PER_S: f64 = 1000.0;
-/// Two clocks drift apart by at most one part in this many: each drifts by at most 0.05%.
+/// Two clocks drift apart by at most one part in this many, since each of them drifts by at most 0.05%.
 const RELATIVE_DRIFT_DIVISOR: u64 = 1000;
 
 impl Span {
