--- a/crates/core/src/agents/failure_detection.rs
+++ b/crates/core/src/agents/failure_detection.rs
@@ -16,8 +16,8 @@
 /// Number of unanswered calls at which a machine that has not missed a report yet may be declared dead.
 const UNANSWERED_CALLS_WITHOUT_MISSED_REPORT: u32 = 3;
 /// Time for which calls to a machine must have been unanswered before it is declared dead if it has not missed a report
-/// yet, or if this leader has never heard from it. In the first case it must also have been silent for this time before
-/// the first of these calls was found to be unanswered.
+/// yet, or if this leader has never heard from it. In the first case the machine must also have been silent for this
+/// time before the first of these calls was found to be unanswered.
 const UNANSWERED_TIME: Span = Span(1_200);
 /// Time without any answer to a direct call after which it is not known whether any agent would answer.
 const MAX_TIME_SINCE_ANY_ANSWER: Span = Span(2_000);
--- a/crates/core/src/agents/report_forwarding.rs
+++ b/crates/core/src/agents/report_forwarding.rs
@@ -32,7 +32,7 @@
 /// Wait of the oldest report beyond which another report is refused at once: an agent gives up after 4 s, so the other
 /// report would only be answered too late. The number of waiting reports follows from the rate at which they are
 /// forwarded, and from the number of connections that agents may have: each agent has one report in flight.
-pub(crate) const MAX_WAIT: Span = Span(2_000);
+pub(crate) const MAX_REPORT_WAIT: Span = Span(2_000);
 
 /// A report whose agent waits for an answer.
 pub(crate) struct HeldReport {
@@ -127,10 +127,11 @@
 impl ReportForwarding {
     /// Returns whether reports have waited for so long that another one would be answered too late.
     pub(crate) fn is_overloaded(&self, now: Time) -> bool {
-        (self.waiting.first()).is_some_and(|held| now > held.received_at + MAX_WAIT)
+        (self.waiting.first()).is_some_and(|held| now > held.received_at + MAX_REPORT_WAIT)
     }
 
-    /// Holds a report until it is forwarded and answered. If `target` is another leader than before, it knows no lists.
+    /// Holds a report until it is forwarded and answered. If `target` is another leader than before, it has applied no
+    /// lists.
     pub(crate) fn enqueue(
         &mut self,
         req: ReqId,
--- a/crates/core/src/dispatch/commands.rs
+++ b/crates/core/src/dispatch/commands.rs
@@ -7,8 +7,8 @@
 use rudderreel_wire::ids::MachineId;
 use rudderreel_wire::worker::Command;
 
-/// A task that is to be stopped and that reports have omitted for longer than this may have a start of unknown outcome
-/// in flight.
+/// Time for which reports may omit a task that is to be stopped. If they omit it for longer, a start of unknown outcome
+/// may be in flight for it.
 const MISSING_START_TIMEOUT: Span = Span(3_000);
 /// Minimum time between two bumps of the epoch.
 const MIN_EPOCH_BUMP_INTERVAL: Span = Span(5_000);
--- a/crates/core/src/dispatch/start_check.rs
+++ b/crates/core/src/dispatch/start_check.rs
@@ -12,7 +12,7 @@
 use crate::units::Time;
 use rudderreel_wire::ids::Zone;
 
-/// Maximum number of machines with which debug builds compare the sums of team usage with those over all machines.
+/// Number of machines up to which debug builds compare the sums of team usage with those over all machines.
 const MAX_MACHINES_FOR_USAGE_CHECK: usize = 300;
 /// Amount by which rounding may raise the sum of a team's usage.
 const LIMIT_TOLERANCE: f64 = 1e-9;
--- a/crates/core/src/fleet/machine/tests.rs
+++ b/crates/core/src/fleet/machine/tests.rs
@@ -136,17 +136,20 @@
 fn a_lease_expires_only_after_old_leaders_are_fenced_and_the_last_answer() {
     let lease = Span(12_000);
     let mut m = machine();
-    let over = |m: &Machine, at: u64, old_leaders_fenced_at| {
+    let is_expired = |m: &Machine, at: u64, old_leaders_fenced_at| {
         m.is_lease_expired(Time(NOW.0 + at), lease, old_leaders_fenced_at)
     };
-    assert!(!over(&m, 900_000, None), "an older leader may still answer");
-    assert!(!over(&m, 12_400, Some(NOW)));
-    assert!(over(&m, 12_600, Some(NOW)));
+    assert!(
+        !is_expired(&m, 900_000, None),
+        "an older leader may still answer"
+    );
+    assert!(!is_expired(&m, 12_400, Some(NOW)));
+    assert!(is_expired(&m, 12_600, Some(NOW)));
     m.last_answered_at = Some(NOW + Span(5_000));
-    assert!(!over(&m, 17_400, Some(NOW)));
-    assert!(over(&m, 17_600, Some(NOW)));
+    assert!(!is_expired(&m, 17_400, Some(NOW)));
+    assert!(is_expired(&m, 17_600, Some(NOW)));
     // The lease expired, and a task was started in the incarnation that began then: the leader heard from the agent by
-    // a direct call. Without this condition the task ran twice in the simulated world (seed 1060).
+    // a direct call. Without the condition on that, the task ran twice in the simulated world (seed 1060).
     m.last_heard_at = Some(NOW + Span(17_000));
-    assert!(!over(&m, 17_600, Some(NOW)));
+    assert!(!is_expired(&m, 17_600, Some(NOW)));
 }
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -71,9 +71,9 @@
 pub const LEADER_LEASE_TTL: Span = Span(3_000);
 /// Time for which a lease vote is valid.
 pub const LEASE_VOTE_TTL: Span = Span(1_500);
-/// Time without a heartbeat of the leader before which a node neither stands in for it nor votes for a stand-in. A node
-/// that restarts may have forgotten when it received the last heartbeat of the leader, but it counts the store as
-/// unreachable only after as long a time, so it can't grant its vote sooner.
+/// Time for which a node must have received no heartbeat of the leader before it stands in for the leader or votes for
+/// a stand-in. A node that restarts may have forgotten when it received the last heartbeat of the leader, but it counts
+/// the store as unreachable only after as long a time, so it can't grant its vote sooner.
 pub const LEADER_SILENCE_TIMEOUT: Span = STORE_SILENCE_TIMEOUT;
 /// Time for which a leader counts an acknowledgement, from the sending of the heartbeat: less than
 /// [`LEADER_SILENCE_TIMEOUT`].
--- a/crates/core/src/leadership/term.rs
+++ b/crates/core/src/leadership/term.rs
@@ -29,7 +29,7 @@
 /// ([`Span::with_drift`]).
 const LEASE_MARGIN_DIVISOR: u64 = 500;
 
-/// The state of epoch bumps. A committed bump proves that nothing sent under the old one will be carried out any more.
+/// The state of epoch bumps. A bumped epoch proves that nothing sent under the old epoch will be carried out any more.
 #[derive(Clone, Copy, Debug)]
 struct EpochBump {
     /// Time of the last epoch bump or attempt to bump the epoch.
--- a/crates/core/src/node/report_forwarding/tests.rs
+++ b/crates/core/src/node/report_forwarding/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::agents::report_forwarding::MAX_WAIT;
+use crate::agents::report_forwarding::MAX_REPORT_WAIT;
 use crate::testing::NOW;
 use rudderreel_wire::ids::{Attempt, Epoch, JobId, Seq};
 use rudderreel_wire::peer::{ForwardedAnswer, MAX_MESSAGE_BYTES};
@@ -24,7 +24,7 @@
     let mut node = crate::testing::node();
     node.leader_machines = 6_000;
     let leader = PeerStatus {
-        last_heartbeat_at: NOW.time + MAX_WAIT,
+        last_heartbeat_at: NOW.time + MAX_REPORT_WAIT,
         leads: true,
         epoch: Epoch(1),
         ..PeerStatus::default()
@@ -55,7 +55,7 @@
         }
         assert_eq!(node.out.drain(..).count(), 0, "all reports are queued");
         let late = Now {
-            time: NOW.time + MAX_WAIT + Span(1),
+            time: NOW.time + MAX_REPORT_WAIT + Span(1),
             ..NOW
         };
         node.forward_report(ReqId(machines as u64), report(machines, 4), late);
--- a/crates/core/src/node/version_gate.rs
+++ b/crates/core/src/node/version_gate.rs
@@ -108,7 +108,7 @@
         self.set_version_gate(VersionGateStep::RetryKeyMoveAt(at));
     }
 
-    /// Handles the gated key as read after a commit that failed: if the key is this leader's, an earlier try was
+    /// Handles the gated key as read after a commit that failed: if the key is this leader's, an earlier attempt was
     /// carried out.
     fn key_verified(&mut self, answer: StoreAnswer, now: Now) {
         match answer {
--- a/crates/core/src/node/version_gate/tests.rs
+++ b/crates/core/src/node/version_gate/tests.rs
@@ -71,8 +71,8 @@
     ));
 }
 
-/// The commit that moves the key is repeated if its outcome is unknown. If the repeated commit fails, an earlier try
-/// may have been carried out; then the leader continues to lead with the gated key.
+/// The commit that moves the key is repeated if its outcome is unknown. If the repeated commit fails, an earlier
+/// attempt may have been carried out; then the leader continues to lead with the gated key.
 #[test]
 fn a_leader_detects_that_an_earlier_key_move_was_committed() {
     let mut node = leading_node();
--- a/crates/core/src/placement_log/commit.rs
+++ b/crates/core/src/placement_log/commit.rs
@@ -13,7 +13,7 @@
 use rudderreel_wire::ids::{MachineId, TaskId, Version};
 use rudderreel_wire::state::{Change, Transaction};
 
-/// Delay before a commit is retried that was not carried out, or not known to be.
+/// Delay before a commit is retried that was not carried out, or is not known to have been.
 const SEGMENT_RETRY_INTERVAL: Span = Span(200);
 
 /// A transaction of the log, identified by its segment.
@@ -174,7 +174,8 @@
     }
 }
 
-/// Returns whether an answer shows that a segment's commit was carried out, by this try or an earlier one.
+/// Returns whether an answer shows that a segment's commit was carried out, by this commit or an earlier one of the
+/// same segment.
 pub(crate) fn is_carried_out(segment: SegmentId, answer: &StoreAnswer) -> bool {
     match answer {
         StoreAnswer::Committed(_) => true,
--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -120,9 +120,9 @@
         writes_per_s: f64,
         now: Time,
     ) -> usize {
-        let segments_in_flight = !self.uncommitted.is_empty();
+        let has_open_segments = !self.uncommitted.is_empty();
         self.write_budget
-            .take_for_cancellations(wanted, segments_in_flight, writes_per_s, now)
+            .take_for_cancellations(wanted, has_open_segments, writes_per_s, now)
     }
 
     /// Returns the commits that are due: retries first, then a compaction, then those of unrecorded changes.
--- a/crates/core/src/placement_log/write_budget.rs
+++ b/crates/core/src/placement_log/write_budget.rs
@@ -15,7 +15,7 @@
     cancellations_waiting: bool,
 }
 
-/// A user of the budget. When both wait, the one whose turn it is may take the next writes.
+/// A writer that takes from the budget. When both wait, the one whose turn it is may take the next writes.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Writer {
     #[default]
@@ -24,8 +24,8 @@
 }
 
 impl WriteBudget {
-    /// Takes writes for segments, all or none. Returns whether there were enough and it was the turn of segments, or
-    /// no cancellations waited.
+    /// Takes writes for segments, all or none. Returns whether they were taken: there were enough, and either no
+    /// cancellations waited or it was the segments' turn.
     pub(super) fn take_for_segments(
         &mut self,
         writes: usize,
@@ -50,13 +50,13 @@
     pub(super) fn take_for_cancellations(
         &mut self,
         wanted: usize,
-        segments_in_flight: bool,
+        has_open_segments: bool,
         writes_per_s: f64,
         now: Time,
     ) -> usize {
         self.refill(writes_per_s, now);
         self.cancellations_waiting = wanted > 0;
-        if self.next_writer != Writer::Cancellations && segments_in_flight {
+        if self.next_writer != Writer::Cancellations && has_open_segments {
             return 0;
         }
         let taken = wanted.min(self.tokens.max(0.0) as usize);
--- a/crates/core/src/store/calls.rs
+++ b/crates/core/src/store/calls.rs
@@ -29,8 +29,7 @@
 const TOKENS_KEPT_FOR_LEASES: f64 = 1.0;
 /// Capacity of the token bucket in seconds of calls; it holds one token more.
 const MAX_BURST_S: f64 = 0.5;
-/// Maximum length of the queue of users' calls, in seconds that sending them takes. With more calls the wait is too
-/// long.
+/// Maximum time, in seconds, that sending all queued calls of users may take. With more calls the wait is too long.
 const MAX_QUEUED_S: f64 = 1.0;
 
 /// A token bucket: tokens are added at a steady rate up to a maximum, and each call takes one.
--- a/crates/core/src/store/records/jobs.rs
+++ b/crates/core/src/store/records/jobs.rs
@@ -39,9 +39,9 @@
 }
 
 /// The stored state of an unfinished job that depends on others. It is a state of its own so that a version without
-/// support for dependencies can't read the record: such a version would drop the dependencies, start the job before
-/// they are done, and report it as queued after they are cancelled. Such a version neither starts a job whose record it
-/// can't read nor reports the job to users.
+/// support for dependencies can't read the record: it would drop the dependencies, start the job before they are done,
+/// and report it as queued after they are cancelled. A job whose record it can't read is neither started by it nor
+/// reported to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum DependentState {
     #[serde(rename = "dependent")]
--- a/crates/core/src/store/records/segments.rs
+++ b/crates/core/src/store/records/segments.rs
@@ -48,7 +48,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// When the machine was scaled out or first seen.
+    /// When the machine was rented or first seen.
     #[serde(rename = "w")]
     pub since: Wall,
     /// Tasks that may be on the machine: task indexes by job and attempt.
