--- a/crates/core/src/placement_log/mod.rs
+++ b/crates/core/src/placement_log/mod.rs
@@ -120,9 +120,9 @@
         writes_per_s: f64,
         now: Time,
     ) -> usize {
-        let segments_in_flight = !self.uncommitted.is_empty();
+        let has_open_segments = !self.uncommitted.is_empty();
         self.write_budget
-            .take_for_cancellations(wanted, segments_in_flight, writes_per_s, now)
+            .take_for_cancellations(wanted, has_open_segments, writes_per_s, now)
     }
 
     /// Returns the commits that are due: retries first, then a compaction, then those of unrecorded changes.
@@ -185,7 +185,7 @@
             return None;
         }
         let max_deletes =
-            (context.limits.operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
+            (context.limits.max_operations.saturating_sub(1)).min(MAX_DELETES_WITH_SEGMENT);
         let deletes = self.take_affordable_dead(max_deletes, context.writes_per_s, now);
         Some(self.open_commit(pending, deletes, context.term))
     }
--- a/crates/core/src/store/records/segments.rs
+++ b/crates/core/src/store/records/segments.rs
@@ -28,7 +28,7 @@
     /// Tasks that are done, by job: ranges of task indexes with both ends included.
     #[serde(rename = "d", skip_serializing_if = "Vec::is_empty", default)]
     pub done: Vec<(JobId, Vec<(u32, u32)>)>,
-    /// Jobs that are suspected of a mistake, with the number of tries that failed.
+    /// Jobs that are suspected of a mistake, with the number of attempts that failed.
     #[serde(rename = "f", skip_serializing_if = "Vec::is_empty", default)]
     pub suspected: Vec<(JobId, u32)>,
 }
@@ -48,7 +48,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// When the machine was scaled out or first seen.
+    /// When the machine was rented or first seen.
     #[serde(rename = "w")]
     pub since: Wall,
     /// Tasks that may be on the machine: task indexes by job and attempt.
