--- a/crates/core/src/agents/task_outcomes.rs
+++ b/crates/core/src/agents/task_outcomes.rs
@@ -61,7 +61,7 @@
             .and_then(|task| task.stop);
         match stop {
             Some(stop) => {
-                (self.metrics).record_stop(now.wall, &exit.task, machine, stop.why.as_str());
+                (self.metrics).record_stop(now.wall, &exit.task, machine, stop.reason.as_str());
             }
             None if exit.cause == Cause::Done => self.metrics.count(DONE_COUNTER),
             None => self.metrics.count(FAILED_COUNTER),
--- a/crates/core/src/api/admin/jobs.rs
+++ b/crates/core/src/api/admin/jobs.rs
@@ -134,7 +134,7 @@
                 machine,
                 attempt: *attempt,
                 phase: placed.map(|task| phase_text(task.phase)),
-                stop_reason: stop.map(|stop| stop.why.to_string()),
+                stop_reason: stop.map(|stop| stop.reason.to_string()),
             }
         })
         .collect()
--- a/crates/core/src/fleet/placed_task.rs
+++ b/crates/core/src/fleet/placed_task.rs
@@ -44,21 +44,21 @@
     /// Time of the decision.
     pub since: Time,
     /// Reason for the stop.
-    pub why: StopReason,
+    pub reason: StopReason,
 }
 
 impl Stop {
     /// Returns a stop without time for a checkpoint.
-    pub fn without_grace(why: StopReason, since: Time) -> Self {
-        Self::with_grace(why, 0.0, since)
+    pub fn without_grace(reason: StopReason, since: Time) -> Self {
+        Self::with_grace(reason, 0.0, since)
     }
 
     /// Returns a stop with time for a checkpoint, in seconds.
-    pub fn with_grace(why: StopReason, grace_s: f64, since: Time) -> Self {
+    pub fn with_grace(reason: StopReason, grace_s: f64, since: Time) -> Self {
         Self {
             grace_s,
             since,
-            why,
+            reason,
         }
     }
 }
