--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -26,7 +26,7 @@
 use crate::teams::team_tree::{amounts, Amounts};
 use crate::units::{Now, Span, Time};
 use name_index::NameIndex;
-use quota::{QuotaAccount, TeamStanding};
+use quota::{QuotaAccount, QuotaStatus};
 use rudderreel_wire::ids::{Attempt, Image, JobId, TaskId};
 use rudderreel_wire::job::JobSpec;
 use std::collections::{BTreeSet, HashMap};
@@ -164,8 +164,8 @@
     }
 
     /// Returns the usage and the fair share of a node of the team tree.
-    pub fn team_usage(&self, node: usize) -> TeamStanding {
-        self.quota.standing(node)
+    pub fn team_usage(&self, node: usize) -> QuotaStatus {
+        self.quota.status(node)
     }
 
     /// Returns the saturation of a node of the team tree: its usage relative to its fair share.
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -86,7 +86,7 @@
 
 /// Usage and fair share of a node of the team tree.
 #[derive(Clone, Copy, Debug)]
-pub struct TeamStanding {
+pub struct QuotaStatus {
     /// Usage: everything that is not surely gone.
     pub used: Amounts,
     /// The part of the usage that counts for fair shares.
@@ -163,8 +163,8 @@
     }
 
     /// Returns the usage and the fair share of a node.
-    pub fn standing(&self, node: usize) -> TeamStanding {
-        TeamStanding {
+    pub fn status(&self, node: usize) -> QuotaStatus {
+        QuotaStatus {
             used: self.usage.used[node],
             counted: self.counted[node],
             fair_share: self.fair_share[node],
