--- a/crates/core/src/api/admin/teams.rs
+++ b/crates/core/src/api/admin/teams.rs
@@ -56,7 +56,7 @@
         let nodes = leader.policy.teams.nodes.iter().enumerate();
         // The first node is the root, which is not a team.
         let teams = nodes.skip(1).map(|(index, team)| {
-            let usage = snapshot.team_usage(index);
+            let usage = snapshot.quota_status(index);
             let resource = |kind: usize| ResourceView {
                 used: usage.used[kind],
                 counted: usage.counted[kind],
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -83,7 +83,7 @@
         let mut snapshot = Snapshot::take(leader, NOW);
         let share_of = |team: &str| {
             let team = leader.policy.teams.find(&team.into()).expect("a team");
-            snapshot.team_usage(team).fair_share[0]
+            snapshot.quota_status(team).fair_share[0]
         };
         let (share_of_red, share_of_blue) = (share_of("red"), share_of("blue"));
         let mut scenario = Scenario::default();
--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns the usage and the fair share of a node of the team tree.
-    pub fn team_usage(&self, node: usize) -> QuotaStatus {
+    pub fn quota_status(&self, node: usize) -> QuotaStatus {
         self.quota.status(node)
     }
 
--- a/crates/core/src/scheduling/snapshot/simulation/tests.rs
+++ b/crates/core/src/scheduling/snapshot/simulation/tests.rs
@@ -25,7 +25,7 @@
 /// Returns every part of a snapshot that an action can see.
 fn visible_state(leader: &Leader, snapshot: &Snapshot) -> String {
     let standings: Vec<String> = (0..leader.policy.teams.nodes.len())
-        .map(|node| format!("{:?}", snapshot.team_usage(node)))
+        .map(|node| format!("{:?}", snapshot.quota_status(node)))
         .collect();
     let jobs = leader.jobs.values().map(|job| {
         let placed = snapshot.placed_count(&job.spec.id);
