--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -38,9 +38,9 @@
 
 /// Urgency of a return of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Urgency {
+pub(crate) enum ReturnUrgency {
     /// The return must be requested at once, since a machine may run tasks that must be stopped.
-    Now,
+    Immediate,
     /// All machines are idle, so the return may be delayed.
     CanWait,
 }
@@ -48,7 +48,7 @@
 /// Machines to be returned in one call to the cloud.
 pub(crate) struct MachinesToReturn {
     pub(crate) machines: Vec<MachineId>,
-    pub(crate) urgency: Urgency,
+    pub(crate) urgency: ReturnUrgency,
 }
 
 /// The conditions for scale-in at one point in time.
@@ -150,13 +150,13 @@
     pub(crate) fn machines_to_return(&mut self, now: Now) -> MachinesToReturn {
         let policy = ScaleInPolicy::new(self, now);
         let mut machines = Vec::new();
-        let mut urgency = Urgency::CanWait;
+        let mut urgency = ReturnUrgency::CanWait;
         for machine in self.fleet.machines.values_mut() {
             policy.update_retirement(machine);
             if policy.is_due(machine) && machines.len() < MAX_MACHINES_PER_SCALE_IN {
                 machines.push(machine.id.clone());
                 if is_urgent(machine) {
-                    urgency = Urgency::Now;
+                    urgency = ReturnUrgency::Immediate;
                 }
             }
         }
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -1,6 +1,6 @@
 //! Makes the calls to the cloud that are due, and handles the cloud's answers.
 
-use crate::capacity::scale_in::{MachinesToReturn, Urgency};
+use crate::capacity::scale_in::{MachinesToReturn, ReturnUrgency};
 use crate::cloud::calls::PendingCloudCall;
 use crate::fleet::{Machine, MachineDescription};
 use crate::io::{CallId, CloudAnswer};
@@ -77,8 +77,8 @@
         };
         let MachinesToReturn { machines, urgency } = leader.machines_to_return(now);
         let is_due = match urgency {
-            Urgency::Now => true,
-            Urgency::CanWait => !machines.is_empty() && now.time >= self.cloud.next_return,
+            ReturnUrgency::Immediate => true,
+            ReturnUrgency::CanWait => !machines.is_empty() && now.time >= self.cloud.next_return,
         };
         if is_due {
             self.cloud.next_return = now.time + RETURN_INTERVAL;
