--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -134,7 +134,7 @@
 
     /// Returns the shortest interval at which a fleet of this many machines may be listed, such that reading its pages
     /// uses at most [`LIST_FRACTION`] of the calls.
-    pub(crate) fn listing_span(&self, machines: usize) -> Span {
+    pub(crate) fn min_listing_interval(&self, machines: usize) -> Span {
         let pages = machines.div_ceil(MACHINES_PER_PAGE).max(1);
         Span::secs(pages as f64 / (self.calls_per_s * LIST_FRACTION))
     }
--- a/crates/core/src/node/cloud.rs
+++ b/crates/core/src/node/cloud.rs
@@ -109,8 +109,10 @@
         };
         let is_pending = (self.cloud).has_pending(|call| matches!(call, PendingCloudCall::List(_)));
         if now.time >= self.cloud.next_list && !is_pending {
-            let listing_span = self.cloud.listing_span(leader.fleet.machines.len());
-            let interval = MIN_LIST_INTERVAL.max(self.list_lag).max(listing_span);
+            let min_listing_interval = self.cloud.min_listing_interval(leader.fleet.machines.len());
+            let interval = MIN_LIST_INTERVAL
+                .max(self.list_lag)
+                .max(min_listing_interval);
             self.cloud.next_list = now.time + interval;
             self.cloud.enqueue(PendingCloudCall::List(None));
         }
--- a/crates/core/src/node/cloud/tests.rs
+++ b/crates/core/src/node/cloud/tests.rs
@@ -68,11 +68,14 @@
 #[test]
 fn large_fleet_is_listed_less_often() {
     let cloud = CloudCalls::new(1.0);
-    assert!(cloud.listing_span(100) <= Span(4_000));
-    assert_eq!(cloud.listing_span(4_000), Span(32_000));
+    assert!(cloud.min_listing_interval(100) <= Span(4_000));
+    assert_eq!(cloud.min_listing_interval(4_000), Span(32_000));
     let mut leader = leader();
     for n in 0..10 {
         add_live_machine(&mut leader, &format!("vm-{n}"), "a");
     }
-    assert_eq!(cloud.listing_span(leader.fleet.machines.len()), Span(4_000));
+    assert_eq!(
+        cloud.min_listing_interval(leader.fleet.machines.len()),
+        Span(4_000)
+    );
 }
