--- a/crates/core/src/scheduling/actions/consolidate.rs
+++ b/crates/core/src/scheduling/actions/consolidate.rs
@@ -1,5 +1,6 @@
 //! Consolidation: moves the replicas off a machine that holds few, if all of them have room elsewhere, so that the
-//! machine becomes empty and can be returned (article: "Consolidation: defragmenting without losing work").
+//! machine becomes empty and can be returned (article "KAI Scheduler Deep Dive", section "Consolidation: defragmenting
+//! without losing work").
 //!
 //! A replica cannot run in two places, so a move interrupts it for a moment. It is moved only to a machine that has
 //! its image, the new start is recorded before the old task is stopped, and only a few replicas are moved in a cycle.
@@ -18,15 +19,15 @@
 use rudderreel_wire::worker::TaskState;
 use std::cmp::Reverse;
 
-/// Number of replicas moved in a cycle.
+/// Maximum number of replicas moved in a cycle.
 const MAX_MOVES: usize = 2;
-/// Number of machines considered in a cycle.
+/// Maximum number of machines considered in a cycle.
 const MAX_MACHINES_CONSIDERED: usize = 8;
 /// Time after its start during which a replica is not moved.
 const MIN_RUNTIME: Span = Span(45_000);
 
 /// A replica whose move is simulated.
-struct Move<'a> {
+struct SimulatedMove<'a> {
     victim: Victim,
     job: &'a Job,
     /// New placement of the replica; empty if there is none.
@@ -76,21 +77,21 @@
         if let Some(target) = move_target(leader, snapshot, job, candidate_index, min_used) {
             statement.place(leader, snapshot, job, placed.task.index, target);
         }
-        moves.push(Move {
+        moves.push(SimulatedMove {
             victim,
             job,
             statement,
         });
     }
-    let all_have_room = moves.iter().all(|planned| planned.statement.len() == 1);
+    let all_have_room = moves.iter().all(|simulated| simulated.statement.len() == 1);
     if !all_have_room || !snapshot.has_room_for_arrivals(leader, Some(candidate_index)) {
-        undo(leader, snapshot, moves);
+        revert_moves(leader, snapshot, moves);
         return None;
     }
-    for planned in moves.into_iter().take(MAX_MOVES) {
-        let eviction = Eviction::new(&planned.victim, snapshot, StopReason::Moved);
+    for simulated in moves.into_iter().take(MAX_MOVES) {
+        let eviction = Eviction::new(&simulated.victim, snapshot, StopReason::Moved);
         scenario.evictions.push(eviction);
-        scenario.placements.extend(planned.statement.commit());
+        scenario.placements.extend(simulated.statement.commit());
     }
     Some(id)
 }
@@ -115,7 +116,8 @@
     replicas.filter(|replicas| !replicas.is_empty())
 }
 
-/// Returns whether a task is a replica that has run for a while and is in one place only.
+/// Returns whether a task is a replica that has run for at least [`MIN_RUNTIME`], is not being stopped and is in one
+/// place only.
 fn is_movable(snapshot: &Snapshot, placed: &PlacedTask, job: &Job) -> bool {
     let has_settled =
         (placed.running_since).is_some_and(|since| snapshot.now.time - since >= MIN_RUNTIME);
@@ -151,9 +153,9 @@
 }
 
 /// Reverts simulated moves, the last one first.
-fn undo(leader: &Leader, snapshot: &mut Snapshot, moves: Vec<Move>) {
-    for planned in moves.into_iter().rev() {
-        planned.statement.discard(leader, snapshot, planned.job);
-        snapshot.restore(leader, &planned.victim);
+fn revert_moves(leader: &Leader, snapshot: &mut Snapshot, moves: Vec<SimulatedMove>) {
+    for simulated in moves.into_iter().rev() {
+        simulated.statement.discard(leader, snapshot, simulated.job);
+        snapshot.restore(leader, &simulated.victim);
     }
 }
--- a/crates/core/src/scheduling/actions/evict.rs
+++ b/crates/core/src/scheduling/actions/evict.rs
@@ -1,7 +1,7 @@
 //! Shared part of reclaim and preempt: stops work on one machine for a task, and only if the task then fits.
 //!
-//! The task is placed at once on the room that is being freed (the article's *pipeline*); its start is sent when that
-//! room is surely free. Gangs of several tasks need several machines emptied at once: see
+//! The task is placed at once on the room that is being freed (*pipeline* in the article "KAI Scheduler Deep Dive");
+//! its start is sent when that room is surely free. Gangs of several tasks need several machines emptied at once: see
 //! [`reclaim_gang`](super::reclaim_gang).
 
 use super::predicates::is_eligible;
@@ -20,18 +20,18 @@
 use rudderreel_wire::job::Kind;
 use std::collections::{HashSet, VecDeque};
 
-/// Number of jobs for which a cycle ranks machines by the loss if their work is stopped. This bound and the next are
-/// large enough that the replicas of a zone find room within seconds, and small enough that a cycle stays short; the
-/// remaining jobs and tasks wait for the next cycle.
+/// Maximum number of jobs for which a cycle ranks the machines by the loss from an eviction. This bound and the next
+/// are large enough that the replicas of a zone find room within seconds, and small enough that a cycle stays short;
+/// the remaining jobs and tasks wait for the next cycle.
 const MAX_JOBS_RANKED: usize = 24;
-/// Number of tasks of each job for which a cycle makes room.
+/// Maximum number of tasks of each job for which a cycle makes room.
 const MAX_TASKS_PER_JOB: usize = 8;
 
 /// Which tasks may be stopped, and for which reason.
 pub(super) struct EvictionPolicy {
     /// Reason for the stops.
     pub(super) reason: StopReason,
-    /// Time since its placement before which a task is not stopped.
+    /// Time after its placement during which a task is not stopped.
     pub(super) min_runtime: Span,
     /// Returns whether work of the second job may be stopped for the first. The amounts are all that the second job's
     /// team would then lose on that machine.
--- a/crates/core/src/scheduling/actions/gang_reservation.rs
+++ b/crates/core/src/scheduling/actions/gang_reservation.rs
@@ -10,18 +10,18 @@
 use crate::scheduling::snapshot::{CandidateMachine, Snapshot};
 use rudderreel_wire::job::Kind;
 
-/// Number of gangs that room is reserved for at the same time: more would keep too much room from small jobs.
+/// Maximum number of gangs that room is reserved for at the same time: more would keep too much room from small jobs.
 const MAX_RESERVATIONS: usize = 4;
-/// Waiting time in seconds after which a gang gets a reservation beyond that number, because more gangs may wait in a
+/// Waiting time in seconds after which [`MAX_RESERVATIONS`] does not apply to a gang, because more gangs may wait in a
 /// large fleet.
 const EXEMPT_AFTER_S: f64 = 120.0;
-/// Number of waiting gangs considered in a cycle.
+/// Maximum number of waiting gangs considered in a cycle.
 const MAX_GANGS_CONSIDERED: usize = 24;
 /// Waiting time in seconds within which a gang should begin. Users count a job that does not begin within four
 /// minutes as not served. Room is reserved early enough for a gang to begin well before that, and not sooner: until
 /// then smaller work goes first.
 const TARGET_WAIT_S: f64 = 90.0;
-/// Factor by which machines become free later than owners' estimates say.
+/// Factor applied to the time until machines become free, because tasks run longer than their owners estimate.
 const ESTIMATE_FACTOR: f64 = 1.5;
 /// Time in seconds that boots and fetches may add.
 const START_MARGIN_S: f64 = 30.0;
--- a/crates/core/src/scheduling/actions/mod.rs
+++ b/crates/core/src/scheduling/actions/mod.rs
@@ -1,4 +1,4 @@
-//! The actions of a cycle (article: "The five actions"), each in a module of its own:
+//! The actions of a cycle (article "KAI Scheduler Deep Dive", section "The five actions"), each in a module of its own:
 //!
 //! * [`allocate`]: places waiting tasks on free room; nothing is stopped.
 //! * [`mod@reclaim`] and [`reclaim_gang`]: take back room that other teams borrowed.
--- a/crates/core/src/scheduling/actions/reclaim.rs
+++ b/crates/core/src/scheduling/actions/reclaim.rs
@@ -1,5 +1,5 @@
-//! Reclaim: teams that stay within their fair share take back room that other teams borrowed (article: "Two eviction
-//! paths, never mixed").
+//! Reclaim: teams that stay within their fair share take back room that other teams borrowed (article "KAI
+//! Scheduler Deep Dive", section "Two eviction paths, never mixed").
 //!
 //! Invariant: the victim's team stays at or above its own fair share, and the reclaiming team stays within its share,
 //! so that neither can take the room back from the other.
--- a/crates/core/src/scheduling/actions/reclaim_gang.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang.rs
@@ -26,7 +26,7 @@
 use std::collections::{BTreeSet, HashMap};
 use victim_group::VictimGroup;
 
-/// Number of waiting gangs considered in a cycle: each requires a search through all borrowed room.
+/// Maximum number of waiting gangs considered in a cycle: each requires a search through all borrowed room.
 const MAX_GANGS_CONSIDERED: usize = 2;
 
 /// Reclaims borrowed room for gangs whose teams stay within their fair share with them.
@@ -79,7 +79,7 @@
     gained: u32,
 }
 
-/// Groups whose eviction makes room for a gang in a zone, or in any zones if none is given.
+/// Groups whose eviction makes room for a gang in `zone`, or across all zones if `zone` is `None`.
 struct ReclaimPlan {
     groups: Vec<VictimGroup>,
     zone: Option<usize>,
--- a/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
+++ b/crates/core/src/scheduling/actions/reclaim_gang/tests.rs
@@ -45,11 +45,11 @@
 
 /// Returns the CPUs that a team's tasks use, summed over every machine, without the tasks in `without`.
 fn used(leader: &Leader, team: &str, without: &BTreeSet<TaskId>) -> i64 {
-    let entries = leader.fleet.machines.values().flat_map(|m| &m.tasks);
-    entries
-        .filter(|e| e.spec.as_ref().is_some_and(|s| s.team == team.into()))
-        .filter(|e| !without.contains(&e.task))
-        .map(|e| e.need.cpus)
+    let tasks = leader.fleet.machines.values().flat_map(|m| &m.tasks);
+    tasks
+        .filter(|placed| placed.spec.as_ref().is_some_and(|s| s.team == team.into()))
+        .filter(|placed| !without.contains(&placed.task))
+        .map(|placed| placed.need.cpus)
         .sum()
 }
 
@@ -59,8 +59,12 @@
         .filter(|m| m.zone == zone.into())
         .map(|m| {
             let mut free = m.capacity;
-            for e in m.tasks.iter().filter(|e| !without.contains(&e.task)) {
-                free -= e.need;
+            for placed in m
+                .tasks
+                .iter()
+                .filter(|placed| !without.contains(&placed.task))
+            {
+                free -= placed.need;
             }
             free.fit_count(&job.need)
         })
--- a/crates/core/src/scheduling/actions/victims.rs
+++ b/crates/core/src/scheduling/actions/victims.rs
@@ -14,8 +14,8 @@
 
 /// Cost of starting a task again, in addition to the lost work.
 const RESTART_COST: Span = Span(10_000);
-/// Half of a second, in milliseconds: a task is nearly done once it has run for half of its estimate.
-const HALF_SECOND_MS: f64 = 500.0;
+/// Run time, in milliseconds for each second of its estimate, after which a task is nearly done: half of the estimate.
+const NEARLY_DONE_MS_PER_S: f64 = 500.0;
 
 /// Returns the loss if a task that needs `need` is stopped after running for `ran`: lost time in milliseconds,
 /// multiplied by thousandths of a CPU. A task that can save loses at most the time to save; every task must start
@@ -28,8 +28,8 @@
     (lost.0 + RESTART_COST.0) * need.cpus.max(1) as u64
 }
 
-/// Returns whether a task is on its machine, is not being stopped yet, and has been there long enough to be evicted,
-/// whatever its job.
+/// Returns whether a task is on its machine, is neither being stopped nor evicted in this cycle, and was placed long
+/// enough ago to be evicted, whatever its job.
 fn has_run_long_enough(snapshot: &Snapshot, placed: &PlacedTask, min_runtime: Span) -> bool {
     matches!(placed.phase, Phase::On(_))
         && placed.stop.is_none()
@@ -63,7 +63,7 @@
         Self {
             victim: Victim::new(candidate_index, placed),
             loss: eviction_loss(Some(&job.spec), ran, &placed.need),
-            is_nearly_done: !can_save && job.spec.estimate_s * HALF_SECOND_MS < ran.0 as f64,
+            is_nearly_done: !can_save && job.spec.estimate_s * NEARLY_DONE_MS_PER_S < ran.0 as f64,
             can_save,
             priority: job.urgency.priority,
         }
--- a/crates/core/src/scheduling/arrival_reserve.rs
+++ b/crates/core/src/scheduling/arrival_reserve.rs
@@ -33,8 +33,8 @@
         let mut reserves = self.recent_urgent_arrivals(boot_s, now);
         for reserve in &mut reserves {
             let mean = f64::from(reserve.tasks) * boot_s / ARRIVAL_WINDOW.as_secs();
-            let most = mean + RESERVE_DEVIATIONS * mean.sqrt();
-            reserve.tasks = (self.policy.reserve_factor * most).ceil() as u32;
+            let max_arrivals = mean + RESERVE_DEVIATIONS * mean.sqrt();
+            reserve.tasks = (self.policy.reserve_factor * max_arrivals).ceil() as u32;
         }
         reserves
     }
--- a/crates/core/src/scheduling/cycle.rs
+++ b/crates/core/src/scheduling/cycle.rs
@@ -1,5 +1,5 @@
-//! The scheduling cycle: makes one consistent set of decisions on a snapshot (article: "The scheduling cycle:
-//! snapshot, session, actions, plugins").
+//! The scheduling cycle: makes one consistent set of decisions on a snapshot (article "KAI Scheduler Deep
+//! Dive", section "The scheduling cycle: snapshot, session, actions, plugins").
 //!
 //! Steps: withdraw stalled placements, take the snapshot, allocate, reclaim and preempt, consolidate, apply, plan
 //! capacity.
@@ -8,8 +8,8 @@
 //!
 //! * Allocation is split. Non-preemptible work runs only within quota, which is handed out first, so it is allocated,
 //!   and may reclaim or preempt, before preemptible work is allocated. Preemptible arrays and services reclaim only
-//!   after that allocation. When they reclaimed earlier, a small amount of free room, which was then reserved or
-//!   given to other jobs, kept them from taking back what their team had lent.
+//!   after that allocation. When they were considered earlier, they reclaimed nothing while a little room was still
+//!   free. That room was then reserved or given to other jobs, and what other teams had borrowed was not taken back.
 //! * Consolidation comes last, and only if the cycle stops no work.
 
 use super::actions::{self, ImagePreference, Scenario};
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -10,7 +10,7 @@
 use crate::units::{Now, Span, Time};
 use rudderreel_wire::ids::{Attempt, JobId, MachineId};
 
-/// Time before a cancelled job's task must be gone at which a machine that still holds the task is returned.
+/// Time by which a machine that still holds a task of a cancelled job is returned before the task must be gone.
 const RETURN_LEAD_TIME: Span = Span(8_000);
 /// Lead time that applies to a leader that has not yet led for long enough to receive reports from all machines.
 const NEW_LEADER_RETURN_LEAD_TIME: Span = Span(RETURN_LEAD_TIME.0 / 2);
--- a/crates/core/src/scheduling/job_records.rs
+++ b/crates/core/src/scheduling/job_records.rs
@@ -1,4 +1,4 @@
-//! Applies stored job records, which the watch of the key-value store delivers, to the leader's job table.
+//! Applies stored job records, which the watch of the store delivers, to the leader's job table.
 
 use crate::jobs::job::{Job, JobStage};
 use crate::leader::Leader;
--- a/crates/core/src/scheduling/mod.rs
+++ b/crates/core/src/scheduling/mod.rs
@@ -1,9 +1,9 @@
 //! Scheduling: decides on which machine each waiting task starts, and which running tasks are stopped to make room.
 //!
-//! The design follows the article "KAI Scheduler Deep Dive"; the terms *snapshot*, *action*, *statement*, *reclaim*,
-//! *preempt*, *consolidation*, *fair share* and *saturation* have the same meaning as in that article. A [`cycle`]
-//! takes a [`snapshot`] of the leader's state, runs the [`actions`] on the snapshot through [`statement`]s, and then
-//! applies their decisions.
+//! The design follows the article "KAI Scheduler Deep Dive", whose sections the modules cite; the terms *snapshot*,
+//! *action*, *statement*, *reclaim*, *preempt*, *consolidation*, *fair share* and *saturation* have the same meaning
+//! as in that article. A [`cycle`] takes a [`snapshot`] of the leader's state, runs the [`actions`] on the snapshot
+//! through [`statement`]s, and then applies their decisions.
 //!
 //! * Input: the machines, jobs and policy of the [`Leader`](crate::leader::Leader), and the current time.
 //! * Output: placements and stops, recorded on the leader's machines ([`placements`]). This module sends nothing: a
--- a/crates/core/src/scheduling/placements.rs
+++ b/crates/core/src/scheduling/placements.rs
@@ -16,7 +16,7 @@
 const STALLED_AFTER: Span = Span(10_000);
 
 impl Leader {
-    /// Withdraws placements that have waited too long for room that has not been freed.
+    /// Withdraws placements whose starts have not been sent for too long, because their room has not been freed.
     pub(crate) fn withdraw_stalled_placements(&mut self, now: Time) {
         let stalled: Vec<(MachineId, JobId, Attempt)> = (self.fleet.machines.values())
             .flat_map(|machine| machine.tasks.iter().map(move |task| (machine, task)))
--- a/crates/core/src/scheduling/snapshot/mod.rs
+++ b/crates/core/src/scheduling/snapshot/mod.rs
@@ -1,4 +1,5 @@
-//! The snapshot that a cycle decides on (article: "The scheduling cycle: snapshot, session, actions, plugins").
+//! The snapshot that a cycle decides on (article "KAI Scheduler Deep Dive", section "The scheduling cycle: snapshot,
+//! session, actions, plugins").
 //!
 //! The snapshot is taken when the cycle begins and does not follow later changes. The decisions of the cycle are
 //! simulated in it, mostly through a [`Statement`](super::statement::Statement), and take effect only when the cycle
@@ -31,9 +32,9 @@
 use rudderreel_wire::job::JobSpec;
 use std::collections::{BTreeSet, HashMap};
 
-/// One machine should hold at most one in this many of all replicas, so that its loss affects few of them.
-const REPLICA_SPREAD: u32 = 4;
-/// Number of replicas that one machine may hold in any case.
+/// Divisor of the number of all replicas that gives the cap for one machine, so that its loss affects few of them.
+const REPLICA_CAP_DIVISOR: u32 = 4;
+/// Lower bound of the cap on the replicas of one machine, however few replicas there are.
 const MIN_REPLICA_CAP: u32 = 4;
 
 /// State of the fleet, the jobs and the teams at the beginning of a cycle, with the decisions of the cycle so far.
@@ -176,6 +177,6 @@
     /// Returns the number of replicas that one machine should hold at most.
     pub fn replica_cap(&self) -> u32 {
         let replicas: u32 = (self.candidates.iter().map(|c| c.replica_count)).sum();
-        (replicas / REPLICA_SPREAD).max(MIN_REPLICA_CAP)
+        (replicas / REPLICA_CAP_DIVISOR).max(MIN_REPLICA_CAP)
     }
 }
--- a/crates/core/src/scheduling/snapshot/quota.rs
+++ b/crates/core/src/scheduling/snapshot/quota.rs
@@ -1,5 +1,5 @@
-//! Usage of teams in a snapshot, with their limits, quotas and fair shares (article: "Queues and hierarchical fair
-//! share").
+//! Usage of teams in a snapshot, with their limits, quotas and fair shares (article "KAI Scheduler Deep Dive", section
+//! "Queues and hierarchical fair share").
 //!
 //! Every amount is kept for each node of the team tree; the usage of a team also counts for all nodes above it.
 //! Invariants: everything that is not surely gone counts as used; non-preemptible work stays within the quota, and
@@ -54,7 +54,7 @@
             .is_some_and(|team| self.team_within_limits(leader, team, job, need))
     }
 
-    /// Does the same as [`Self::within_limits`] for a team whose node of the tree is already known.
+    /// Returns the same as [`Self::within_limits`], given the job's team as a node of the tree.
     fn team_within_limits(&self, leader: &Leader, team: usize, job: &Job, need: &Amounts) -> bool {
         let fits = |used: &Amounts, cap: &Amounts| {
             (0..RESOURCE_KINDS)
@@ -68,15 +68,15 @@
         })
     }
 
-    /// Adds up to `most` tasks of a job to the usage, as many as its team's limits allow. Returns the number of tasks
-    /// added.
-    pub fn charge_within_limits(&mut self, leader: &Leader, job: &Job, most: u32) -> u32 {
+    /// Adds as many tasks of a job to the usage as its team's limits allow, at most `max_tasks`. Returns the number of
+    /// tasks added.
+    pub fn charge_within_limits(&mut self, leader: &Leader, job: &Job, max_tasks: u32) -> u32 {
         let Some(team) = leader.policy.teams.find(&job.spec.team) else {
             return 0;
         };
         let need = amounts(&job.need);
         let mut tasks = 0;
-        while tasks < most && self.team_within_limits(leader, team, job, &need) {
+        while tasks < max_tasks && self.team_within_limits(leader, team, job, &need) {
             tasks += 1;
             self.charge_team(leader, team, job, &need);
         }
@@ -206,8 +206,8 @@
         }
     }
 
-    /// Returns what a machine adds to the capacity that is shared. Tasks that run on a machine with GPUs without
-    /// using them occupy capacity there all the same, so their needs are added.
+    /// Returns the amounts that a machine adds to the capacity that is shared. Tasks without GPUs on a machine with
+    /// GPUs occupy capacity there all the same, so their needs are added.
     fn shared_capacity(&self, machine: &Machine) -> Amounts {
         let capacity = amounts(&machine.capacity);
         if !self.counts_gpus_separately || capacity[GPUS] <= 0.0 {
@@ -224,20 +224,20 @@
 
     /// Returns usage and fair shares as they count for reclaiming room for a job. Work on GPUs is stopped only where
     /// its team is above its share of every resource that this work takes: when only GPUs were counted, gangs of
-    /// teams on a large deployment stopped one another, and fewer were done in time.
+    /// different teams stopped one another on a large deployment, and fewer were done in time.
     pub fn reclaim_basis(&self, job: &Job) -> ReclaimBasis<'_> {
         if job.need.gpus > 0 {
             ReclaimBasis {
                 used: &self.usage.used,
                 fair_share: &self.combined_fair_share,
-                counting: Counting::Everything,
+                counting: CountingMode::Combined,
                 account: self,
             }
         } else {
             ReclaimBasis {
                 used: &self.counted,
                 fair_share: &self.fair_share,
-                counting: Counting::GpusSeparately,
+                counting: CountingMode::GpusSeparately,
                 account: self,
             }
         }
@@ -250,10 +250,12 @@
     counted
 }
 
-/// How needs are counted for reclaiming.
+/// How the needs of work on GPUs are counted for reclaiming.
 #[derive(Clone, Copy)]
-enum Counting {
-    Everything,
+enum CountingMode {
+    /// All resources of a need count.
+    Combined,
+    /// A need counts as in [`QuotaAccount::counted_for_shares`].
     GpusSeparately,
 }
 
@@ -261,7 +263,7 @@
 pub struct ReclaimBasis<'a> {
     used: &'a [Amounts],
     fair_share: &'a [Amounts],
-    counting: Counting,
+    counting: CountingMode,
     account: &'a QuotaAccount,
 }
 
@@ -270,8 +272,8 @@
     pub fn counted(&self, need: &Resources) -> Amounts {
         let need = amounts(need);
         match self.counting {
-            Counting::Everything => need,
-            Counting::GpusSeparately => self.account.counted_for_shares(&need),
+            CountingMode::Combined => need,
+            CountingMode::GpusSeparately => self.account.counted_for_shares(&need),
         }
     }
 
--- a/crates/core/src/scheduling/snapshot/reservations.rs
+++ b/crates/core/src/scheduling/snapshot/reservations.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Returns machines with room for a reserve: those that have most of its images first, then the fullest.
+    /// Returns machines with room for a reserve: those that have the most of its images first, then the fullest.
     fn machines_for_reserve(&self, reserve: &ArrivalReserve) -> Vec<usize> {
         let images: Vec<u32> = (reserve.images.iter())
             .filter_map(|image| self.image(image))
--- a/crates/core/src/scheduling/snapshot/simulation.rs
+++ b/crates/core/src/scheduling/snapshot/simulation.rs
@@ -1,4 +1,5 @@
-//! Simulation of placements and evictions in a snapshot (article: "Simulate first, commit later").
+//! Simulation of placements and evictions in a snapshot (article "KAI Scheduler Deep Dive", section
+//! "Simulate first, commit later").
 //!
 //! Each change has an exact reverse, and nothing outside the snapshot is changed.
 
@@ -11,12 +12,12 @@
 use rudderreel_wire::ids::{Attempt, JobId, TaskId};
 use rudderreel_wire::job::Kind;
 
-/// A task that is evicted, or may be.
+/// A task that is to be evicted or is considered for eviction.
 #[derive(Clone, Debug)]
 pub struct Victim {
     /// Index of its machine in [`Snapshot::candidates`].
     pub candidate_index: usize,
-    /// Task to be evicted.
+    /// Id of the task.
     pub task: TaskId,
     /// Attempt of the task.
     pub attempt: Attempt,
--- a/crates/core/src/scheduling/snapshot/simulation/tests.rs
+++ b/crates/core/src/scheduling/snapshot/simulation/tests.rs
@@ -24,7 +24,7 @@
 
 /// Returns every part of a snapshot that an action can see.
 fn visible_state(leader: &Leader, snapshot: &Snapshot) -> String {
-    let standings: Vec<String> = (0..leader.policy.teams.nodes.len())
+    let quota_statuses: Vec<String> = (0..leader.policy.teams.nodes.len())
         .map(|node| format!("{:?}", snapshot.quota_status(node)))
         .collect();
     let jobs = leader.jobs.values().map(|job| {
@@ -49,11 +49,11 @@
             )
         })
         .collect();
-    format!("{standings:?} {jobs:?} {replicas:?} {machines:?}")
+    format!("{quota_statuses:?} {jobs:?} {replicas:?} {machines:?}")
 }
 
 #[test]
-fn simulated_changes_are_taken_back_exactly() {
+fn simulated_changes_are_reverted_exactly() {
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..200 {
         let mut leader = fleet(&mut rng);
--- a/crates/core/src/scheduling/statement.rs
+++ b/crates/core/src/scheduling/statement.rs
@@ -1,5 +1,5 @@
-//! Statements: logs of simulated placements that are committed or discarded as a whole (article: "Simulate first,
-//! commit later").
+//! Statements: logs of simulated placements that are committed or discarded as a whole (article "KAI
+//! Scheduler Deep Dive", section "Simulate first, commit later").
 
 use super::snapshot::simulation::FetchCounted;
 use super::snapshot::Snapshot;
