--- a/crates/core/src/agents/fault_attribution.rs
+++ b/crates/core/src/agents/fault_attribution.rs
@@ -40,7 +40,7 @@
         let was_suspected = job.is_suspected();
         let is_first_of_attempt = job.failures.record(machine, exit.attempt, now.time);
         if !job.failures.is_proven() && has_failed_on_enough_machines(job, &self.fleet) {
-            job.failures.suspect();
+            job.failures.mark_suspected();
         }
         let became_suspected = job.is_suspected() && !was_suspected;
         if is_first_of_attempt {
--- a/crates/core/src/jobs/failures.rs
+++ b/crates/core/src/jobs/failures.rs
@@ -73,7 +73,7 @@
     }
 
     /// Marks the job as suspected of a mistake.
-    pub fn suspect(&mut self) {
+    pub fn mark_suspected(&mut self) {
         self.suspected = true;
     }
 
