--- a/crates/core/src/agents/task_outcomes.rs
+++ b/crates/core/src/agents/task_outcomes.rs
@@ -103,8 +103,8 @@
         attempt: Attempt,
         now: Now,
     ) {
-        let why = StopReason::LostWithMachine.as_str();
-        self.metrics.record_stop(now.wall, task, machine, why);
+        let reason = StopReason::LostWithMachine.as_str();
+        self.metrics.record_stop(now.wall, task, machine, reason);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.unplace(task.index, machine, attempt);
         }
--- a/crates/core/src/metrics.rs
+++ b/crates/core/src/metrics.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of the latest stops that are kept.
+/// Maximum number of stops that are kept, the latest ones.
 const MAX_STOP_RECORDS: usize = 100;
 /// Smallest value that a histogram distinguishes; shorter times are recorded as this value.
 const MIN_MS: u64 = 1;
@@ -68,7 +68,8 @@
     /// Id of the task's machine.
     pub machine: String,
     /// Reason of the stop.
-    pub why: &'static str,
+    #[serde(rename = "why")]
+    pub reason: &'static str,
 }
 
 /// The counters and latencies of a leader.
@@ -89,8 +90,14 @@
     }
 
     /// Records that a task was stopped: keeps the stop and increments the counter of its reason.
-    pub fn record_stop(&mut self, at: Wall, task: &TaskId, machine: &MachineId, why: &'static str) {
-        self.count(why);
+    pub fn record_stop(
+        &mut self,
+        at: Wall,
+        task: &TaskId,
+        machine: &MachineId,
+        reason: &'static str,
+    ) {
+        self.count(reason);
         if self.stops.len() >= MAX_STOP_RECORDS {
             self.stops.pop_front();
         }
@@ -98,7 +105,7 @@
             at_ms: at.0,
             task: task.to_string(),
             machine: machine.to_string(),
-            why,
+            reason,
         });
     }
 
