--- a/crates/core/src/capacity/anticipation.rs
+++ b/crates/core/src/capacity/anticipation.rs
@@ -9,11 +9,11 @@
 use crate::leader::Leader;
 use crate::units::{Now, Span, Time};
 
-/// A task that has run longer than its owner's estimate is expected to run for this fraction of its run time more.
+/// A task that has exceeded its owner's estimate is expected to run on for this fraction of its run time so far.
 const OVERRUN_FRACTION: f64 = 0.3;
 
 impl Leader {
-    /// Returns jobs that wait for dependencies and will probably be ready within a time span.
+    /// Iterates over the active jobs that wait for dependencies and will probably be ready within a time span.
     pub fn nearly_ready(&self, within: Span, now: Now) -> impl Iterator<Item = &Job> {
         let is_ready_soon = move |job: &&Job| {
             let ready_in = self.expected_ready_in(job, now.time);
--- a/crates/core/src/capacity/anticipation/tests.rs
+++ b/crates/core/src/capacity/anticipation/tests.rs
@@ -11,8 +11,8 @@
         add_running_task(&mut leader, &first, index, &machine);
     }
     for machine in leader.fleet.machines.values_mut() {
-        for entry in &mut machine.tasks {
-            entry.running_since = Some(Time(NOW.time.0 - ran.0));
+        for placed in &mut machine.tasks {
+            placed.running_since = Some(Time(NOW.time.0 - ran.0));
         }
     }
     let mut second = (*job(2, "sweep", "red", "urgent").spec).clone();
--- a/crates/core/src/capacity/bin_packing.rs
+++ b/crates/core/src/capacity/bin_packing.rs
@@ -60,7 +60,7 @@
     }
 
     /// Creates a bin of one candidate machine, with its free resources.
-    pub(super) fn up(candidate: &CandidateMachine) -> Self {
+    pub(super) fn from_candidate(candidate: &CandidateMachine) -> Self {
         Self {
             offer: InstanceOffer {
                 machine_type: candidate.machine_type.clone(),
@@ -141,18 +141,18 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// Packs at most `max` tasks of a job into the bins, or only into those of `only_zone` if it is given; returns the
-    /// number of tasks packed.
+    /// Packs at most `max_tasks` tasks of a job into the bins, or only into those of `only_zone` if it is given.
+    /// Returns the number of tasks packed.
     pub(super) fn pack(
         &mut self,
         leader: &Leader,
         job: &Job,
-        max: u32,
+        max_tasks: u32,
         zones: &mut TasksByZone,
         only_zone: Option<&Zone>,
     ) -> u32 {
         let avoids_gpus = should_avoid_gpus(leader, job);
-        let mut left = max;
+        let mut left = max_tasks;
         let mut partly_filled = Vec::new();
         for bin in &mut self.0 {
             let zone = &bin.offer.zone;
@@ -180,7 +180,7 @@
         }
         self.0.retain(|bin| bin.machines > 0);
         self.0.extend(partly_filled);
-        max - left
+        max_tasks - left
     }
 }
 
--- a/crates/core/src/capacity/demand.rs
+++ b/crates/core/src/capacity/demand.rs
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Plans room for arrays that will be ready by the time a machine could be up, beyond the room on free machines.
+    /// Plans room for arrays that will be ready by the time a machine could be up: for the tasks that do not fit on the
+    /// candidate machines.
     fn cover_anticipated_arrays(&mut self) {
         let leader = self.leader;
         let boot = Span::secs(leader.policy.catalog.slowest_boot_s());
@@ -142,7 +143,12 @@
             return;
         }
         jobs.sort_by_cached_key(|job| job.queue_order(false));
-        let mut free: Bins = self.snapshot.candidates.iter().map(Bin::up).collect();
+        let mut free: Bins = self
+            .snapshot
+            .candidates
+            .iter()
+            .map(Bin::from_candidate)
+            .collect();
         for job in jobs {
             let mut zones = TasksByZone::default();
             let mut left = self.charge_within_limits(job, job.spec.tasks);
@@ -240,9 +246,10 @@
         (self.upcoming.pack(self.leader, job, in_zone, zones, None)).max(1)
     }
 
-    /// Charges as many tasks of a job to its team as the team's limits allow, at most `max`; returns their number.
-    fn charge_within_limits(&mut self, job: &Job, max: u32) -> u32 {
-        self.usage.charge_within_limits(self.leader, job, max)
+    /// Charges as many tasks of a job to its team as the team's limits allow, at most `max_tasks`. Returns their
+    /// number.
+    fn charge_within_limits(&mut self, job: &Job, max_tasks: u32) -> u32 {
+        self.usage.charge_within_limits(self.leader, job, max_tasks)
     }
 
     /// Returns whether a gang may claim a candidate machine: it is in the zone, no other gang has claimed it, and a
--- a/crates/core/src/capacity/offers.rs
+++ b/crates/core/src/capacity/offers.rs
@@ -9,9 +9,9 @@
 use rudderreel_wire::cloud::MachineType;
 use rudderreel_wire::ids::Zone;
 
-/// Fraction by which an offer's price is raised for each upcoming machine in its zone, so that machines at equal prices
-/// are spread over the zones.
-const PRICE_PER_UPCOMING_MACHINE: f64 = 0.001;
+/// Fraction that is added to an offer's price for each upcoming machine in its zone when offers are compared, so that
+/// machines at equal prices are spread over the zones.
+const SURCHARGE_FRACTION_PER_MACHINE: f64 = 0.001;
 /// A machine is cheap if the most expensive one costs at least this many times as much.
 const CHEAP_RATIO: f64 = 32.0;
 
@@ -54,7 +54,7 @@
     ) -> Option<InstanceOffer> {
         let spread_price = |priced: &PricedOffer| {
             let machines = f64::from(upcoming.machines_in(&priced.offer.zone));
-            priced.price_per_task * (1.0 + PRICE_PER_UPCOMING_MACHINE * machines)
+            priced.price_per_task * (1.0 + SURCHARGE_FRACTION_PER_MACHINE * machines)
         };
         (self.priced_offers(job, now).into_iter())
             .filter(|priced| zones.in_zone(&priced.offer.zone) < job.spec.zone_cap())
--- a/crates/core/src/capacity/scale_in.rs
+++ b/crates/core/src/capacity/scale_in.rs
@@ -14,7 +14,7 @@
 use rudderreel_wire::ids::{Attempt, JobId, MachineId, TypeName, Zone};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Minimum time for which the cloud charges a machine.
+/// Minimum time that the cloud charges for a machine.
 const MIN_CHARGED_TIME: Span = Span(60_000);
 /// Price ratio up to which idle machines are kept equally long: a machine type that is cheaper than the most expensive
 /// one by more than this factor is kept longer, in proportion.
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Returns whether a machine is idle. A machine in a partitioned zone can't be used, but does not count as idle for
-    /// that reason.
+    /// Returns whether a machine is idle: it is empty, or one of `underused_gpu_machines`. An empty machine in a
+    /// partitioned zone does not count as idle, because it can't be used.
     fn is_idle(&self, machine: &Machine) -> bool {
         let is_reachable = !self.partitioned_zones.contains(&machine.zone);
         (is_reachable && machine.tasks.is_empty())
@@ -145,8 +145,8 @@
 }
 
 impl Leader {
-    /// Marks machines as retired: idle ones once they have been paid for, stuck and dead ones. Returns those whose
-    /// return is to be requested now, at most [`MAX_MACHINES_PER_SCALE_IN`].
+    /// Marks machines as retired: dead ones, stuck ones, and those that have been paid for and idle for long enough.
+    /// Returns those whose return is to be requested now, at most [`MAX_MACHINES_PER_SCALE_IN`].
     pub(crate) fn machines_to_return(&mut self, now: Now) -> MachinesToReturn {
         let policy = ScaleInPolicy::new(self, now);
         let mut machines = Vec::new();
--- a/crates/core/src/cloud/calls.rs
+++ b/crates/core/src/cloud/calls.rs
@@ -7,7 +7,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Maximum fraction of the calls to the cloud that reading the machine list may use.
-const LIST_FRACTION: f64 = 0.25;
+const MAX_LIST_FRACTION: f64 = 0.25;
 /// Maximum number of calls that are open at the same time.
 const MAX_OPEN_CALLS: usize = 3;
 /// Maximum size of a burst, as seconds of calls at the rate limit.
@@ -132,11 +132,11 @@
         self.tokens_counted_at = now;
     }
 
-    /// Returns the shortest interval at which a fleet of this many machines may be listed, such that reading its pages
-    /// uses at most [`LIST_FRACTION`] of the calls.
+    /// Returns the shortest interval between two readings of the list of `machines` machines with which reading its
+    /// pages uses at most [`MAX_LIST_FRACTION`] of the calls.
     pub(crate) fn min_listing_interval(&self, machines: usize) -> Span {
         let pages = machines.div_ceil(MACHINES_PER_PAGE).max(1);
-        Span::secs(pages as f64 / (self.calls_per_s * LIST_FRACTION))
+        Span::secs(pages as f64 / (self.calls_per_s * MAX_LIST_FRACTION))
     }
 
     /// Returns whether any queued or open call satisfies `predicate`.
--- a/crates/core/src/jobs/failures.rs
+++ b/crates/core/src/jobs/failures.rs
@@ -1,5 +1,7 @@
 //! Failures as evidence against a job (see `agents::fault_attribution`): on which machines it failed, how many attempts
-//! have failed since its last success, and whether it is suspected of a mistake.
+//! have failed since its last success, and whether it is suspected.
+//!
+//! A job is *suspected* if it was probably submitted with a mistake, so that it fails on any machine.
 
 use super::job::Job;
 use crate::units::{Span, Time};
@@ -10,7 +12,7 @@
 pub const EVIDENCE_TTL: Span = Span(180_000);
 /// Maximum number of failed machines kept per job, and of failed jobs kept per machine.
 pub const MAX_EVIDENCE: usize = 8;
-/// Maximum number of times that a pause or quarantine is doubled; each further failure doubles it.
+/// Maximum number of times that a retry pause or a quarantine is doubled; each further failure doubles it.
 pub const MAX_DOUBLINGS: u32 = 5;
 /// Time after a failure during which the job is not tried again on the same machine.
 const AVOID_AFTER_FAILURE: Span = Span(20_000);
@@ -57,7 +59,8 @@
         self.failed_attempts
     }
 
-    /// Returns whether any task of the job was ever completed or ran for long: then the job has no mistake.
+    /// Returns whether any task of the job was ever completed or ran for long. That proves that the job has no
+    /// mistake.
     pub fn is_proven(&self) -> bool {
         self.proven
     }
@@ -67,12 +70,12 @@
         self.proven = true;
     }
 
-    /// Returns whether the job is suspected of a mistake.
+    /// Returns whether the job is suspected, that is, was probably submitted with a mistake.
     pub fn is_suspected(&self) -> bool {
         self.suspected
     }
 
-    /// Marks the job as suspected of a mistake.
+    /// Marks the job as suspected.
     pub fn mark_suspected(&mut self) {
         self.suspected = true;
     }
@@ -88,8 +91,8 @@
             .any(|f| f.machine == *machine && now - f.at < AVOID_AFTER_FAILURE)
     }
 
-    /// Returns whether the job avoids any machine after a recent failure, so that its tasks can't be treated like
-    /// others of the same shape.
+    /// Returns whether the job avoids any machine after a recent failure, so that its tasks are not equivalent to tasks
+    /// of other jobs with the same needs.
     pub fn avoids_any_machine(&self, now: Time) -> bool {
         (self.machine_failures.iter()).any(|failure| now - failure.at < AVOID_AFTER_FAILURE)
     }
@@ -128,7 +131,7 @@
 }
 
 impl Job {
-    /// Returns whether the job was probably submitted with a mistake.
+    /// Returns whether the job is suspected (see [`Failures::is_suspected`]).
     pub fn is_suspected(&self) -> bool {
         self.failures.is_suspected()
     }
@@ -138,7 +141,7 @@
         self.retry_at = now + self.failures.retry_pause();
     }
 
-    /// Delays the next start after the job became suspected by a further failure of an attempt that is already counted.
+    /// Delays the next start after a further failure of an attempt that is already counted has made the job suspected.
     pub fn pause_as_suspected(&mut self, now: Time) {
         self.retry_at = self.retry_at.max(now + SUSPECTED_RETRY_PAUSE);
     }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -187,13 +187,13 @@
         }
     }
 
-    /// Returns the next tasks that may be started: at most `max`, without the first `skip`.
-    pub fn next_startable(&self, skip: usize, max: usize) -> Vec<u32> {
+    /// Returns the indexes of the next tasks that may be started: at most `max_tasks`, without the first `skip`.
+    pub fn next_startable(&self, skip: usize, max_tasks: usize) -> Vec<u32> {
         let startable = (self.startable_tasks() as usize).saturating_sub(skip);
         self.unplaced
             .iter()
             .skip(skip)
-            .take(max.min(startable))
+            .take(max_tasks.min(startable))
             .collect()
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -26,12 +26,12 @@
 use rudderreel_wire::settings::Settings;
 use std::collections::BTreeSet;
 
-/// Least delay of a requested scheduling cycle, and so the least time between two cycles.
-const CYCLE_DEBOUNCE: Span = Span(60);
+/// Minimum delay of a requested scheduling cycle, and so the minimum time between two cycles.
+const MIN_CYCLE_DEBOUNCE: Span = Span(60);
 /// Number of machines that add one millisecond to the delay of a requested cycle: a cycle over a larger fleet takes
 /// longer.
 const MACHINES_PER_DEBOUNCE_MS: u64 = 10;
-/// Time after its election before which a leader does not consolidate, that is, move replicas so that machines empty.
+/// Time after its election during which a leader does not consolidate, that is, moves no replicas to empty machines.
 const FIRST_CONSOLIDATION_DELAY: Span = Span(20_000);
 
 /// The times at which scheduling cycles are due, and the state that one cycle keeps for the next.
@@ -56,7 +56,7 @@
     pub jobs: JobTable,
     /// Settings of the platform and the operators for scheduling.
     pub policy: SchedulingPolicy,
-    /// Times that the agents keep to: lease, report interval, cancellation deadline.
+    /// Timings that agents are to keep: lease, report interval, cancellation deadline.
     pub agent_timings: AgentTimings,
     /// Limits of the store, which every write must respect.
     pub store_limits: StoreLimits,
@@ -117,7 +117,7 @@
     /// changes are collected for one cycle.
     pub fn request_cycle(&mut self, now: Time) {
         let debounce_ms =
-            CYCLE_DEBOUNCE.0 + self.fleet.machines.len() as u64 / MACHINES_PER_DEBOUNCE_MS;
+            MIN_CYCLE_DEBOUNCE.0 + self.fleet.machines.len() as u64 / MACHINES_PER_DEBOUNCE_MS;
         self.schedule.next_cycle = self.schedule.next_cycle.min(now + Span(debounce_ms));
     }
 
--- a/crates/core/src/leader/recovery.rs
+++ b/crates/core/src/leader/recovery.rs
@@ -10,7 +10,7 @@
 use crate::units::Now;
 use rudderreel_wire::ids::{Attempt, Epoch, Incarnation, MachineId, TaskId};
 
-/// Stands for an agent's incarnation that is not known. No status report has this incarnation.
+/// Placeholder for the incarnation of an agent if it is not known. No status report has this incarnation.
 const UNKNOWN_INCARNATION: Incarnation = Incarnation(u64::MAX);
 
 impl Leader {
@@ -36,8 +36,9 @@
                 continue;
             };
             if segment >= job.segment {
-                let tries = record.suspected.iter().find(|(of, _)| of == id);
-                job.failures.restore(tries.map_or(0, |(_, tries)| *tries));
+                let suspected = record.suspected.iter().find(|(of, _)| of == id);
+                job.failures
+                    .restore(suspected.map_or(0, |(_, failed_attempts)| *failed_attempts));
             }
             job.restore_progress(segment, ranges);
         }
--- a/crates/core/src/leader/recovery/tests.rs
+++ b/crates/core/src/leader/recovery/tests.rs
@@ -16,9 +16,9 @@
     let job = job(1, "sweep", "red", "normal");
     let id = job.spec.id.clone();
     leader.jobs.insert(id.clone(), job);
-    let segment = |tries: &[u32]| SegmentRecord {
+    let segment = |failed_attempts: &[u32]| SegmentRecord {
         done: vec![(id.clone(), Vec::new())],
-        suspected: tries.iter().map(|n| (id.clone(), *n)).collect(),
+        suspected: failed_attempts.iter().map(|n| (id.clone(), *n)).collect(),
         ..SegmentRecord::default()
     };
     leader.recover_segment(SegmentId(1), segment(&[4]), NOW);
@@ -56,8 +56,12 @@
     leader.term.epoch_bumped(Epoch(5), Version(2), NOW.time);
     leader.recover_segment(SegmentId(1), record, NOW);
     let found = &leader.fleet.machines[&machine];
-    let held = found.tasks.iter().filter(|e| e.occupies_capacity()).count();
-    assert_eq!(held, 2);
+    let occupying = found
+        .tasks
+        .iter()
+        .filter(|placed| placed.occupies_capacity())
+        .count();
+    assert_eq!(occupying, 2);
     assert_eq!(
         found.free(),
         Resources::default(),
@@ -80,7 +84,7 @@
     };
     assert_eq!(leader.answer_commands(&machine, NOW.time), vec![stop]);
     let left: Vec<u32> = (leader.fleet.machines[&machine].tasks.iter())
-        .map(|e| e.task.index)
+        .map(|placed| placed.task.index)
         .collect();
     assert_eq!(left, [1]);
 }
--- a/crates/core/src/leader/recovery_progress.rs
+++ b/crates/core/src/leader/recovery_progress.rs
@@ -91,7 +91,8 @@
         self.is_complete
     }
 
-    /// Holds a status report until all state has been read, unless one of its machine that is as new or newer is held.
+    /// Holds a status report until all state has been read, unless a report of the same machine that is as new or newer
+    /// is already held.
     pub fn hold_report(&mut self, report: &StatusReport) {
         let is_newer = (self.held_reports.get(&report.machine))
             .is_none_or(|held| MessageOrder::of(held) < MessageOrder::of(report));
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Records that a page could not be read. It is requested again after a delay, so that an outage is not filled with
-    /// such calls.
+    /// Records that a page could not be read. It is requested again after a delay, which limits the number of
+    /// such calls in an outage.
     pub fn retry_later(&mut self, page: RecoveryPage, now: Time) {
         self.retry = Some((now + PAGE_RETRY_INTERVAL, page));
     }
--- a/crates/core/src/overload/fleet_limits.rs
+++ b/crates/core/src/overload/fleet_limits.rs
@@ -1,9 +1,9 @@
 //! Limits on the size of the fleet that follow from the number of sockets that a process may open.
 //!
-//! Nothing in the program bounds the number of machines. What the platform allows a process does, because each agent
-//! keeps a connection to the node that it reports to. A larger fleet is served as far as the connections suffice. The
-//! limits are logged at start-up, a fleet that exceeds them is logged as well, and the administrators' overview shows
-//! both.
+//! The program itself does not bound the number of machines. The platform's limit on open sockets does, because each
+//! agent keeps a connection to the node that it reports to. A larger fleet is served as far as the connections suffice.
+//! The limits are logged at start-up, a fleet that exceeds them is logged as well, and the administrators' overview
+//! shows both.
 
 use rudderreel_wire::settings::Settings;
 use serde::Serialize;
--- a/crates/core/src/task_set.rs
+++ b/crates/core/src/task_set.rs
@@ -95,9 +95,9 @@
         self.count += last - first + 1;
     }
 
-    /// Returns a part of this set: at most `max_ranges` of its ranges, or as many as contain all of `recorded`, which
-    /// is a subset of this set. What can't be recorded this time is recorded later, and nothing that was recorded is
-    /// dropped.
+    /// Returns a part of this set: at most `max_ranges` of its ranges, or, if that takes more, all that contain numbers
+    /// of `recorded`, which is a subset of this set. What can't be recorded this time is recorded later, and nothing
+    /// that was recorded is dropped.
     pub fn limited_to_ranges(&self, max_ranges: usize, recorded: &Self) -> Self {
         if self.ranges.len() <= max_ranges {
             return self.clone();
--- a/crates/core/src/teams/fair_share.rs
+++ b/crates/core/src/teams/fair_share.rs
@@ -1,9 +1,9 @@
-//! Computes fair shares top down (article: "How fair share is computed"): first the quotas, then the surplus by
-//! priority and weight.
+//! Computes fair shares top down (article "KAI Scheduler Deep Dive", section "How fair share is computed"): first the
+//! quotas, then the surplus by priority and weight.
 //!
 //! Phase one of the article gives each team `min(quota, requested)` and assumes that the quotas are backed by capacity.
-//! Where they add up to more than the total, they are scaled down evenly here, so that the shares never guarantee
-//! capacity that does not exist.
+//! Where these guarantees add up to more than the total, they are scaled down by a common factor here, so that the
+//! shares never guarantee capacity that does not exist.
 //!
 //! A team without any quota may run work of priority 100 or above (for that check its quota counts as unlimited), but
 //! nothing is guaranteed to it: otherwise it would claim everything that it requests in phase one, next to teams with a
@@ -110,7 +110,7 @@
     }
 
     /// Gives siblings the amounts that they request for non-preemptible work under an unlimited quota, scaled down
-    /// evenly to `left`; returns the sum of the amounts given.
+    /// by a common factor to `left` if they exceed it; returns the sum of the amounts given.
     fn give_non_preemptible_without_quota(
         &self,
         children: &[usize],
--- a/crates/core/src/teams/fair_share/tests.rs
+++ b/crates/core/src/teams/fair_share/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-/// Slow reference model: gives out one small part at a time. First it goes to the sibling with the least of its
-/// guarantee; once the guarantees are met, by priority and weight.
+/// Slow reference model: gives out one small part at a time. Each part goes to the sibling that has received the
+/// smallest fraction of its guarantee; once the guarantees are met, parts are given by priority and weight.
 fn reference_shares(teams: &[(f64, f64, f64, f64, i32)], total: f64) -> Vec<f64> {
     const PART: f64 = 0.005;
     let mut given = vec![0.0; teams.len()];
@@ -161,7 +161,7 @@
 
 /// When the cloud can't deliver machines, the quotas add up to more capacity than exists.
 #[test]
-fn quotas_that_are_not_backed_are_scaled_down_evenly() {
+fn quotas_that_are_not_backed_are_scaled_down_by_a_common_factor() {
     let mut tree = TeamTree::from_limits(&[]);
     tree.nodes.push(node(Some(0), 6.0, 10.0, 1.0, 0));
     tree.nodes.push(node(Some(0), 3.0, 10.0, 9.0, 5));
--- a/crates/core/src/teams/team_tree.rs
+++ b/crates/core/src/teams/team_tree.rs
@@ -157,7 +157,7 @@
         Ok(tree)
     }
 
-    /// Builds the tree with parents before their children.
+    /// Builds the tree with parents before their children. Fails if a node can't be connected to the root.
     fn order_topologically(
         &self,
         mut rest: Vec<TeamNode>,
