--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -241,7 +241,7 @@
     }
 
     /// Returns whether the completion of every done task is recorded or being recorded.
-    pub fn is_all_recorded(&self) -> bool {
+    pub fn is_progress_recorded(&self) -> bool {
         self.recorded_done.len() == self.done.len()
     }
 
--- a/crates/core/src/placement_log/segment.rs
+++ b/crates/core/src/placement_log/segment.rs
@@ -132,7 +132,7 @@
             if !job.is_active() || job.is_complete() {
                 job.has_unrecorded_progress = false;
             } else if self.add_new_progress(job) {
-                job.has_unrecorded_progress = !job.is_all_recorded();
+                job.has_unrecorded_progress = !job.is_progress_recorded();
             }
         }
     }
