--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -92,7 +92,7 @@
     /// Whether `done` holds more than is recorded or being recorded.
     pub has_unrecorded_progress: bool,
     /// Whether a commit of the job's completion is in flight.
-    pub completion_open: bool,
+    pub completion_in_flight: bool,
     /// Whether any of the job's tasks has ever run, as far as this leader knows.
     pub has_started: bool,
     /// The longest run time of a completed task, in seconds.
@@ -121,7 +121,7 @@
             recorded_done: TaskSet::default(),
             segment: SegmentId::NONE,
             has_unrecorded_progress: false,
-            completion_open: false,
+            completion_in_flight: false,
             has_started: false,
             longest_run_s: 0.0,
         }
--- a/crates/core/src/node/completions.rs
+++ b/crates/core/src/node/completions.rs
@@ -108,14 +108,14 @@
         let leadership = self.term.key_condition();
         let limits = &self.store_limits;
         let mut due: Vec<&mut Job> = (self.jobs.values_mut())
-            .filter(|job| !job.completion_open && job.is_active() && job.is_complete())
+            .filter(|job| !job.completion_in_flight && job.is_active() && job.is_complete())
             .collect();
         let mut commits = Vec::new();
         for jobs in due.chunks_mut(limits.operations.min(MAX_JOBS_PER_COMMIT)) {
             let mut conditions = vec![leadership.clone()];
             let mut changes = Vec::new();
             for job in jobs.iter_mut() {
-                job.completion_open = true;
+                job.completion_in_flight = true;
                 let key = job_key(&job.spec.id);
                 conditions.push(condition(key.clone(), job.version));
                 changes.push(put(key, &completed_record(job, limits, now)));
@@ -146,7 +146,7 @@
     fn complete_job(&mut self, id: &JobId, now: Now) -> Option<JobRecord> {
         let job = self.jobs.get_mut(id)?;
         log::info!("job done job={id}");
-        job.completion_open = false;
+        job.completion_in_flight = false;
         let record = completed_record(job, &self.store_limits, now);
         self.finish_job(id);
         Some(record)
@@ -156,7 +156,7 @@
     fn retry_completions(&mut self, ids: &[JobId]) {
         for id in ids {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.completion_open = false;
+                job.completion_in_flight = false;
             }
         }
     }
--- a/crates/core/src/scheduling/ended_jobs.rs
+++ b/crates/core/src/scheduling/ended_jobs.rs
@@ -88,7 +88,7 @@
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
-            if job.placements.is_empty() && !job.completion_open {
+            if job.placements.is_empty() && !job.completion_in_flight {
                 self.jobs.remove(&id);
                 continue;
             }
