--- a/crates/core/src/agents/task_outcomes.rs
+++ b/crates/core/src/agents/task_outcomes.rs
@@ -61,7 +61,7 @@
             .and_then(|task| task.stop);
         match stop {
             Some(stop) => {
-                (self.metrics).record_stop(now.wall, &exit.task, machine, stop.why.as_str());
+                (self.metrics).record_stop(now.wall, &exit.task, machine, stop.reason.as_str());
             }
             None if exit.cause == Cause::Done => self.metrics.count(DONE_COUNTER),
             None => self.metrics.count(FAILED_COUNTER),
@@ -103,8 +103,8 @@
         attempt: Attempt,
         now: Now,
     ) {
-        let why = StopReason::LostWithMachine.as_str();
-        self.metrics.record_stop(now.wall, task, machine, why);
+        let reason = StopReason::LostWithMachine.as_str();
+        self.metrics.record_stop(now.wall, task, machine, reason);
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.unplace(task.index, machine, attempt);
         }
--- a/crates/core/src/jobs/job.rs
+++ b/crates/core/src/jobs/job.rs
@@ -92,7 +92,7 @@
     /// Whether `done` holds more than is recorded or being recorded.
     pub has_unrecorded_progress: bool,
     /// Whether a commit of the job's completion is in flight.
-    pub completion_open: bool,
+    pub completion_in_flight: bool,
     /// Whether any of the job's tasks has ever run, as far as this leader knows.
     pub has_started: bool,
     /// The longest run time of a completed task, in seconds.
@@ -121,7 +121,7 @@
             recorded_done: TaskSet::default(),
             segment: SegmentId::NONE,
             has_unrecorded_progress: false,
-            completion_open: false,
+            completion_in_flight: false,
             has_started: false,
             longest_run_s: 0.0,
         }
@@ -187,13 +187,13 @@
         }
     }
 
-    /// Returns the next tasks that may be started: at most `max`, without the first `skip`.
-    pub fn next_startable(&self, skip: usize, max: usize) -> Vec<u32> {
+    /// Returns the indexes of the next tasks that may be started: at most `max_tasks`, without the first `skip`.
+    pub fn next_startable(&self, skip: usize, max_tasks: usize) -> Vec<u32> {
         let startable = (self.startable_tasks() as usize).saturating_sub(skip);
         self.unplaced
             .iter()
             .skip(skip)
-            .take(max.min(startable))
+            .take(max_tasks.min(startable))
             .collect()
     }
 
@@ -241,7 +241,7 @@
     }
 
     /// Returns whether the completion of every done task is recorded or being recorded.
-    pub fn is_all_recorded(&self) -> bool {
+    pub fn is_progress_recorded(&self) -> bool {
         self.recorded_done.len() == self.done.len()
     }
 
