--- a/crates/core/tests/layers.rs
+++ b/crates/core/tests/layers.rs
@@ -1,10 +1,10 @@
-//! Imports between the folders of the core go one way: a folder uses only those that stand before it here.
+//! Checks that imports between the folders of the core go one way: a folder uses only those listed before it.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders and files of `src`, each before those that may use it.
+/// Folders and files of `src`; each is listed before those that may use it.
 const LAYERS: [&str; 20] = [
     "units",
     "task_set",
@@ -27,8 +27,8 @@
     "capacity",
     "node",
 ];
-/// Files that stand apart: the root of the crate, and what unit tests share.
-const APART: [&str; 2] = ["lib", "testing"];
+/// Files without a place in the layers: the root of the crate and the fixtures that unit tests share.
+const OUTSIDE_LAYERS: [&str; 2] = ["lib", "testing"];
 
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
@@ -43,7 +43,7 @@
     found
 }
 
-/// The folder or file of `src` that a source belongs to.
+/// Returns the folder or file of `src` that a source file belongs to.
 fn layer_of(source: &Path, root: &Path) -> String {
     let inside = source.strip_prefix(root).expect("a source of the crate");
     let first = inside.components().next().expect("a name");
@@ -51,7 +51,7 @@
     first.trim_end_matches(".rs").to_string()
 }
 
-/// The layers that a source names in code, not in comments.
+/// Returns the layers that a source file names in code; comments are left out.
 fn imports(text: &str) -> BTreeSet<String> {
     let code = text.lines().map(|line| line.split("//").next());
     let mut found = BTreeSet::new();
@@ -65,24 +65,32 @@
 }
 
 #[test]
-fn imports_between_folders_go_one_way() {
+fn no_folder_imports_a_later_one() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let rank = |name: &str| LAYERS.iter().position(|layer| *layer == name);
     let mut seen = BTreeSet::new();
     for source in sources(&root) {
         let layer = layer_of(&source, &root);
-        if APART.contains(&layer.as_str()) {
+        if OUTSIDE_LAYERS.contains(&layer.as_str()) {
             continue;
         }
-        let own = rank(&layer).unwrap_or_else(|| panic!("{layer} has no place among the layers"));
+        let own = rank(&layer).unwrap_or_else(|| panic!("{layer} is missing in LAYERS"));
         let text = fs::read_to_string(&source).expect("a source");
         for used in imports(&text) {
-            // What is imported from the root, or in braces, has no place either.
+            // A name imported from the root, or an import in braces, is not a layer either and fails the test.
             let used_rank = rank(&used)
                 .unwrap_or_else(|| panic!("{} imports `{used}` of the crate", source.display()));
-            assert!(used_rank <= own, "{} imports {used}", source.display());
+            assert!(
+                used_rank <= own,
+                "{} imports {used}, a later layer",
+                source.display()
+            );
         }
         seen.insert(layer);
     }
-    assert_eq!(seen.len(), LAYERS.len(), "every layer exists: {seen:?}");
+    assert_eq!(
+        seen.len(),
+        LAYERS.len(),
+        "some layers have no source file; found: {seen:?}"
+    );
 }
--- a/crates/core/tests/sim/admin_forms.rs
+++ b/crates/core/tests/sim/admin_forms.rs
@@ -1,4 +1,4 @@
-//! The JSON that administrators are shown keeps its fields. Their values are covered by the decision trace.
+//! Checks that the JSON answers to administrators keep their fields. The decision trace covers the values.
 
 use super::world::World;
 use rudderreel_core::AdminRequest;
@@ -6,13 +6,15 @@
 use serde_json::Value;
 use std::collections::BTreeSet;
 
-/// The fields of an answer, with those of nested objects behind their names. Elements of a list count as one.
+/// Returns the paths of all fields of an answer, sorted and separated by spaces. The elements of a list share their
+/// paths.
 fn fields(value: &Value) -> String {
     let mut found = BTreeSet::new();
     collect_fields(value, "", &mut found);
     found.into_iter().collect::<Vec<_>>().join(" ")
 }
 
+/// Adds the paths of all fields of `value` to `found`; `path` is the path of `value` itself.
 fn collect_fields(value: &Value, path: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
--- a/crates/core/tests/sim/cancellations_in_outages.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -1,13 +1,14 @@
-//! A user is told by one node that a job is cancelled while another goes on answering agents that it
-//! doesn't know it. The store refuses the leader alone; another node confirms a cancellation;
-//! then the service is down for all, for longer than cancelled tasks may remain, and the old leader goes
-//! on by the lease votes of a majority.
+//! Cancellations that one node confirms to a user while the leader, which does not know of them, still answers agents.
+//!
+//! The store refuses only the leader, and another node confirms a cancellation. Then the store is down for all nodes
+//! for longer than cancelled tasks may remain, and the old leader keeps answering agents with the lease votes of a
+//! majority.
 
 use super::world::{Scenario, UserAction, World};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobSpec, JobState, Kind, Priority};
 
-/// Replicas, which run until their job is cancelled.
+/// Returns a job of replicas, which run until the job is cancelled.
 pub fn replicas(n: u32, tasks: u32) -> JobSpec {
     let value = serde_json::json!({
         "id": format!("wk-{n:06}"), "reel": "standing", "crew": "blue", "rig": "standing",
@@ -18,13 +19,17 @@
     serde_json::from_value(value).expect("a job")
 }
 
-/// A world in which jobs of replicas run, and who leads it.
-pub fn play_until_running(seed: u64, nodes: usize, spread: bool) -> (World, Vec<JobId>, usize) {
+/// Returns a world in which three jobs of two replicas each run, their ids, and the leader.
+pub fn run_until_jobs_are_running(
+    seed: u64,
+    nodes: usize,
+    spread: bool,
+) -> (World, Vec<JobId>, usize) {
     let scenario = Scenario {
         nodes,
         spread,
         scripted: true,
-        // As in the deployments: agents find an answer within a lease, whichever nodes they try.
+        // As in the deployments: an agent gets an answer within a lease, whichever nodes it tries.
         lease_s: if nodes > 3 { 12 } else { 6 },
         ..Scenario::default()
     };
@@ -49,54 +54,61 @@
     (world, ids, leader)
 }
 
-/// How the user comes to be told.
+/// The request whose answer tells the user that the job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Path {
-    Withdrawal,
-    Poll,
+enum AnswerPath {
+    Cancellation,
+    StatusRequest,
     RepeatedSubmission,
-    Forwarded,
+    /// A cancellation at a node that the store refuses, which forwards it.
+    ForwardedCancellation,
 }
 
-/// What else goes wrong.
+/// A fault in addition to those of every case.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Also {
+enum ExtraFault {
     Nothing,
-    /// The node that told the user ends right after.
-    TellerEnds,
-    /// The old leader ends in the outage, and another node takes care of the agents.
+    /// The node that answered the user crashes right afterwards.
+    AnsweringNodeCrashes,
+    /// The old leader crashes in the outage, and another node stands in for it.
     LeaderCrashes,
-    /// A third node has just started again when the user is told.
-    AnotherReturns,
-    /// The same in the outage: it can't read the jobs, and its word would be worth nothing.
-    AnotherReturnsLater,
-    /// Nodes can't reach one another from the beginning, and the store goes later.
-    NoLinks,
-    /// Nor when the outage begins.
-    LinksLost,
-    /// Agents' reports arrive, and nothing reaches them.
-    DeafWorkers,
-    /// Nothing can be returned.
-    NoCloud,
-    /// The store serves only the node that tells the user, and that can't reach the old leader:
-    /// this learns of the cancellation from those that were told of it, with their words.
-    OnlyTellerServed,
+    /// A third node has just restarted when the user is answered.
+    ThirdNodeRestarts,
+    /// A third node restarts in the outage: it can't read the jobs, so its lease vote would be worth nothing.
+    ThirdNodeRestartsInOutage,
+    /// The nodes can't reach one another from the beginning, and the store goes down later than in the other cases.
+    PeersCutBeforeOutage,
+    /// The nodes can't reach one another from the beginning of the outage.
+    PeersCutInOutage,
+    /// The agents' reports arrive, but nothing reaches the agents.
+    AgentsUnreachable,
+    /// No machine can be returned.
+    CloudDown,
+    /// The store serves only the node that answers the user, and that node can't reach the old leader. The old leader
+    /// learns of the cancellation from the nodes that were notified of it, with their lease votes.
+    StoreServesOnlyAnsweringNode,
 }
 
 struct Case {
     seed: u64,
     nodes: usize,
     spread: bool,
-    path: Path,
-    also: Also,
+    path: AnswerPath,
+    extra: ExtraFault,
 }
 
-/// Asks until the user is told that a job is cancelled, or a moment has come.
-fn ask_until_told(world: &mut World, node: usize, id: &JobId, path: Path, until: u64) {
+/// Repeats a request until the user is answered that the job is cancelled. Panics if that has not happened by `until`.
+fn request_until_confirmed(
+    world: &mut World,
+    node: usize,
+    id: &JobId,
+    path: AnswerPath,
+    until: u64,
+) {
     let action = match path {
-        Path::Withdrawal | Path::Forwarded => UserAction::Cancel,
-        Path::Poll => UserAction::Status,
-        Path::RepeatedSubmission => UserAction::Submit,
+        AnswerPath::Cancellation | AnswerPath::ForwardedCancellation => UserAction::Cancel,
+        AnswerPath::StatusRequest => UserAction::Status,
+        AnswerPath::RepeatedSubmission => UserAction::Submit,
     };
     while world.jobs[id].cancelled_at.is_none() && world.now < until {
         world.user_asks(node, id, action);
@@ -104,62 +116,64 @@
     }
     assert!(
         world.jobs[id].cancelled_at.is_some(),
-        "the user was not told"
+        "no answer says that {id} is cancelled"
     );
 }
 
-/// Plays a case. Returns how many agents lost their leases.
-fn play(case: &Case) -> usize {
-    let (mut world, ids, old) = play_until_running(case.seed, case.nodes, case.spread);
-    let (node, also) = (|n: usize| (old + n) % case.nodes, case.also);
+/// Runs a case and returns the number of agents whose leases expired.
+fn run_case(case: &Case) -> usize {
+    let (mut world, ids, old) = run_until_jobs_are_running(case.seed, case.nodes, case.spread);
+    let (node, extra) = (|n: usize| (old + n) % case.nodes, case.extra);
     let end = world.now + 75_000;
-    if also == Also::NoLinks {
+    if extra == ExtraFault::PeersCutBeforeOutage {
         world.cut_peer_links(end);
     }
-    if also == Also::NoCloud {
+    if extra == ExtraFault::CloudDown {
         world.cloud.down = true;
     }
     world.cut_from_store(old, end);
-    let teller = node(1);
-    if case.path == Path::Forwarded {
-        world.cut_from_store(teller, end);
+    let answering_node = node(1);
+    if case.path == AnswerPath::ForwardedCancellation {
+        world.cut_from_store(answering_node, end);
     }
-    if also == Also::OnlyTellerServed {
-        world.cut_pairs.push((old, teller));
+    if extra == ExtraFault::StoreServesOnlyAnsweringNode {
+        world.cut_pairs.push((old, answering_node));
         (2..case.nodes).for_each(|n| world.cut_from_store(node(n), end));
     }
     world.run_until(world.now + 500);
     match case.path {
-        Path::Withdrawal => {}
-        Path::Poll | Path::RepeatedSubmission => world.cancel_without_waiting(node(2), &ids[0]),
-        // The store refused it with the leader, and it has noticed that by now.
-        Path::Forwarded => world.run_until(world.now + 800),
+        AnswerPath::Cancellation => {}
+        AnswerPath::StatusRequest | AnswerPath::RepeatedSubmission => {
+            world.cancel_without_waiting(node(2), &ids[0])
+        }
+        // The store refuses the answering node like the leader; wait until the node has noticed that.
+        AnswerPath::ForwardedCancellation => world.run_until(world.now + 800),
     }
-    if also == Also::AnotherReturns {
+    if extra == ExtraFault::ThirdNodeRestarts {
         world.stop_node_for(node(2), 100);
     }
-    // The old leader's lease must not have ended when the service goes.
-    let patience = match (also, case.path) {
-        (Also::NoLinks, _) => 6_000,
-        (_, Path::Forwarded) => 900,
+    // The old leader's own lease must not have expired when the store goes down.
+    let timeout_ms = match (extra, case.path) {
+        (ExtraFault::PeersCutBeforeOutage, _) => 6_000,
+        (_, AnswerPath::ForwardedCancellation) => 900,
         _ => 1_600,
     };
-    let latest = world.now + patience;
-    ask_until_told(&mut world, teller, &ids[0], case.path, latest);
-    if also == Also::TellerEnds {
-        world.stop_node_for(teller, 90_000);
+    let latest = world.now + timeout_ms;
+    request_until_confirmed(&mut world, answering_node, &ids[0], case.path, latest);
+    if extra == ExtraFault::AnsweringNodeCrashes {
+        world.stop_node_for(answering_node, 90_000);
     }
     world.run_until(latest);
-    let leads = world.leader();
+    let leader = world.leader();
     assert!(
-        also == Also::NoLinks || leads == Some(old),
-        "another leads: {leads:?}"
+        extra == ExtraFault::PeersCutBeforeOutage || leader == Some(old),
+        "the old leader {old} was replaced by {leader:?}"
     );
     world.store.set_down(true, world.now);
-    match also {
-        Also::LinksLost => world.cut_peer_links(end),
-        Also::AnotherReturnsLater => world.stop_node_for(node(2), 100),
-        Also::DeafWorkers => {
+    match extra {
+        ExtraFault::PeersCutInOutage => world.cut_peer_links(end),
+        ExtraFault::ThirdNodeRestartsInOutage => world.stop_node_for(node(2), 100),
+        ExtraFault::AgentsUnreachable => {
             for agent in world.agents.values_mut() {
                 agent.unreachable_until = end;
             }
@@ -167,13 +181,13 @@
         _ => {}
     }
     world.run_until(world.now + 2_000);
-    if also == Also::LeaderCrashes {
+    if extra == ExtraFault::LeaderCrashes {
         world.stop_node_for(old, 90_000);
     }
-    // The world checks the rule all the time. The outage is far longer than it allows.
+    // The world checks throughout that cancelled tasks are gone in time. The outage is far longer than that time.
     world.run_until(end);
     assert_eq!(world.on_machines(&ids[0]), 0);
-    let lost = world
+    let lost_leases = world
         .agents
         .values()
         .filter(|w| w.incarnation.0 > 1)
@@ -181,120 +195,142 @@
     world.end_faults();
     world.run_until(world.now + 100_000);
     assert_eq!(world.jobs[&ids[0]].last, Some(JobState::Cancelled));
-    assert_eq!(world.on_machines(&ids[1]), 2, "others run again");
-    lost
+    assert_eq!(
+        world.on_machines(&ids[1]),
+        2,
+        "the replicas of another job run again"
+    );
+    lost_leases
 }
 
-/// The old leader learns of the cancellation, or answers no agent. (It went on for the whole outage.)
+/// The old leader must learn of the cancellation, or answer no agent. It used to keep answering agents for the whole
+/// outage, without knowing of the cancellation, so that the cancelled tasks ran on.
 #[test]
-fn a_cancellation_that_the_leader_can_not_see() {
+fn tasks_of_a_cancelled_job_stop_when_the_store_refuses_the_leader() {
     let paths = [
-        Path::Withdrawal,
-        Path::Poll,
-        Path::RepeatedSubmission,
-        Path::Forwarded,
+        AnswerPath::Cancellation,
+        AnswerPath::StatusRequest,
+        AnswerPath::RepeatedSubmission,
+        AnswerPath::ForwardedCancellation,
     ];
     for (n, path) in paths.into_iter().enumerate() {
         for (nodes, spread) in [(3, false), (5, false), (5, true)] {
             let seed = 700 + n as u64;
             println!("seed {seed}, {nodes} nodes, {spread}, {path:?}");
-            let lost = play(&Case {
+            let lost_leases = run_case(&Case {
                 seed,
                 nodes,
                 spread,
                 path,
-                also: Also::Nothing,
+                extra: ExtraFault::Nothing,
             });
-            assert_eq!(lost, 0, "the old leader went on, and others' work with it");
+            assert_eq!(
+                lost_leases, 0,
+                "leases expired although the old leader keeps answering agents"
+            );
         }
     }
 }
 
+/// As the test above, with one more fault. Some of these faults let the agents' leases expire.
 #[test]
-fn a_cancellation_that_the_leader_can_not_see_and_more() {
+fn tasks_of_a_cancelled_job_stop_when_another_fault_occurs_too() {
     let more = [
-        (Also::TellerEnds, true),
-        (Also::LeaderCrashes, true),
-        (Also::AnotherReturns, true),
-        (Also::AnotherReturnsLater, true),
-        (Also::NoLinks, false),
-        (Also::LinksLost, false),
-        (Also::DeafWorkers, false),
-        (Also::NoCloud, true),
-        (Also::OnlyTellerServed, true),
+        (ExtraFault::AnsweringNodeCrashes, true),
+        (ExtraFault::LeaderCrashes, true),
+        (ExtraFault::ThirdNodeRestarts, true),
+        (ExtraFault::ThirdNodeRestartsInOutage, true),
+        (ExtraFault::PeersCutBeforeOutage, false),
+        (ExtraFault::PeersCutInOutage, false),
+        (ExtraFault::AgentsUnreachable, false),
+        (ExtraFault::CloudDown, true),
+        (ExtraFault::StoreServesOnlyAnsweringNode, true),
     ];
-    for (n, (also, goes_on)) in more.into_iter().enumerate() {
+    for (n, (extra, leases_kept)) in more.into_iter().enumerate() {
         for nodes in [3, 5] {
-            let path = [Path::Withdrawal, Path::Poll][n % 2];
+            let path = [AnswerPath::Cancellation, AnswerPath::StatusRequest][n % 2];
             let seed = 720 + n as u64;
-            println!("seed {seed}, {nodes} nodes, {path:?}, {also:?}");
-            let lost = play(&Case {
+            println!("seed {seed}, {nodes} nodes, {path:?}, {extra:?}");
+            let lost_leases = run_case(&Case {
                 seed,
                 nodes,
                 spread: false,
                 path,
-                also,
+                extra,
             });
-            assert_eq!(lost == 0, goes_on, "{lost} leases ran out");
+            assert_eq!(
+                lost_leases == 0,
+                leases_kept,
+                "{lost_leases} leases expired"
+            );
         }
     }
 }
 
-/// A node that the store serves alone, and that reaches no other, tells nobody as long as another
-/// may keep the tasks alive: the others live by one another's lease votes and don't know. It leads when the old
-/// leader's lease has ended, and tells once the machines are returned.
+/// The store serves only one node, which reaches no other node. That node must not confirm a cancellation as long as
+/// another node may keep the tasks alive: the others answer agents with one another's lease votes and don't know of the
+/// cancellation. The isolated node becomes the leader when the old leader's lease has expired, and confirms the
+/// cancellation once the machines are returned.
 #[test]
-fn a_node_alone_tells_only_what_nobody_can_undo() {
+fn isolated_node_confirms_a_cancellation_only_after_the_tasks_are_gone() {
     for (seed, nodes) in [(740, 3), (741, 5)] {
-        let (mut world, ids, old) = play_until_running(seed, nodes, false);
-        let alone = (old + 1) % nodes;
+        let (mut world, ids, old) = run_until_jobs_are_running(seed, nodes, false);
+        let isolated = (old + 1) % nodes;
         let end = world.now + 60_000;
-        for n in (0..nodes).filter(|n| *n != alone) {
+        for n in (0..nodes).filter(|n| *n != isolated) {
             world.cut_from_store(n, end);
-            world.cut_pairs.push((n, alone));
+            world.cut_pairs.push((n, isolated));
         }
         world.run_until(world.now + 500);
-        let (from, mut told) = (world.now, None);
+        let (from, mut confirmed_after) = (world.now, None);
         while world.now < end {
-            world.user_asks(alone, &ids[0], UserAction::Cancel);
+            world.user_asks(isolated, &ids[0], UserAction::Cancel);
             world.run_until(world.now + 400);
-            if told.is_none() && world.jobs[&ids[0]].cancelled_at.is_some() {
-                told = Some(world.now - from);
-                assert_eq!(world.on_machines(&ids[0]), 0, "told too early");
+            if confirmed_after.is_none() && world.jobs[&ids[0]].cancelled_at.is_some() {
+                confirmed_after = Some(world.now - from);
+                assert_eq!(
+                    world.on_machines(&ids[0]),
+                    0,
+                    "confirmed while tasks remain"
+                );
             }
         }
-        assert!(told.is_some_and(|after| after > 3_000), "{told:?}");
+        assert!(
+            confirmed_after.is_some_and(|after| after > 3_000),
+            "{confirmed_after:?}"
+        );
         world.end_faults();
         world.run_until(world.now + 100_000);
     }
 }
 
-/// Two nodes that the store refuses, the old leader one of them, sent agents to and fro between
-/// them until their leases ran out: one still took the other for the leader.
+/// The store refuses two nodes, one of them the old leader. They used to redirect agents to each other until the
+/// agents' leases expired, because one node still took the other for the leader.
 #[test]
-fn workers_of_refused_nodes_find_the_new_leader() {
+fn agents_of_nodes_refused_by_the_store_find_the_new_leader() {
     for (seed, spread) in [(750, false), (751, true)] {
-        let (mut world, ids, old) = play_until_running(seed, 5, spread);
+        let (mut world, ids, old) = run_until_jobs_are_running(seed, 5, spread);
         let end = world.now + 40_000;
         world.cut_from_store(old, end);
         world.cut_from_store((old + 1) % 5, end);
         world.run_until(end - 1_000);
         assert_ne!(world.leader(), Some(old));
-        let lost = world
+        let lost_leases = world
             .agents
             .values()
             .filter(|w| w.incarnation.0 > 1)
             .count();
-        assert_eq!(lost, 0, "leases ran out");
+        assert_eq!(lost_leases, 0, "leases expired");
         assert_eq!(world.on_machines(&ids[0]), 2);
     }
 }
 
-/// Users call jobs off just as their first tasks are about to start: what the leader has told, or another
-/// node, it starts nothing of. (It learned of changes with its next tick only, and sent starts before.)
+/// Users cancel jobs just as their first tasks are about to start. Once the leader or another node has confirmed a
+/// cancellation, the leader must start no task of the job. The leader used to learn of changes only with its next tick,
+/// and sent start commands before it.
 #[test]
-fn nothing_is_started_after_its_user_was_told() {
-    let (mut world, _, leader) = play_until_running(760, 3, false);
+fn no_task_starts_after_its_cancellation_was_confirmed() {
+    let (mut world, _, leader) = run_until_jobs_are_running(760, 3, false);
     for n in 0..240 {
         let mut spec = replicas(100 + n, 1);
         (spec.kind, spec.priority) = (Kind::Array, Priority::Normal);
@@ -310,13 +346,10 @@
         world.run_until(world.now + 700);
     }
     assert_eq!(world.starts_after_cancellation, vec![]);
-    let called_off = world
+    let cancelled = world
         .jobs
         .values()
         .filter(|t| t.cancelled_at.is_some())
         .count();
-    assert!(
-        called_off > 200,
-        "{called_off} jobs were called off in time"
-    );
+    assert!(cancelled > 200, "{cancelled} jobs were cancelled in time");
 }
--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -1,56 +1,57 @@
-//! The decision trace: fixed plans and seeds whose outputs must stay the same while code is moved and renamed.
+//! The decision trace: fixed scenarios and seeds whose outputs must stay the same while code is moved and renamed.
 //!
 //! `cargo test -p rudderreel-core --test sim decision_trace -- --ignored --nocapture` prints a digest for each
-//! case and compares it with `decision_trace.txt`. A change of behaviour that is meant changes the digests: then
-//! the file is replaced by what was printed, and the commit says why.
+//! case and compares it with `decision_trace.txt`. An intended change of behaviour changes the digests: then the
+//! file is replaced by the printed lines, and the commit gives the reason.
 
 use super::world::{Fault, Scenario, World};
 use super::{pipelines, slow_nodes};
 use rudderreel_core::AdminRequest;
 use rudderreel_wire::ids::JobId;
 
-/// What the cases gave when the file was last replaced.
+/// The digests of all cases when the file was last replaced.
 const RECORDED: &str = include_str!("decision_trace.txt");
 
-/// Faults begin when a rolling upgrade is over, and last for a while; then the world is played to its end.
+/// Time by which a rolling upgrade is over. Cases that start without faults have them from then on.
 const FAULTS_FROM_MS: u64 = 50_000;
+/// End of the faults; the run continues without them until [`END_MS`].
 const FAULTS_UNTIL_MS: u64 = 130_000;
 const END_MS: u64 = 200_000;
-/// How many jobs an administrator asks about in the end.
-const ASKED_JOBS: usize = 30;
+/// Number of jobs that an administrator queries at the end of a run.
+const QUERIED_JOBS: usize = 30;
 
 struct Case {
     name: &'static str,
     seed: u64,
     scenario: Scenario,
-    /// No faults before [`FAULTS_FROM_MS`].
-    starts_calm: bool,
+    /// Whether there are no faults before [`FAULTS_FROM_MS`].
+    starts_without_faults: bool,
 }
 
 fn case(name: &'static str, seed: u64, scenario: Scenario) -> Case {
     Case {
         name,
         seed,
-        starts_calm: scenario.upgrade,
+        starts_without_faults: scenario.upgrade,
         scenario,
     }
 }
 
 fn cases() -> Vec<Case> {
-    let troubled = |nodes: usize, spread: bool| Scenario {
+    let with_random_faults = |nodes: usize, spread: bool| Scenario {
         nodes,
         spread,
         jobs: 40,
         ..Scenario::default()
     };
     vec![
-        case("three_nodes", 100, troubled(3, false)),
-        case("three_nodes", 1_060, troubled(3, false)),
-        case("three_nodes", 4_049, troubled(3, false)),
-        case("five_nodes", 200, troubled(5, false)),
-        case("five_nodes", 203, troubled(5, false)),
-        case("reports_forwarded", 400, troubled(5, true)),
-        case("reports_forwarded", 402, troubled(5, true)),
+        case("three_nodes", 100, with_random_faults(3, false)),
+        case("three_nodes", 1_060, with_random_faults(3, false)),
+        case("three_nodes", 4_049, with_random_faults(3, false)),
+        case("five_nodes", 200, with_random_faults(5, false)),
+        case("five_nodes", 203, with_random_faults(5, false)),
+        case("reports_forwarded", 400, with_random_faults(5, true)),
+        case("reports_forwarded", 402, with_random_faults(5, true)),
         case("pipelines", 900, pipelines::scenario(3)),
         case("pipelines", 905, pipelines::scenario(5)),
         case("old_version_returns", 700, old_version_returns(3)),
@@ -120,14 +121,15 @@
     }
 }
 
-fn play(case: Case) -> String {
+/// Runs a case and returns its line of the decision trace.
+fn run_case(case: Case) -> String {
     let scenario = Scenario {
         records_decisions: true,
         ..case.scenario
     };
     let mut world = World::of(case.seed, scenario);
     world.collects_violations = true;
-    if !case.starts_calm {
+    if !case.starts_without_faults {
         world.random_faults = true;
     }
     world.run_until(FAULTS_FROM_MS);
@@ -135,13 +137,13 @@
     world.run_until(FAULTS_UNTIL_MS);
     world.end_faults();
     world.run_until(END_MS);
-    ask_as_administrator(&mut world);
+    send_admin_requests(&mut world);
     format!("{} {} {}", case.name, case.seed, world.decision_digest())
 }
 
-/// Asks one node everything that an administrator can ask, so that the digest covers those answers too.
-fn ask_as_administrator(world: &mut World) {
-    let jobs: Vec<JobId> = world.jobs.keys().take(ASKED_JOBS).cloned().collect();
+/// Sends one node every request that an administrator can make, so that the digest covers the answers too.
+fn send_admin_requests(world: &mut World) {
+    let jobs: Vec<JobId> = world.jobs.keys().take(QUERIED_JOBS).cloned().collect();
     let about_jobs = jobs.into_iter().map(AdminRequest::Job);
     let requests = [
         AdminRequest::Overview,
@@ -159,12 +161,12 @@
 #[ignore = "a guard for changes that must not change behaviour; run by hand"]
 fn decision_trace() {
     let threads: Vec<_> = (cases().into_iter())
-        .map(|case| std::thread::spawn(move || play(case)))
+        .map(|case| std::thread::spawn(move || run_case(case)))
         .collect();
-    let played: Vec<String> = (threads.into_iter())
-        .map(|thread| thread.join().expect("no rule is broken"))
+    let digests: Vec<String> = (threads.into_iter())
+        .map(|thread| thread.join().expect("the run of a case panicked"))
         .collect();
-    println!("{}", played.join("\n"));
+    println!("{}", digests.join("\n"));
     let recorded: Vec<&str> = RECORDED.lines().collect();
-    assert_eq!(played, recorded, "decisions have changed");
+    assert_eq!(digests, recorded, "decisions have changed");
 }
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -1,4 +1,4 @@
-//! Whole days in a small simulated world, with the protocol's rules as assertions.
+//! Simulated runs of a whole cluster, with the rules that the scheduler guarantees as assertions.
 
 mod admin_forms;
 mod cancellations_in_outages;
@@ -20,6 +20,7 @@
 use rudderreel_wire::job::{JobState, Kind};
 use world::{Scenario, World};
 
+/// Returns descriptions of the jobs, other than replicas, whose last known state is neither done nor cancelled.
 fn unfinished(world: &World) -> Vec<String> {
     (world.jobs.values())
         .filter(|t| t.spec.kind != Kind::Service)
@@ -34,44 +35,44 @@
 }
 
 #[test]
-fn a_quiet_day_finishes_everything() {
+fn all_jobs_finish_without_faults() {
     let mut world = World::new(1);
     world.run_until(240_000);
     assert!(world.starts > 0, "nothing_ran");
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-/// Crashes of one node or all, outages and cuts of the store, cuts between nodes and to
-/// agents, lost answers, late transactions, late reports and late commands.
+/// Injects crashes of one node or all, outages and partitions of the store, partitions between nodes and from agents,
+/// lost answers, late transactions, late reports and late commands.
 #[test]
-fn the_rules_hold_whatever_fails() {
-    // The last ones found a lease taken for run out in a new incarnation, a gang that was no longer
-    // counted once the first of its tasks was done, and (two) a leader that had not read back when
-    // the store went away, and kept the tasks of a cancelled job alive.
+fn rules_hold_under_random_faults() {
+    // The last four seeds found these faults, in this order: a lease was taken for expired in a new incarnation; a gang
+    // was no longer counted once the first of its tasks was done; and, with two seeds, a leader that had not read back
+    // when the store went down kept the tasks of a cancelled job alive.
     for seed in (100..110).chain([1060, 1221, 4010, 4049]) {
-        troubled_day(seed, 3, false);
+        run_with_default_faults(seed, 3, false);
     }
 }
 
-/// With five nodes a majority is three.
+/// Uses five nodes, of which a majority is three.
 #[test]
-fn the_rules_hold_with_five_nodes() {
+fn rules_hold_under_random_faults_with_five_nodes() {
     for seed in 200..206 {
-        troubled_day(seed, 5, false);
+        run_with_default_faults(seed, 5, false);
     }
 }
 
-/// Agents report to every node, which forward reports to the leader.
+/// Agents report to all nodes, which forward the reports to the leader.
 #[test]
-fn the_rules_hold_with_reports_passed_on() {
+fn rules_hold_under_random_faults_with_forwarded_reports() {
     for seed in 400..405 {
-        troubled_day(seed, 5, true);
+        run_with_default_faults(seed, 5, true);
     }
 }
 
-/// Five nodes, a hundred machines, and reports forwarded as at a large size.
+/// Uses five nodes and at least a hundred machines, with reports forwarded as in a large fleet.
 #[test]
-fn a_large_fleet_with_troubles() {
+fn all_jobs_finish_after_faults_with_100_machines() {
     let scenario = Scenario {
         nodes: 5,
         machines: 120,
@@ -91,9 +92,9 @@
     world.check_served();
 }
 
-/// A thousand machines and more, five nodes, and all faults, whole zones cut off among them.
+/// Uses five nodes, at least a thousand machines, and all faults, including partitions of whole zones.
 #[test]
-fn a_fleet_with_troubles() {
+fn all_jobs_finish_after_faults_with_1000_machines_and_zone_partitions() {
     let scenario = Scenario {
         nodes: 5,
         machines: 1_050,
@@ -116,18 +117,20 @@
     world.check_served();
 }
 
-fn troubled_day(seed: u64, nodes: usize, spread: bool) {
+/// Runs 40 jobs with the default kinds of random faults.
+fn run_with_default_faults(seed: u64, nodes: usize, spread: bool) {
     let scenario = Scenario {
         nodes,
         spread,
         jobs: 40,
         ..Scenario::default()
     };
-    day(seed, scenario);
+    run_with_random_faults(seed, scenario);
 }
 
-/// A day with faults, and time after them to finish everything.
-fn day(seed: u64, scenario: Scenario) -> World {
+/// Runs a scenario with random faults, then without faults until all jobs must be finished, and checks the rules that
+/// are judged at the end of a run.
+fn run_with_random_faults(seed: u64, scenario: Scenario) -> World {
     println!("seed {seed}, {scenario:?}");
     let mut world = World::of(seed, scenario);
     world.random_faults = true;
@@ -141,23 +144,23 @@
     world
 }
 
-/// Many days with other luck: `SEEDS=1000..1200 NODES=5 PLAN=pipelines cargo test --release --test sim -- --ignored`.
+/// Runs a range of seeds: `SEEDS=1000..1200 NODES=5 PLAN=pipelines cargo test --release --test sim -- --ignored`.
 #[test]
-#[ignore = "for hunts by hand"]
+#[ignore = "runs the seeds in SEEDS; run by hand"]
 fn many_seeds() {
     let var = |name: &str| std::env::var(name).unwrap_or_default();
     let seeds = var("SEEDS");
     let (from, to) = seeds.split_once("..").expect("SEEDS=from..to");
     let (from, to): (u64, u64) = (from.parse().expect("a seed"), to.parse().expect("a seed"));
     let nodes = var("NODES").parse().unwrap_or(3);
-    let play = |seed: u64| match var("PLAN").as_str() {
-        "pipelines" => drop(pipelines::play(seed, pipelines::scenario(nodes))),
-        "versions" => rolling_upgrades::play(seed, nodes),
-        "pauses" => paused_nodes::play(seed, nodes),
-        _ => troubled_day(seed, nodes, var("SPREAD") == "1"),
+    let run_seed = |seed: u64| match var("PLAN").as_str() {
+        "pipelines" => drop(pipelines::run_with_faults(seed, pipelines::scenario(nodes))),
+        "versions" => rolling_upgrades::run_with_faults(seed, nodes),
+        "pauses" => paused_nodes::run_with_faults(seed, nodes),
+        _ => run_with_default_faults(seed, nodes, var("SPREAD") == "1"),
     };
     let failed: Vec<u64> = (from..to)
-        .filter(|&seed| std::panic::catch_unwind(|| play(seed)).is_err())
+        .filter(|&seed| std::panic::catch_unwind(|| run_seed(seed)).is_err())
         .collect();
     assert_eq!(failed, Vec::<u64>::new());
 }
@@ -195,7 +198,7 @@
         world.admin(2, replace(version, |s| s.period_s = 3.0)).0,
         200
     );
-    // What only the leader knows is told by every node.
+    // Every node answers with the state that only the leader has.
     for node in 0..3 {
         let (status, teams) = world.admin(node, AdminRequest::Teams);
         assert_eq!(
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -1,51 +1,53 @@
-//! The rules and faults that users added: each fault alone, and what each must not lead to. They
-//! are mixed with all others in the days of `main`.
+//! Nodes and machines that are reachable in one direction only or cut off, quick restarts, and invalid reports: each
+//! fault alone, and the failures that it must not cause. The runs of `main` mix these faults with all others.
 
 use super::world::{Fault, Scenario, World};
-use super::{day, unfinished};
+use super::{run_with_random_faults, unfinished};
 use rudderreel_core::{Input, Node, Output, StoreAnswer, StoreCall};
 use rudderreel_wire::ids::{Epoch, Incarnation, JobId, MachineId, Seq, Version};
 use rudderreel_wire::job::Kind;
 use rudderreel_wire::state::Page;
 use rudderreel_wire::worker::{StatusReport, TaskState, TaskStatus};
 
-fn alone(only: Fault, nodes: usize, seeds: std::ops::Range<u64>) {
+/// Runs a scenario for each seed, with one kind of fault only.
+fn run_with_single_fault_kind(fault: Fault, nodes: usize, seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let scenario = Scenario {
             nodes,
-            fault_kinds: vec![only],
+            fault_kinds: vec![fault],
             jobs: 30,
             ..Scenario::default()
         };
-        day(seed, scenario);
+        run_with_random_faults(seed, scenario);
     }
 }
 
-/// Processes that are back within a fraction of a second, one or all, also in the middle of an
-/// election, of bumping the epoch or of recording starts.
+/// One process or all processes restart within a fraction of a second, also in the middle of an election, while the
+/// epoch is raised or while starts are recorded.
 #[test]
-fn quick_returns() {
-    alone(Fault::NodeRestartsQuickly, 3, 500..502);
-    alone(Fault::AllNodesRestartQuickly, 5, 502..504);
+fn rules_hold_when_nodes_restart_quickly() {
+    run_with_single_fault_kind(Fault::NodeRestartsQuickly, 3, 500..502);
+    run_with_single_fault_kind(Fault::AllNodesRestartQuickly, 5, 502..504);
 }
 
-/// A node without store and peers, but with its agents.
+/// A node is cut off from the store and from its peers, but still reaches its agents.
 #[test]
-fn nodes_that_hear_only_workers() {
-    alone(Fault::NodeReachesOnlyAgents, 3, 510..512);
-    alone(Fault::NodeReachesOnlyAgents, 5, 512..514);
+fn rules_hold_when_a_node_reaches_only_agents() {
+    run_with_single_fault_kind(Fault::NodeReachesOnlyAgents, 3, 510..512);
+    run_with_single_fault_kind(Fault::NodeReachesOnlyAgents, 5, 512..514);
 }
 
+/// The machines' reports arrive, but nothing reaches the machines.
 #[test]
-fn machines_that_hear_nobody() {
-    alone(Fault::MachinesUnreachable, 3, 520..522);
-    alone(Fault::MachinesUnreachable, 5, 522..524);
+fn rules_hold_when_machines_are_unreachable() {
+    run_with_single_fault_kind(Fault::MachinesUnreachable, 3, 520..522);
+    run_with_single_fault_kind(Fault::MachinesUnreachable, 5, 522..524);
 }
 
-/// Zones that are cut off from everything while their nodes and machines go on inside, mixed with
-/// all other faults.
+/// Zones are cut off from everything outside while their nodes and machines keep running inside, mixed with all other
+/// faults.
 #[test]
-fn cut_zones() {
+fn rules_hold_when_zones_are_partitioned() {
     for seed in 515..518 {
         let scenario = Scenario {
             nodes: 5,
@@ -54,14 +56,14 @@
             jobs: 40,
             ..Scenario::default()
         };
-        day(seed, scenario);
+        run_with_random_faults(seed, scenario);
     }
 }
 
-/// When a zone with many machines was cut off, its machines were probed and returned, with all that
-/// ran on them, which a cut shorter than a lease does not harm.
+/// When a zone with many machines was partitioned, its machines used to be probed and returned, although a partition
+/// shorter than a lease does not harm the tasks on them.
 #[test]
-fn a_zone_behind_a_cut_is_left_alone() {
+fn machines_of_a_partitioned_zone_are_not_returned() {
     let scenario = Scenario {
         machines: 60,
         jobs: 60,
@@ -72,31 +74,34 @@
     };
     let mut world = World::of(540, scenario);
     world.run_until(40_000);
-    // The zone in which the leader is not.
+    // Partition the zone that the leader is not in.
     let leader = world.leader().expect("a leader");
     let partitioned_zone = ["b", "a"][leader % 2];
-    let there = |world: &World| -> Vec<MachineId> {
+    let machines_in_zone = |world: &World| -> Vec<MachineId> {
         let all = world
             .agents
             .iter()
             .filter(|(_, w)| w.zone() == partitioned_zone);
         all.map(|(id, _)| id.clone()).collect()
     };
-    let before = there(&world);
+    let before = machines_in_zone(&world);
     assert!(before.len() >= 10, "{} machines", before.len());
     let until = world.now + 15_000;
     world.partition_zone(partitioned_zone, until);
     world.run_until(until);
-    let gone = before.iter().filter(|id| !world.cloud.has(id)).count();
-    assert_eq!(gone, 0, "machines were given up");
+    let returned = before.iter().filter(|id| !world.cloud.has(id)).count();
+    assert_eq!(
+        returned, 0,
+        "machines of the partitioned zone were returned"
+    );
     world.run_until(240_000);
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-/// A leader that no agent reaches, and that reaches none, makes way though other nodes pass reports
-/// on to it. The others sent it all their agents, since it seemed to have none, again and again.
+/// A leader that no agent reaches, and that reaches no agent, must be replaced although other nodes forward reports to
+/// it. The other nodes used to redirect all their agents to it again and again, since it seemed to have none.
 #[test]
-fn a_leader_that_reaches_no_worker_makes_way() {
+fn leader_cut_from_agents_is_replaced() {
     let scenario = Scenario {
         nodes: 5,
         spread: true,
@@ -114,45 +119,55 @@
     let until = world.now + 30_000;
     world.cut_from_agents(old, until);
     world.run_until(until - 10_000);
-    assert_ne!(world.leader(), Some(old), "it goes on leading");
-    // An agent that finds no node for a while may lose its lease.
-    let lost = world
+    assert_ne!(
+        world.leader(),
+        Some(old),
+        "the leader cut from agents still leads"
+    );
+    // The lease of an agent that finds no node for a while may expire.
+    let lost_leases = world
         .agents
         .values()
         .filter(|w| w.incarnation.0 > 1)
         .count();
-    assert!(lost <= 3, "{lost} leases ran out");
+    assert!(lost_leases <= 3, "{lost_leases} leases expired");
 }
 
-/// A leader that hears only agents stops giving 200 within its bound, and sends them away so that
-/// they find the one that follows it; a follower like it never gives any.
+/// A leader that is reachable only for agents must stop answering them with 200 within its bound, and redirect them so
+/// that they find its successor. A follower in the same state never answers with 200.
 #[test]
-fn a_cut_leader_stops_and_another_follows() {
+fn leader_that_reaches_only_agents_steps_down_and_is_replaced() {
     let mut world = World::of(530, Scenario::default());
     world.run_until(60_000);
     let old = world.leader().expect("a leader");
     let until = world.now + 40_000;
     world.cut_from_all_but_agents(old, until);
-    // Its lease of 3 s, the election, and a little.
+    // The leader's lease of 3 s, the election, and a margin.
     world.run_until(world.now + 8_000);
     let id = world.agents.keys().next().cloned().expect("a machine");
     let status = world.inject_report(old, report(&id, 1, 1));
-    assert_ne!(status, 200, "the cut node answers workers");
+    assert_ne!(
+        status, 200,
+        "the node cut from store and peers answers agents"
+    );
     let (status, _) = world.admin(old, rudderreel_core::AdminRequest::Teams);
-    assert_eq!(status, 503, "it takes itself for the leader");
+    assert_eq!(
+        status, 503,
+        "the node cut from store and peers answers as the leader"
+    );
     let new = world.leader().expect("another leader");
     assert_ne!(new, old);
     world.run_until(240_000);
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-/// A machine whose reports arrive but that nothing reaches is told apart and returned, and what ran
-/// there runs elsewhere; with the cloud away, what ran there does so once its next incarnation shows
-/// that it is gone, and nothing new goes there meanwhile.
+/// A machine whose reports arrive but that nothing reaches must be recognized and returned, and its tasks run
+/// elsewhere. While the cloud is down, its tasks run elsewhere once the agent's next incarnation shows that they are
+/// gone, and no task is started on the machine meanwhile.
 #[test]
-fn a_machine_that_hears_nobody_is_given_up() {
+fn unreachable_machine_is_returned_and_its_tasks_run_elsewhere() {
     for cloud_down in [false, true] {
-        // As in the deployments: it is heard several times in a lease, though no answer reaches it.
+        // As in the deployments: several reports arrive within a lease, though no answer reaches the agent.
         let scenario = Scenario {
             nodes: 5,
             spread: true,
@@ -166,15 +181,18 @@
         }
         let id = world.busy_machine().expect("a machine with tasks");
         world.cloud.down = cloud_down;
-        let agent = world.agents.get_mut(&id).expect("its worker");
+        let agent = world.agents.get_mut(&id).expect("its agent");
         agent.unreachable_until = u64::MAX;
         let starts = agent.starts;
         world.run_until(world.now + 45_000);
         match world.agents.get(&id) {
             None => assert!(!cloud_down),
             Some(agent) => {
-                assert!(cloud_down, "it was not returned");
-                assert_eq!(agent.starts, starts, "something was started there");
+                assert!(cloud_down, "the machine was not returned");
+                assert_eq!(
+                    agent.starts, starts,
+                    "a task was started on the unreachable machine"
+                );
             }
         }
         world.cloud.down = false;
@@ -183,6 +201,7 @@
     }
 }
 
+/// Returns a report without tasks.
 fn report(machine: &MachineId, incarnation: u64, seq: u64) -> StatusReport {
     StatusReport {
         machine: machine.clone(),
@@ -198,38 +217,38 @@
     }
 }
 
-/// Reports that can't be right are answered at once, and change nothing: from machines nobody rented,
-/// older than what is known, of a type and zone that don't exist, with a token nobody gave out, with
-/// tasks nobody submitted.
+/// Reports that can't be correct are answered at once and change nothing: reports from machines that were not rented,
+/// older than the last known one, with a machine type and zone that don't exist, with a token that was never issued, or
+/// with tasks that were never submitted.
 #[test]
-fn bad_reports_are_survived() {
+fn invalid_reports_are_answered_and_change_nothing() {
     let mut world = World::of(550, Scenario::default());
     world.run_until(40_000);
     let known = world.agents.keys().next().cloned().expect("a machine");
-    let nobody = MachineId::from("vm-999999");
-    let stranger: JobId = "wk-424242".parse().expect("an id");
-    let mut odd = report(&nobody, 3, 1);
-    odd.machine_type = "m-none".into();
-    odd.zone = "nowhere".into();
-    let mut high = report(&known, 900, 1);
-    high.token = Epoch(1 << 60);
-    let mut foreign = report(&MachineId::from("vm-999998"), 1, 1);
-    foreign.tasks = vec![TaskStatus {
-        task: stranger.task(7),
+    let unrented = MachineId::from("vm-999999");
+    let unknown_job: JobId = "wk-424242".parse().expect("an id");
+    let mut unknown_type_and_zone = report(&unrented, 3, 1);
+    unknown_type_and_zone.machine_type = "m-none".into();
+    unknown_type_and_zone.zone = "nowhere".into();
+    let mut unknown_token = report(&known, 900, 1);
+    unknown_token.token = Epoch(1 << 60);
+    let mut unknown_tasks = report(&MachineId::from("vm-999998"), 1, 1);
+    unknown_tasks.tasks = vec![TaskStatus {
+        task: unknown_job.task(7),
         attempt: rudderreel_wire::ids::Attempt(9),
         state: TaskState::Running,
         why: None,
         saved: None,
     }];
-    for bad in [
-        report(&nobody, 1, 1),
+    for invalid in [
+        report(&unrented, 1, 1),
         report(&known, 0, 0),
-        odd,
-        high,
-        foreign,
+        unknown_type_and_zone,
+        unknown_token,
+        unknown_tasks,
     ] {
         for node in 0..3 {
-            let status = world.inject_report(node, bad.clone());
+            let status = world.inject_report(node, invalid.clone());
             assert!([200, 421, 503].contains(&status), "{status}");
         }
     }
@@ -237,7 +256,8 @@
     assert_eq!(unfinished(&world), Vec::<String>::new());
 }
 
-fn page() -> StoreAnswer {
+/// Returns an answer of the store that lists no items.
+fn empty_page() -> StoreAnswer {
     StoreAnswer::Page(Page {
         items: Vec::new(),
         more: false,
@@ -245,58 +265,63 @@
     })
 }
 
-/// After its watch has lost its place in an outage, a node reads everything again as soon as that
-/// works, and watches on. It used to try once, and then missed every later change.
+/// After its watch has lost its position in an outage, a node must read everything again as soon as the store answers,
+/// and open a watch. A node used to try once only, and then missed every later change.
 #[test]
-fn a_lost_watch_is_taken_up_again() {
+fn lost_watch_is_reopened_once_the_store_answers() {
     let mut world = World::of(560, Scenario::default());
     let mut core = Node::new(world.settings_of(0));
-    let answer = |core: &mut Node, world: &mut World, first: Input, good: bool| -> bool {
-        let mut next = Some(first);
-        for _ in 0..200 {
-            world.now += 20;
-            let input = next.take().unwrap_or(Input::Tick);
-            let mut outputs = core.step(input, world.clock_of(0));
-            while let Some(output) = outputs.pop() {
-                match output {
-                    Output::Watch(_) => return true,
-                    Output::Store(id, call) => {
-                        let list = matches!(call, StoreCall::List(..));
-                        let got = if good && list {
-                            page()
-                        } else {
-                            StoreAnswer::Refused
-                        };
-                        let at = world.clock_of(0);
-                        outputs.extend(core.step(
-                            Input::Store {
-                                call: id,
-                                sent_at: at.time,
-                                answer: got,
-                            },
-                            at,
-                        ));
+    // Feeds inputs to the node and answers its calls; returns whether it opens a watch within 200 steps.
+    let opens_watch =
+        |core: &mut Node, world: &mut World, first: Input, store_answers: bool| -> bool {
+            let mut next = Some(first);
+            for _ in 0..200 {
+                world.now += 20;
+                let input = next.take().unwrap_or(Input::Tick);
+                let mut outputs = core.step(input, world.clock_of(0));
+                while let Some(output) = outputs.pop() {
+                    match output {
+                        Output::Watch(_) => return true,
+                        Output::Store(id, call) => {
+                            let list = matches!(call, StoreCall::List(..));
+                            let store_answer = if store_answers && list {
+                                empty_page()
+                            } else {
+                                StoreAnswer::Refused
+                            };
+                            let at = world.clock_of(0);
+                            outputs.extend(core.step(
+                                Input::Store {
+                                    call: id,
+                                    sent_at: at.time,
+                                    answer: store_answer,
+                                },
+                                at,
+                            ));
+                        }
+                        _ => {}
                     }
-                    _ => {}
                 }
             }
-        }
-        false
-    };
-    let ok = answer(&mut core, &mut world, Input::Tick, true);
-    assert!(ok, "it watches");
-    let away = !answer(&mut core, &mut world, Input::WatchLost, false);
-    assert!(away, "the service is away");
-    let ok = answer(&mut core, &mut world, Input::Tick, true);
-    assert!(ok, "it watches again");
+            false
+        };
+    let watches = opens_watch(&mut core, &mut world, Input::Tick, true);
+    assert!(watches, "the node opened no watch");
+    let stays_closed = !opens_watch(&mut core, &mut world, Input::WatchLost, false);
+    assert!(
+        stays_closed,
+        "a watch was opened while the store refuses all calls"
+    );
+    let watches = opens_watch(&mut core, &mut world, Input::Tick, true);
+    assert!(watches, "the node opened no watch after the outage");
 }
 
-/// More is asked than there is room for, small work comes all the time, and most of it from one
-/// team: the large array and the large gang begin all the same, and so does the other team's work,
-/// also when leaders end meanwhile: the wait counts from submission.
+/// Users submit more jobs than there is room for: a steady flow of small ones, most of them from one team. The large
+/// array and the large gang must start nevertheless, and so must the other team's jobs, also when leaders restart
+/// meanwhile: the wait counts from submission.
 #[test]
-fn nobody_starves_in_a_crowd() {
-    for (seed, take_overs) in [(300, false), (301, false), (302, true)] {
+fn large_jobs_and_the_smaller_team_start_under_overload() {
+    for (seed, leader_restarts) in [(300, false), (301, false), (302, true)] {
         let scenario = Scenario {
             jobs: 1_000,
             crowd: true,
@@ -306,7 +331,7 @@
         let mut world = World::of(seed, scenario);
         for at in (30..420).step_by(30) {
             world.run_until(at * 1_000);
-            if take_overs {
+            if leader_restarts {
                 if let Some(leader) = world.leader() {
                     world.restart_quickly(leader);
                 }
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -1,75 +1,80 @@
-//! Two faults at once, or more: each meeting is brought about by its faults alone, drawn at random by
-//! seed, and must have come about (the world counts when two of them overlapped).
+//! Two or more faults at the same time. Each case draws only its own faults at random by seed, and two given faults
+//! must have overlapped in time (the world counts the overlaps).
 
-use super::day;
+use super::run_with_random_faults;
 use super::world::Fault::{self, *};
 use super::world::Scenario;
 
-struct Meeting {
+struct OverlapCase {
     name: &'static str,
-    /// What comes, and which two must have met.
+    /// The faults that are injected at random.
     faults: &'static [Fault],
-    met: (Fault, Fault),
+    /// The two faults that must have overlapped in time.
+    overlap: (Fault, Fault),
+    /// Adapts the scenario to the case.
     scenario: fn(&mut Scenario),
 }
 
-/// Days that are played at most until two faults have met.
-const DAYS: u64 = 4;
+/// Maximum number of runs until the two faults of a case have overlapped.
+const MAX_RUNS: u64 = 4;
 
-fn as_usual(_: &mut Scenario) {}
+fn unchanged(_: &mut Scenario) {}
 
-/// Brings a meeting about, with three nodes and with five.
-fn play_meetings(meetings: &[Meeting]) {
-    for (n, meeting) in meetings.iter().enumerate() {
+/// Runs each case with three and with five nodes until its two faults have overlapped.
+fn run_overlap_cases(cases: &[OverlapCase]) {
+    for (n, case) in cases.iter().enumerate() {
         for nodes in [3, 5] {
             let seed = 800 + 10 * n as u64 + nodes as u64;
-            // Which faults overlap is chance, and changes with whatever draws a random number. Each day
-            // is checked in full; another one follows if the two did not meet.
-            let met = (0..DAYS).any(|day| {
-                let seed = seed + 100 * day;
-                println!("{}: seed {seed}, {nodes} nodes", meeting.name);
-                play(meeting, nodes, seed)
+            // Which faults overlap is random, and changes with every change of the random draws. All rules are
+            // checked in each run; another run follows if the two faults did not overlap.
+            let overlapped = (0..MAX_RUNS).any(|run| {
+                let seed = seed + 100 * run;
+                println!("{}: seed {seed}, {nodes} nodes", case.name);
+                run_case(case, nodes, seed)
             });
-            let (a, b) = meeting.met;
-            assert!(met, "{a:?} and {b:?} did not meet on any of {DAYS} days");
+            let (a, b) = case.overlap;
+            assert!(
+                overlapped,
+                "{a:?} and {b:?} did not overlap in any of {MAX_RUNS} runs"
+            );
         }
     }
 }
 
-/// Plays a day; returns whether the two faults met.
-fn play(meeting: &Meeting, nodes: usize, seed: u64) -> bool {
+/// Runs a case; returns whether its two faults overlapped.
+fn run_case(case: &OverlapCase, nodes: usize, seed: u64) -> bool {
     let mut scenario = Scenario {
         nodes,
         spread: seed % 20 >= 10,
-        fault_kinds: meeting.faults.to_vec(),
+        fault_kinds: case.faults.to_vec(),
         jobs: 40,
         ..Scenario::default()
     };
-    (meeting.scenario)(&mut scenario);
-    let world = day(seed, scenario);
+    (case.scenario)(&mut scenario);
+    let world = run_with_random_faults(seed, scenario);
     assert_eq!(
         world.starts_after_cancellation,
         vec![],
         "starts of cancelled jobs"
     );
-    let (a, b) = meeting.met;
+    let (a, b) = case.overlap;
     world.overlaps(a, b) > 0
 }
 
-fn quick_boots(scenario: &mut Scenario) {
+fn short_boot_times(scenario: &mut Scenario) {
     scenario.boot_ms = (200, 1_900);
     scenario.jobs = 60;
 }
 
-fn uneven(scenario: &mut Scenario) {
+fn uneven_run_times(scenario: &mut Scenario) {
     scenario.uneven_run_times = true;
 }
 
-fn bound(scenario: &mut Scenario) {
+fn zone_bound_jobs(scenario: &mut Scenario) {
     scenario.zone_bound_jobs = true;
 }
 
-fn full(scenario: &mut Scenario) {
+fn teams_at_limit(scenario: &mut Scenario) {
     scenario.jobs = 120;
     scenario.user_interval_ms = 120;
     scenario.no_replicas = true;
@@ -84,33 +89,33 @@
 }
 
 #[test]
-fn a_leader_ends() {
-    play_meetings(&[
-        Meeting {
-            name: "new machines get work at once while writes lag",
+fn rules_hold_when_faults_overlap_with_leader_changes() {
+    run_overlap_cases(&[
+        OverlapCase {
+            name: "new machines get tasks at once while writes are late",
             faults: &[SlowStore, LateWrites, LeaderCrashes],
-            met: (LateWrites, LeaderCrashes),
-            scenario: quick_boots,
+            overlap: (LateWrites, LeaderCrashes),
+            scenario: short_boot_times,
         },
-        Meeting {
-            name: "machines with long tasks can't be reached, or hear nobody",
+        OverlapCase {
+            name: "machines with long tasks are partitioned, unreachable or hang",
             faults: &[
                 LeaderCrashes,
                 MachinesPartitioned,
                 MachinesUnreachable,
                 MachinesHang,
             ],
-            met: (LeaderCrashes, MachinesUnreachable),
-            scenario: uneven,
+            overlap: (LeaderCrashes, MachinesUnreachable),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "jobs of several tasks end far apart",
+        OverlapCase {
+            name: "the tasks of a job end far apart",
             faults: &[LeaderCrashes, NodeCrashes],
-            met: (LeaderCrashes, LeaderCrashes),
-            scenario: uneven,
+            overlap: (LeaderCrashes, LeaderCrashes),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "leaders change again and again, also in an outage",
+        OverlapCase {
+            name: "leaders change repeatedly, also in an outage of the store",
             faults: &[
                 LeaderCrashes,
                 LeaderCrashes,
@@ -118,130 +123,130 @@
                 StoreDown,
                 StoreBack,
             ],
-            met: (LeaderCrashes, StoreDown),
-            scenario: as_usual,
+            overlap: (LeaderCrashes, StoreDown),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "controllers hand over and back, all end, one returns at once",
+        OverlapCase {
+            name: "leadership changes back and forth, all nodes crash, one restarts at once",
             faults: &[
                 LeaderCrashes,
                 AllNodesCrash,
                 AllNodesRestartQuickly,
                 NodeRestartsQuickly,
             ],
-            met: (LeaderCrashes, AllNodesCrash),
-            scenario: as_usual,
+            overlap: (LeaderCrashes, AllNodesCrash),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "all controllers are away for longer than a lease",
+        OverlapCase {
+            name: "all nodes are down for longer than a lease",
             faults: &[AllNodesAway, JobsCancelled, NodeRestartsQuickly],
-            met: (AllNodesAway, JobsCancelled),
-            scenario: uneven,
+            overlap: (AllNodesAway, JobsCancelled),
+            scenario: uneven_run_times,
         },
     ]);
 }
 
 #[test]
-fn jobs_are_cancelled() {
-    play_meetings(&[
-        Meeting {
-            name: "while one controller's work changes hands",
+fn rules_hold_when_faults_overlap_with_cancellations() {
+    run_overlap_cases(&[
+        OverlapCase {
+            name: "cancelled while the leader changes",
             faults: &[JobsCancelled, JobsCancelled, LeaderCrashes, RapidStatusRequests],
-            met: (JobsCancelled, LeaderCrashes),
-            scenario: uneven,
+            overlap: (JobsCancelled, LeaderCrashes),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "while machines hang or are cut off, all teams are at their limits and the leader changes",
+        OverlapCase {
+            name: "cancelled while machines hang or are cut off, all teams are at their limits and the leader changes",
             faults: &[JobsCancelled, MachinesHang, MachinesPartitioned, LeaderCrashes],
-            met: (JobsCancelled, TeamsAtLimit),
-            scenario: full,
+            overlap: (JobsCancelled, TeamsAtLimit),
+            scenario: teams_at_limit,
         },
-        Meeting {
-            name: "while the state service refuses the leader, or everybody, or is slow",
+        OverlapCase {
+            name: "cancelled while the store refuses the leader, is down or is slow",
             faults: &[JobsCancelled, StoreRefusesLeader, StoreDown, StoreBack, SlowStore, RapidStatusRequests],
-            met: (JobsCancelled, StoreRefusesLeader),
-            scenario: uneven,
+            overlap: (JobsCancelled, StoreRefusesLeader),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "through another node while the leader hears only workers and users",
+        OverlapCase {
+            name: "cancelled through another node while the leader reaches only agents and users",
             faults: &[JobsCancelled, LeaderReachesOnlyAgents, RapidStatusRequests],
-            met: (JobsCancelled, LeaderReachesOnlyAgents),
-            scenario: uneven,
+            overlap: (JobsCancelled, LeaderReachesOnlyAgents),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "at the end of their last task",
+        OverlapCase {
+            name: "cancelled at the end of their last task",
             faults: &[JobsCancelledAtCompletion, RapidStatusRequests],
-            met: (JobsCancelledAtCompletion, RapidStatusRequests),
-            scenario: as_usual,
+            overlap: (JobsCancelledAtCompletion, RapidStatusRequests),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "four a second, a quarter of them, of one task",
+        OverlapCase {
+            name: "jobs of one task, four per second, a quarter of them cancelled",
             faults: &[RapidStatusRequests, JobsCancelledAtCompletion, LeaderCrashes],
-            met: (RapidStatusRequests, LeaderCrashes),
+            overlap: (RapidStatusRequests, LeaderCrashes),
             scenario: rush,
         },
-        Meeting {
-            name: "while a zone with a controller is cut off for longer than a lease",
+        OverlapCase {
+            name: "cancelled while a zone with a node is partitioned for longer than a lease",
             faults: &[ZonePartitioned, JobsCancelled],
-            met: (ZonePartitioned, JobsCancelled),
-            scenario: uneven,
+            overlap: (ZonePartitioned, JobsCancelled),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "whose machines can't report but can be commanded",
+        OverlapCase {
+            name: "cancelled while their machines can't report but receive commands",
             faults: &[MachinesUnableToReport, JobsCancelled, LeaderCrashes],
-            met: (MachinesUnableToReport, JobsCancelled),
-            scenario: uneven,
+            overlap: (MachinesUnableToReport, JobsCancelled),
+            scenario: uneven_run_times,
         },
     ]);
 }
 
 #[test]
-fn messages_are_late() {
-    play_meetings(&[
-        Meeting {
-            name: "a report reaches every node as a new leader begins",
+fn rules_hold_when_faults_overlap_with_late_messages() {
+    run_overlap_cases(&[
+        OverlapCase {
+            name: "a report reaches every node as a new leader begins its term",
             faults: &[ReportsHeldForNextLeader, LeaderCrashes],
-            met: (ReportsHeldForNextLeader, LeaderCrashes),
-            scenario: uneven,
+            overlap: (ReportsHeldForNextLeader, LeaderCrashes),
+            scenario: uneven_run_times,
         },
-        Meeting {
-            name: "old reports after newer ones, also of earlier sessions",
+        OverlapCase {
+            name: "old reports arrive after newer ones, also from earlier incarnations",
             faults: &[LateReports, MachinesReboot, MachinesPartitioned],
-            met: (LateReports, MachinesReboot),
-            scenario: as_usual,
+            overlap: (LateReports, MachinesReboot),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "transactions carried out late, after newer ones of the same node",
+        OverlapCase {
+            name: "transactions are carried out late, after newer ones of the same node",
             faults: &[LateWrites, JobsCancelled, NodeRestartsQuickly],
-            met: (LateWrites, JobsCancelled),
-            scenario: as_usual,
+            overlap: (LateWrites, JobsCancelled),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "transactions carried out whose answers are lost, while others read them",
+        OverlapCase {
+            name: "transactions are carried out but their answers are lost, while others read them",
             faults: &[LostAnswers, RapidStatusRequests, JobsCancelledAtCompletion],
-            met: (LostAnswers, RapidStatusRequests),
-            scenario: as_usual,
+            overlap: (LostAnswers, RapidStatusRequests),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "a command or its answer is held up, and the machine goes on",
+        OverlapCase {
+            name: "a command or its answer is delayed while the machine keeps running",
             faults: &[MachinesHang, MachinesPartitioned, SlowLinks, JobsCancelled],
-            met: (MachinesHang, JobsCancelled),
-            scenario: uneven,
+            overlap: (MachinesHang, JobsCancelled),
+            scenario: uneven_run_times,
         },
     ]);
 }
 
 #[test]
-fn users_ask_much() {
-    play_meetings(&[
-        Meeting {
-            name: "at all nodes within milliseconds, and repeat submissions",
+fn rules_hold_when_faults_overlap_with_many_user_requests() {
+    run_overlap_cases(&[
+        OverlapCase {
+            name: "users query all nodes within milliseconds, and repeat submissions",
             faults: &[RapidStatusRequests, LeaderCrashes, SlowStore],
-            met: (RapidStatusRequests, LeaderCrashes),
-            scenario: as_usual,
+            overlap: (RapidStatusRequests, LeaderCrashes),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "odd things, in every state of leadership",
+        OverlapCase {
+            name: "users send invalid requests in every state of leadership",
             faults: &[
                 InvalidRequests,
                 LeaderCrashes,
@@ -249,25 +254,25 @@
                 StoreBack,
                 StoreRefusesLeader,
             ],
-            met: (InvalidRequests, StoreDown),
-            scenario: as_usual,
+            overlap: (InvalidRequests, StoreDown),
+            scenario: unchanged,
         },
-        Meeting {
-            name: "for more than there is, urgent and not, over slow links",
+        OverlapCase {
+            name: "users submit more jobs than fit, urgent ones and others, over slow links",
             faults: &[SlowLinks, SlowLinks, JobsCancelled],
-            met: (SlowLinks, JobsCancelled),
-            scenario: full,
+            overlap: (SlowLinks, JobsCancelled),
+            scenario: teams_at_limit,
         },
-        Meeting {
-            name: "for jobs bound to a zone that loses machines",
+        OverlapCase {
+            name: "jobs are bound to a zone that loses machines",
             faults: &[
                 MachinesReboot,
                 MachinesPartitioned,
                 MachinesHang,
                 LeaderCrashes,
             ],
-            met: (MachinesPartitioned, LeaderCrashes),
-            scenario: bound,
+            overlap: (MachinesPartitioned, LeaderCrashes),
+            scenario: zone_bound_jobs,
         },
     ]);
 }
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipelines of dependent jobs, with every fault: no task starts too early, and what needs a cancelled
-//! job is cancelled with it. The store lowers its limits meanwhile.
+//! Pipelines of dependent jobs, with every fault: no task starts too early, and a job that depends on a cancelled job
+//! is cancelled with it. The store lowers its limits during the runs.
 
 use super::unfinished;
 use super::world::store::Limits;
@@ -8,8 +8,8 @@
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::{JobSpec, JobState};
 
-/// As low as they are announced anywhere.
-const LOW: Limits = Limits {
+/// The lowest limits that are announced in any deployment.
+const LOW_LIMITS: Limits = Limits {
     rps: 200,
     write_rps: 20,
     value_kb: 2,
@@ -17,19 +17,21 @@
     page: 10,
 };
 
+/// Returns a scenario with pipelines, in which the store announces lower limits and enforces them after a minute.
 pub fn scenario(nodes: usize) -> Scenario {
     Scenario {
         nodes,
         jobs: 60,
         user_interval_ms: 300,
         pipelines: true,
-        lower_limits: Some((60_000, LOW)),
+        lower_limits: Some((60_000, LOW_LIMITS)),
         ..Scenario::default()
     }
 }
 
-/// A day with faults; returns how many jobs were cancelled with others.
-pub fn play(seed: u64, scenario: Scenario) -> usize {
+/// Runs a scenario with random faults, then without faults until all jobs must be finished. Returns the number of jobs
+/// that were cancelled only because of a dependency.
+pub fn run_with_faults(seed: u64, scenario: Scenario) -> usize {
     println!("seed {seed}, {scenario:?}");
     let mut world = World::of(seed, scenario);
     world.random_faults = true;
@@ -44,8 +46,8 @@
 }
 
 #[test]
-fn pipelines_keep_the_rules_whatever_fails() {
-    let cancelled: usize = (0..8).map(|n| play(900 + n, scenario(3))).sum();
+fn pipeline_rules_hold_under_random_faults() {
+    let cancelled: usize = (0..8).map(|n| run_with_faults(900 + n, scenario(3))).sum();
     assert!(
         cancelled > 10,
         "{cancelled} jobs were cancelled with others"
@@ -53,18 +55,18 @@
 }
 
 #[test]
-fn pipelines_keep_the_rules_with_five_nodes() {
+fn pipeline_rules_hold_under_random_faults_with_five_nodes() {
     let spread = |n: u64| Scenario {
         spread: n % 2 == 1,
         ..scenario(5)
     };
-    let cancelled: usize = (0..6).map(|n| play(920 + n, spread(n))).sum();
+    let cancelled: usize = (0..6).map(|n| run_with_faults(920 + n, spread(n))).sum();
     assert!(cancelled > 8, "{cancelled} jobs were cancelled with others");
 }
 
-/// Users call jobs off all the time, while nodes end, answers are lost and writes come late.
+/// Users cancel jobs all the time while nodes crash, answers are lost and writes are late.
 #[test]
-fn cancellations_meet_the_ends_of_nodes_and_late_writes() {
+fn pipeline_rules_hold_when_cancellations_overlap_with_crashes_and_late_writes() {
     use Fault::*;
     let fault_kinds = vec![
         JobsCancelled,
@@ -82,14 +84,16 @@
         uneven_run_times: true,
         ..scenario(5)
     };
-    let cancelled: usize = (0..4).map(|n| play(940 + n, scenario.clone())).sum();
+    let cancelled: usize = (0..4)
+        .map(|n| run_with_faults(940 + n, scenario.clone()))
+        .sum();
     assert!(cancelled > 8, "{cancelled} jobs were cancelled with others");
 }
 
-/// Nothing announces the lower limits: what is rejected is split, and nothing is sent again unchanged
-/// (the world fails the test if it is).
+/// The settings don't announce the lower limits: a rejected transaction must be split and must not be sent again
+/// unchanged (the world fails the test if it is).
 #[test]
-fn limits_that_nobody_announced() {
+fn rejected_transactions_are_split_when_lower_limits_are_not_announced() {
     let scenario = Scenario {
         announced: false,
         ..scenario(3)
@@ -105,16 +109,16 @@
         rejected += world.store.rejected;
         world.check_cancelled_together();
     }
-    assert!(rejected > 0, "the limits were not met");
+    assert!(rejected > 0, "no transaction exceeded the limits");
 }
 
-/// A world in which nobody does anything by themselves.
-pub fn scripted(seed: u64, nodes: usize) -> World {
+/// Returns a world in which users do only what the test makes them do.
+pub fn scripted_world(seed: u64, nodes: usize) -> World {
     let scenario = Scenario {
         nodes,
         scripted: true,
         lease_s: if nodes > 3 { 12 } else { 6 },
-        lower_limits: Some((0, LOW)),
+        lower_limits: Some((0, LOW_LIMITS)),
         ..Scenario::default()
     };
     let mut world = World::of(seed, scenario);
@@ -122,8 +126,8 @@
     world
 }
 
-/// An array of one task that depends on others.
-pub fn step(n: u32, needs: &[u32]) -> JobSpec {
+/// Returns an array of one task that depends on other jobs.
+pub fn single_task_job(n: u32, needs: &[u32]) -> JobSpec {
     let id = |n: &u32| format!("wk-{n:06}");
     let value = serde_json::json!({
         "id": id(&n), "reel": "sweep", "crew": "blue", "rig": "sweep", "precedence": "normal",
@@ -148,8 +152,8 @@
     panic!("{id} was not accepted");
 }
 
-/// Withdraws a job until its user is told how it ended.
-pub fn withdraw(world: &mut World, node: usize, id: &JobId) -> JobState {
+/// Repeats the cancellation of a job until its user is answered that it has ended, and returns its final state.
+pub fn cancel(world: &mut World, node: usize, id: &JobId) -> JobState {
     for _ in 0..60 {
         world.user_asks(node, id, UserAction::Cancel);
         world.run_until(world.now + 300);
@@ -157,11 +161,11 @@
             return state;
         }
     }
-    panic!("the user of {id} was not told");
+    panic!("no answer says that {id} has ended");
 }
 
-/// Asks about a job until there is an answer after now.
-pub fn ask(world: &mut World, node: usize, id: &JobId) -> JobState {
+/// Queries the state of a job until a new answer arrives.
+pub fn query_state(world: &mut World, node: usize, id: &JobId) -> JobState {
     world.jobs.get_mut(id).expect("a job").last = None;
     for _ in 0..40 {
         world.user_asks(node, id, UserAction::Status);
@@ -170,54 +174,62 @@
             return state;
         }
     }
-    panic!("no answer about {id}");
+    panic!("no status answer for {id}");
 }
 
-/// Each job along a chain is started soon after the one before it is done, although the store
-/// takes few changes.
+/// Each job of a chain must start soon after the one before it is done, although the store allows few changes per
+/// transaction and per second.
 #[test]
-fn a_chain_goes_on_promptly() {
-    let mut world = scripted(1_001, 3);
+fn each_job_of_a_chain_starts_soon_after_its_dependency_is_done() {
+    let mut world = scripted_world(1_001, 3);
     let mut ids = Vec::new();
     for n in 1..7 {
         let needs: Vec<u32> = (n > 1).then(|| n - 1).into_iter().collect();
-        ids.push(submit(&mut world, n as usize % 3, step(n, &needs)));
+        ids.push(submit(
+            &mut world,
+            n as usize % 3,
+            single_task_job(n, &needs),
+        ));
     }
     world.run_until(world.now + 70_000);
     for id in &ids {
-        assert_eq!(ask(&mut world, 0, id), JobState::Done, "{id}");
+        assert_eq!(query_state(&mut world, 0, id), JobState::Done, "{id}");
         let (ready, begun) = (world.jobs[id].ready_at, world.jobs[id].begun_at);
         let waited = begun.expect("begun") - ready.expect("ready");
         assert!(*id == ids[0] || waited < 3_000, "{id} waited {waited} ms");
     }
 }
 
-/// The whole of a chain longer than a transaction is told to be cancelled as soon as its first job is,
-/// by any node, also if the leader ends at once.
+/// As soon as the first job of a chain is cancelled, every node must answer that the whole chain is, also if the chain
+/// has more jobs than a transaction may change and if the leader crashes at once.
 #[test]
 fn a_chain_longer_than_a_transaction_is_cancelled_with_its_first_job() {
     for (seed, leader_ends) in [(1_010, false), (1_011, true), (1_012, true)] {
-        let mut world = scripted(seed, 3);
+        let mut world = scripted_world(seed, 3);
         let ids: Vec<JobId> = (1..60)
             .map(|n| {
                 let needs: Vec<u32> = (n > 1).then(|| n - 1).into_iter().collect();
-                submit(&mut world, n as usize % 3, step(n, &needs))
+                submit(&mut world, n as usize % 3, single_task_job(n, &needs))
             })
-            // The first ones may be over before the last is submitted.
+            // The first jobs may have ended before the last one is submitted.
             .collect();
         let first = (ids.iter())
-            .position(|id| ask(&mut world, 0, id) != JobState::Done)
+            .position(|id| query_state(&mut world, 0, id) != JobState::Done)
             .expect("an unfinished job");
         let leader = world.leader().expect("a leader");
-        let teller = (leader + 1) % 3;
-        let state = withdraw(&mut world, teller, &ids[first + 1]);
+        let answering_node = (leader + 1) % 3;
+        let state = cancel(&mut world, answering_node, &ids[first + 1]);
         assert_eq!(state, JobState::Cancelled);
         if leader_ends {
             world.stop_node_for(leader, 60_000);
         }
         let node = (leader + 2) % 3;
         for id in ids[first + 2..].iter().rev() {
-            assert_eq!(ask(&mut world, node, id), JobState::Cancelled, "{id}");
+            assert_eq!(
+                query_state(&mut world, node, id),
+                JobState::Cancelled,
+                "{id}"
+            );
         }
         world.end_faults();
         world.run_until(world.now + 60_000);
@@ -225,18 +237,19 @@
     }
 }
 
-/// Also of jobs that nobody asks about the records say that they are cancelled, soon and whoever leads.
+/// The records of dependents must soon say that they are cancelled, whichever node leads, also if no user asks about
+/// the jobs.
 #[test]
-fn the_records_of_dependents_are_written_though_nobody_asks() {
+fn records_of_dependents_are_cancelled_without_a_status_request() {
     for (seed, leader_ends) in [(1_015, false), (1_016, true)] {
-        let mut world = scripted(seed, 3);
-        let first = submit(&mut world, 0, step(1, &[]));
+        let mut world = scripted_world(seed, 3);
+        let first = submit(&mut world, 0, single_task_job(1, &[]));
         for n in 2..12 {
-            submit(&mut world, 1, step(n, &[n - 1]));
+            submit(&mut world, 1, single_task_job(n, &[n - 1]));
         }
         let leader = world.leader().expect("a leader");
         assert_eq!(
-            withdraw(&mut world, (leader + 1) % 3, &first),
+            cancel(&mut world, (leader + 1) % 3, &first),
             JobState::Cancelled
         );
         if leader_ends {
@@ -247,132 +260,140 @@
     }
 }
 
-/// Administrators are told what a job waits for, and with what it was cancelled.
+/// The answers to administrators name the jobs that a job waits for, and the job with which it was cancelled.
 #[test]
-fn explanations_name_dependencies() {
-    let mut world = scripted(1_018, 3);
-    let first = submit(&mut world, 0, step(1, &[]));
-    let second = submit(&mut world, 1, step(2, &[1]));
-    let explain = |world: &mut World, id: &JobId| world.admin(2, AdminRequest::Job(id.clone())).1;
-    let why = explain(&mut world, &second);
-    assert_eq!(why["waits_for"], serde_json::json!([first]));
-    assert!(why["why"].as_str().expect("text").contains("depends on"));
-    let why = explain(&mut world, &first);
-    assert_eq!(why["needed_by"], serde_json::json!([second]));
-    assert_eq!(withdraw(&mut world, 0, &first), JobState::Cancelled);
+fn admin_answers_name_dependencies() {
+    let mut world = scripted_world(1_018, 3);
+    let first = submit(&mut world, 0, single_task_job(1, &[]));
+    let second = submit(&mut world, 1, single_task_job(2, &[1]));
+    let job_answer =
+        |world: &mut World, id: &JobId| world.admin(2, AdminRequest::Job(id.clone())).1;
+    let answer = job_answer(&mut world, &second);
+    assert_eq!(answer["waits_for"], serde_json::json!([first]));
+    assert!(answer["why"].as_str().expect("text").contains("depends on"));
+    let answer = job_answer(&mut world, &first);
+    assert_eq!(answer["needed_by"], serde_json::json!([second]));
+    assert_eq!(cancel(&mut world, 0, &first), JobState::Cancelled);
     world.run_until(world.now + 10_000);
-    let why = explain(&mut world, &second);
-    assert_eq!(why["cancelled_with"], serde_json::json!(first));
+    let answer = job_answer(&mut world, &second);
+    assert_eq!(answer["cancelled_with"], serde_json::json!(first));
 }
 
-/// A job that names a cancelled one is accepted, and is cancelled from the start.
+/// A job that depends on a cancelled one is accepted, and is cancelled from the start.
 #[test]
-fn naming_a_cancelled_job_is_accepted_as_cancelled() {
-    let mut world = scripted(1_020, 3);
-    let first = submit(&mut world, 0, step(1, &[]));
-    assert_eq!(withdraw(&mut world, 0, &first), JobState::Cancelled);
+fn job_that_depends_on_a_cancelled_job_is_accepted_as_cancelled() {
+    let mut world = scripted_world(1_020, 3);
+    let first = submit(&mut world, 0, single_task_job(1, &[]));
+    assert_eq!(cancel(&mut world, 0, &first), JobState::Cancelled);
     for (node, n) in [(1, 2), (2, 3)] {
-        let id = submit(&mut world, node, step(n, &[n - 1]));
+        let id = submit(&mut world, node, single_task_job(n, &[n - 1]));
         assert_eq!(world.jobs[&id].last, Some(JobState::Cancelled), "{id}");
     }
 }
 
-/// A node that was cut off while a job was cancelled takes submissions that name it as soon as the state
-/// service serves it again, before it hears of what it missed: none is called queued.
+/// A node that was cut off while a job was cancelled accepts submissions that depend on the job as soon as the store
+/// serves the node again, before the node receives the changes that it missed. It must answer none of them as queued.
 #[test]
-fn a_node_that_missed_the_cancellation_accepts_nothing_as_queued() {
+fn node_that_missed_a_cancellation_reports_no_dependent_as_queued() {
     for seed in 1_060..1_070 {
-        let mut world = scripted(seed, 3);
-        let first = submit(&mut world, 0, step(1, &[]));
-        submit(&mut world, 1, step(2, &[1]));
+        let mut world = scripted_world(seed, 3);
+        let first = submit(&mut world, 0, single_task_job(1, &[]));
+        submit(&mut world, 1, single_task_job(2, &[1]));
         world.run_until(world.now + 500);
         let leader = world.leader().expect("a leader");
-        let (teller, cut) = ((leader + 1) % 3, (leader + 2) % 3);
+        let (answering_node, cut) = ((leader + 1) % 3, (leader + 2) % 3);
         let end = world.now + 40_000;
         world.cut_from_all_but_agents(cut, end);
-        assert_eq!(withdraw(&mut world, teller, &first), JobState::Cancelled);
+        assert_eq!(
+            cancel(&mut world, answering_node, &first),
+            JobState::Cancelled
+        );
         world.run_until(end);
         for n in 0..150 {
-            let spec = step(100 + n, &[2]);
+            let spec = single_task_job(100 + n, &[2]);
             let id = spec.id.clone();
             world.add_job(spec);
             world.user_asks(cut, &id, UserAction::Submit);
-            // The world fails the test if it is called queued.
+            // The world fails the test if the answer is that the job is queued.
             world.run_until(world.now + 3);
         }
         world.run_until(world.now + 2_000);
-        let told = (100..250).filter(|n| {
+        let accepted = (100..250).filter(|n| {
             let id: JobId = format!("wk-{n:06}").parse().expect("an id");
             world.jobs[&id].accepted
         });
-        assert!(told.count() > 3, "hardly any was accepted");
+        assert!(accepted.count() > 3, "at most 3 jobs were accepted");
     }
 }
 
-/// What was done when its user wanted to cancel it lets the jobs after it go on.
+/// If a job was already done when its user cancels it, its dependents must run.
 #[test]
-fn a_withdrawal_that_comes_too_late_leaves_dependents_alone() {
-    let mut world = scripted(1_030, 3);
-    let first = submit(&mut world, 0, step(1, &[]));
-    let second = submit(&mut world, 1, step(2, &[1]));
-    while ask(&mut world, 0, &first) != JobState::Done {
+fn cancelling_a_finished_job_does_not_cancel_its_dependents() {
+    let mut world = scripted_world(1_030, 3);
+    let first = submit(&mut world, 0, single_task_job(1, &[]));
+    let second = submit(&mut world, 1, single_task_job(2, &[1]));
+    while query_state(&mut world, 0, &first) != JobState::Done {
         world.run_until(world.now + 500);
     }
-    assert_eq!(withdraw(&mut world, 2, &first), JobState::Done);
+    assert_eq!(cancel(&mut world, 2, &first), JobState::Done);
     world.run_until(world.now + 25_000);
-    assert_eq!(ask(&mut world, 0, &second), JobState::Done);
+    assert_eq!(query_state(&mut world, 0, &second), JobState::Done);
 }
 
-/// Submissions and the cancellation of what they name pass each other at different nodes.
+/// A job is submitted at one node while the job that it depends on is cancelled at another.
 #[test]
-fn a_submission_races_with_a_cancellation() {
-    let mut world = scripted(1_040, 5);
+fn dependent_submitted_during_a_cancellation_is_cancelled() {
+    let mut world = scripted_world(1_040, 5);
     for round in 0..30u32 {
         let (first, second) = (round * 2 + 1, round * 2 + 2);
-        let first = submit(&mut world, 0, step(first, &[]));
-        let spec = step(second, &[second - 1]);
+        let first = submit(&mut world, 0, single_task_job(first, &[]));
+        let spec = single_task_job(second, &[second - 1]);
         let second = spec.id.clone();
         world.add_job(spec);
         world.user_asks(1, &first, UserAction::Cancel);
         world.run_until(world.now + u64::from(round));
         world.user_asks(2, &second, UserAction::Submit);
         world.run_until(world.now + 2_000);
-        withdraw(&mut world, 1, &first);
+        cancel(&mut world, 1, &first);
         while !world.jobs[&second].accepted {
             world.user_asks(2, &second, UserAction::Submit);
             world.run_until(world.now + 300);
         }
         let cancelled = world.jobs[&first].last == Some(JobState::Cancelled);
         if cancelled {
-            assert_eq!(ask(&mut world, 3, &second), JobState::Cancelled, "{second}");
+            assert_eq!(
+                query_state(&mut world, 3, &second),
+                JobState::Cancelled,
+                "{second}"
+            );
         }
     }
     assert!(world.check_cancelled_together() > 20);
 }
 
-/// A pipeline in the gap: one node confirms the cancellation, the store goes for longer than
-/// cancelled work may remain, and right after that every node must know of the dependents.
+/// One node confirms the cancellation of a job, and the store is down for longer than cancelled tasks may remain. Right
+/// after the outage every node must know that the dependents are cancelled.
 #[test]
-fn dependents_are_never_called_queued_after_an_outage() {
+fn dependents_of_a_cancelled_job_are_not_reported_as_queued_after_an_outage() {
     for (seed, nodes) in [(1_050, 3), (1_051, 5)] {
-        let mut world = scripted(seed, nodes);
-        let first = submit(&mut world, 0, step(1, &[]));
+        let mut world = scripted_world(seed, nodes);
+        let first = submit(&mut world, 0, single_task_job(1, &[]));
         let ids: Vec<JobId> = (2..6)
-            .map(|n| submit(&mut world, 0, step(n, &[n - 1])))
+            .map(|n| submit(&mut world, 0, single_task_job(n, &[n - 1])))
             .collect();
         let leader = world.leader().expect("a leader");
         let end = world.now + 60_000;
         world.cut_from_store(leader, end);
         world.run_until(world.now + 500);
-        let told = withdraw(&mut world, (leader + 1) % nodes, &first);
-        assert_eq!(told, JobState::Cancelled);
+        let final_state = cancel(&mut world, (leader + 1) % nodes, &first);
+        assert_eq!(final_state, JobState::Cancelled);
         world.store.set_down(true, world.now);
         world.run_until(world.now + 40_000);
         world.store.set_down(false, world.now);
-        // The world fails the test if any is called queued now, or is accepted as queued.
+        // The world fails the test if a node now answers that a dependent is queued, or accepts one as queued.
         for node in 0..nodes {
             let n = 100 + node as u32;
-            let spec = step(n, &[1, 5]);
+            let spec = single_task_job(n, &[1, 5]);
             world.add_job(spec.clone());
             world.user_asks(node, &spec.id, UserAction::Submit);
             for id in &ids {
@@ -383,7 +404,7 @@
         world.end_faults();
         world.run_until(world.now + 40_000);
         for id in &ids {
-            assert_eq!(ask(&mut world, 0, id), JobState::Cancelled, "{id}");
+            assert_eq!(query_state(&mut world, 0, id), JobState::Cancelled, "{id}");
         }
     }
 }
--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -1,41 +1,41 @@
-//! A node comes back with the version in production after jobs with dependencies were accepted. That
-//! version neither knows nor keeps dependencies. Whatever it does then, no task starts too early, and
-//! what needs a cancelled job is not called queued and leaves nothing on machines.
+//! A node restarts with the version in production after jobs with dependencies were accepted. That version neither
+//! knows nor stores dependencies. Whatever such a node does, no task may start too early, and a job that depends on a
+//! cancelled job must not be answered as queued and must leave no tasks on machines.
 
-use super::pipelines::{ask, scripted, step, submit, withdraw};
+use super::pipelines::{cancel, query_state, scripted_world, single_task_job, submit};
 use super::unfinished;
 use super::world::{NodeVersion, Scenario, UserAction, World};
 use rudderreel_wire::ids::JobId;
 use rudderreel_wire::job::JobState;
 use std::collections::BTreeSet;
 
-/// Longer than a cancelled job's tasks may remain.
-const CANCEL_OVER_MS: u64 = 25_000;
-/// Longer than a test.
-const ENDLESS_MS: u64 = 600_000;
+/// A time longer than the tasks of a cancelled job may remain.
+const AFTER_CANCEL_TIME_MS: u64 = 25_000;
+/// A run time longer than any test.
+const LONG_RUN_MS: u64 = 600_000;
 
-/// A world with a job that goes on, and a chain of two that need it.
-fn with_a_chain(seed: u64) -> (World, JobId, Vec<JobId>) {
-    let mut world = scripted(seed, 3);
-    let root = submit(&mut world, 0, step(1, &[]));
+/// Returns a world with a job that does not end, its id, and the ids of a chain of two jobs that depend on it.
+fn world_with_chain(seed: u64) -> (World, JobId, Vec<JobId>) {
+    let mut world = scripted_world(seed, 3);
+    let root = submit(&mut world, 0, single_task_job(1, &[]));
     let chain = vec![
-        submit(&mut world, 1, step(2, &[1])),
-        submit(&mut world, 2, step(3, &[2])),
+        submit(&mut world, 1, single_task_job(2, &[1])),
+        submit(&mut world, 2, single_task_job(3, &[2])),
     ];
-    for told in world.jobs.values_mut() {
-        told.run_ms = (ENDLESS_MS, 0);
+    for job in world.jobs.values_mut() {
+        job.run_ms = (LONG_RUN_MS, 0);
     }
     world.collects_violations = true;
     (world, root, chain)
 }
 
-/// No rule was broken since.
-fn assert_kept(world: &World) {
+/// Checks that no rule was violated.
+fn assert_no_violations(world: &World) {
     assert_eq!(world.violations, BTreeSet::new());
 }
 
-/// All nodes end, and the one that is back first has the version in production.
-fn led_by_production(world: &mut World, old: usize) {
+/// Stops all nodes; the one that restarts first has the version in production.
+fn restart_with_production_leader(world: &mut World, old: usize) {
     for node in (0..3).filter(|node| *node != old) {
         world.stop_node_for(node, 12_000);
     }
@@ -43,105 +43,114 @@
     world.run_until(world.now + 10_000);
 }
 
+/// A leader of the old version must not start the dependents of a job that is not done.
 #[test]
-fn a_leader_of_the_old_version_starts_nothing_too_early() {
+fn leader_of_the_old_version_starts_no_dependent_too_early() {
     for (seed, old) in [(2_001, 0), (2_002, 1), (2_003, 2)] {
-        let (mut world, root, _) = with_a_chain(seed);
-        led_by_production(&mut world, old);
+        let (mut world, root, _) = world_with_chain(seed);
+        restart_with_production_leader(&mut world, old);
         world.run_until(world.now + 30_000);
-        assert_ne!(ask(&mut world, (old + 1) % 3, &root), JobState::Done);
-        assert_kept(&world);
+        assert_ne!(
+            query_state(&mut world, (old + 1) % 3, &root),
+            JobState::Done
+        );
+        assert_no_violations(&world);
     }
 }
 
+/// Once the cancelled tasks must be gone, a leader of the old version must not answer that a dependent is queued.
 #[test]
-fn nothing_is_called_queued_by_a_node_of_the_old_version_after_its_dependency_was_cancelled() {
+fn node_of_the_old_version_reports_no_dependent_of_a_cancelled_job_as_queued() {
     for (seed, old) in [(2_011, 0), (2_012, 1), (2_013, 2)] {
-        let (mut world, root, chain) = with_a_chain(seed);
-        led_by_production(&mut world, old);
-        let told = withdraw(&mut world, old, &root);
-        assert_eq!(told, JobState::Cancelled);
-        world.run_until(world.now + CANCEL_OVER_MS);
+        let (mut world, root, chain) = world_with_chain(seed);
+        restart_with_production_leader(&mut world, old);
+        let final_state = cancel(&mut world, old, &root);
+        assert_eq!(final_state, JobState::Cancelled);
+        world.run_until(world.now + AFTER_CANCEL_TIME_MS);
         for id in &chain {
             world.user_asks(old, id, UserAction::Status);
         }
         world.run_until(world.now + 10_000);
-        assert_kept(&world);
+        assert_no_violations(&world);
         for id in &chain {
-            assert_eq!(ask(&mut world, (old + 1) % 3, id), JobState::Cancelled);
+            assert_eq!(
+                query_state(&mut world, (old + 1) % 3, id),
+                JobState::Cancelled
+            );
         }
     }
 }
 
+/// A leader of the old version must stop the tasks of the jobs that depend on a cancelled job.
 #[test]
-fn nothing_of_a_cancelled_chain_is_left_on_machines_by_a_leader_of_the_old_version() {
+fn leader_of_the_old_version_leaves_no_task_of_a_cancelled_chain_on_machines() {
     for (seed, old) in [(2_021, 0), (2_022, 1), (2_023, 2)] {
-        let (mut world, root, chain) = with_a_chain(seed);
-        led_by_production(&mut world, old);
-        assert_eq!(withdraw(&mut world, old, &root), JobState::Cancelled);
-        world.run_until(world.now + CANCEL_OVER_MS);
-        assert_kept(&world);
+        let (mut world, root, chain) = world_with_chain(seed);
+        restart_with_production_leader(&mut world, old);
+        assert_eq!(cancel(&mut world, old, &root), JobState::Cancelled);
+        world.run_until(world.now + AFTER_CANCEL_TIME_MS);
+        assert_no_violations(&world);
         for id in &chain {
             assert_eq!(world.on_machines(id), 0, "{id}");
         }
     }
 }
 
-/// What the old version accepts it accepts without its dependencies. So it accepts nothing.
+/// The old version would accept a job without its dependencies, so it must not accept any job.
 #[test]
-fn a_node_of_the_old_version_accepts_nothing() {
-    let (mut world, _, _) = with_a_chain(2_031);
+fn node_of_the_old_version_accepts_no_submission() {
+    let (mut world, _, _) = world_with_chain(2_031);
     let leader = world.leader().expect("a leader");
     let old = (leader + 1) % 3;
     world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
-    let spec = step(4, &[1]);
+    let spec = single_task_job(4, &[1]);
     world.add_job(spec.clone());
     world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
     submit(&mut world, leader, spec);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// The same if the first job that names dependencies comes when these are done: they are not stored then,
-/// but it shows that users name some.
+/// The same if the first job that names dependencies is submitted when these are done: the dependencies are not stored
+/// then, but the submission shows that users name dependencies.
 #[test]
-fn a_node_of_the_old_version_accepts_nothing_also_if_all_dependencies_were_done() {
-    let mut world = scripted(2_032, 3);
-    submit(&mut world, 0, step(1, &[]));
+fn node_of_the_old_version_accepts_no_submission_when_all_dependencies_were_done() {
+    let mut world = scripted_world(2_032, 3);
+    submit(&mut world, 0, single_task_job(1, &[]));
     world.run_until(world.now + 15_000);
-    submit(&mut world, 1, step(2, &[1]));
+    submit(&mut world, 1, single_task_job(2, &[1]));
     let old = (world.leader().expect("a leader") + 1) % 3;
     world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
-    let spec = step(3, &[2]);
+    let spec = single_task_job(3, &[2]);
     world.add_job(spec.clone());
     world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
 }
 
-/// A node of the old version that the store refuses passes submissions on without their
-/// dependencies.
+/// A node of the old version that the store refuses forwards submissions without their dependencies. They must not be
+/// accepted.
 #[test]
-fn what_a_node_of_the_old_version_passes_on_is_not_accepted() {
-    let (mut world, _, _) = with_a_chain(2_033);
+fn submission_forwarded_by_a_node_of_the_old_version_is_not_accepted() {
+    let (mut world, _, _) = world_with_chain(2_033);
     let old = (world.leader().expect("a leader") + 1) % 3;
     world.restart_as(old, NodeVersion::Production, 200);
     world.run_until(world.now + 15_000);
     world.cut_from_store(old, world.now + 10_000);
     world.run_until(world.now + 3_000);
-    let spec = step(4, &[1]);
+    let spec = single_task_job(4, &[1]);
     world.add_job(spec.clone());
     world.user_asks(old, &spec.id, UserAction::Submit);
     world.run_until(world.now + 5_000);
     assert!(!world.jobs[&spec.id].accepted);
-    assert_kept(&world);
+    assert_no_violations(&world);
 }
 
-/// A day with every fault on which nodes are upgraded, and some come back old.
-pub fn play(seed: u64, nodes: usize) {
+/// Runs a rolling upgrade with every fault, in which some nodes restart with the old version.
+pub fn run_with_faults(seed: u64, nodes: usize) {
     let scenario = Scenario {
         nodes,
         jobs: 60,
@@ -164,8 +173,8 @@
 }
 
 #[test]
-fn pipelines_keep_the_rules_though_nodes_come_back_old() {
+fn pipeline_rules_hold_when_nodes_restart_with_the_old_version() {
     for seed in 2_050..2_058 {
-        play(seed, if seed % 2 == 0 { 3 } else { 5 });
+        run_with_faults(seed, if seed % 2 == 0 { 3 } else { 5 });
     }
 }
--- a/crates/core/tests/sim/steady_load.rs
+++ b/crates/core/tests/sim/steady_load.rs
@@ -1,11 +1,11 @@
-//! What a fleet costs in which little changes: counts of messages, by the share of a core that nodes have.
+//! Message counts of a fleet in which little changes, for different shares of a core that the nodes have.
 
 use super::world::{Scenario, World};
 
 const NODES: usize = 5;
 const MEASURED_MS: u64 = 20_000;
 
-/// Messages of a kind in the measured time, of a fleet whose jobs run throughout.
+/// Number of messages of each kind in the measured time.
 struct Messages {
     batches: u32,
     heartbeats: u32,
@@ -13,7 +13,8 @@
     commits: u32,
 }
 
-fn steady_fleet(core_share: Option<f64>) -> Messages {
+/// Runs a fleet whose jobs run throughout, and counts its messages.
+fn count_messages(core_share: Option<f64>) -> Messages {
     let scenario = Scenario {
         nodes: NODES,
         machines: 100,
@@ -41,14 +42,15 @@
     }
 }
 
-/// A batch costs the leader as much as several reports do, and fifty came a second whatever the node could take.
+/// A batch costs the leader as much as several reports do, and fifty batches used to arrive per second whatever share
+/// of a core the node had.
 #[test]
-fn half_of_the_processor_is_asked_for_half_of_the_batches() {
-    let ample = steady_fleet(None);
-    let small = steady_fleet(Some(0.032));
+fn small_core_share_reduces_report_batches_but_not_heartbeats() {
+    let ample = count_messages(None);
+    let small = count_messages(Some(0.032));
     let followers = NODES as u32 - 1;
     let seconds = (MEASURED_MS / 1_000) as u32;
-    // 80 ms and a tick between two batches of a follower, and 160 ms.
+    // Between two batches of a follower are 80 ms and a tick, or 160 ms with the small share.
     assert!(
         ample.batches <= followers * seconds * 13,
         "{}",
@@ -65,13 +67,13 @@
         small.batches,
         ample.batches
     );
-    // What keeps a rule is not stretched.
+    // Intervals that a rule depends on are not stretched.
     assert!(small.heartbeats.abs_diff(ample.heartbeats) <= NODES as u32);
     assert!(small.heartbeats >= NODES as u32 * seconds * 2 - NODES as u32);
-    // Users withdraw a job now and then, and replicas are moved; nothing else calls for an agent.
+    // Users cancel a job now and then, and replicas are moved; nothing else needs a direct call to an agent.
     assert!(small.direct_calls <= 5 * seconds, "{}", small.direct_calls);
     assert!(ample.direct_calls <= 5 * seconds, "{}", ample.direct_calls);
-    // Questions are confirmed, by jobs asked about and time.
+    // Commits confirm the answers to status requests; their number depends on the jobs asked about and on time.
     assert!(
         small.commits <= NODES as u32 * seconds * 20,
         "{}",
--- a/crates/core/tests/sim/user_answers.rs
+++ b/crates/core/tests/sim/user_answers.rs
@@ -1,4 +1,4 @@
-//! Answers are made from the newest that a node knows at the moment of telling, whatever it read before.
+//! Answers to users show the newest state that the node knows when it answers, whatever it has read before.
 
 use super::cancellations_in_outages::replicas;
 use super::world::{Scenario, World};
@@ -8,7 +8,7 @@
 use rudderreel_wire::state::{Event, Item, Page};
 use serde_json::{json, Value};
 
-/// A node alone with its test, which answers its calls.
+/// A single node whose calls the test answers.
 struct SingleNode {
     node: Node,
     world: World,
@@ -16,7 +16,7 @@
 }
 
 impl SingleNode {
-    /// One of so many nodes, that has read an empty store.
+    /// Returns one of `nodes` nodes, which has read an empty store.
     fn new(nodes: usize) -> Self {
         let scenario = Scenario {
             nodes,
@@ -31,14 +31,14 @@
             out: Vec::new(),
         };
         node.wait(1_000);
-        while let Some((id, call)) = node.call(|_| true) {
+        while let Some((id, call)) = node.take_call(|_| true) {
             let answer = match call {
                 StoreCall::List(..) => StoreAnswer::Page(Page {
                     items: Vec::new(),
                     more: false,
                     revision: Version(10),
                 }),
-                // Somebody else leads.
+                // Another node leads.
                 StoreCall::Get(key) if key == "pub/leader" => StoreAnswer::Found(Item {
                     value: json!({"node": "n1", "epoch": 3, "lease": 7}),
                     key,
@@ -58,7 +58,7 @@
         self.out.extend(self.node.step(input, now));
     }
 
-    /// The watch shows a change.
+    /// Delivers a change through the watch.
     fn watch_shows(&mut self, revision: u64, event: Event<Value>) {
         self.step(Input::Watched {
             sent_at: self.world.clock_of(0).time,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Takes the next call to the store of a kind.
-    fn call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
+    /// Takes the first pending call to the store that `wanted` selects.
+    fn take_call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
         let of = |o: &Output| matches!(o, Output::Store(_, call) if wanted(call));
         let at = self.out.iter().position(of)?;
         match self.out.remove(at) {
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Waits for such a call.
-    fn expect(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> CallId {
+    /// Waits 100 ms and takes the first call to the store that `wanted` selects; returns its id.
+    fn expect_call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> CallId {
         self.wait(100);
-        self.call(wanted).expect("a call").0
+        self.take_call(wanted).expect("a call").0
     }
 
     fn answer(&mut self, id: CallId, answer: StoreAnswer) {
@@ -103,8 +103,8 @@
         self.step(Input::User(ReqId(req), request));
     }
 
-    /// The answer to a request, if there was one.
-    fn told(&mut self, req: u64) -> Option<(u16, Value)> {
+    /// Returns the status and the body of the answer to a request, if there was one.
+    fn answer_to(&mut self, req: u64) -> Option<(u16, Value)> {
         self.out.iter().find_map(|o| match o {
             Output::Answer {
                 req: r,
@@ -116,8 +116,8 @@
         })
     }
 
-    /// The watch shows a job's record.
-    fn watched(&mut self, id: &JobId, version: u64, record: Value) {
+    /// Delivers a job's record through the watch.
+    fn watch_shows_job(&mut self, id: &JobId, version: u64, record: Value) {
         let event = Event::Put {
             key: format!("pub/job/{id}"),
             value: record,
@@ -126,15 +126,15 @@
         self.watch_shows(version, event);
     }
 
-    /// Everybody else knows everything up to a revision.
-    fn all_know(&mut self, cancellation_watermark: u64) {
+    /// Makes both peers report that they know all cancellations up to a revision.
+    fn peers_know_up_to(&mut self, cancellation_watermark: u64) {
         for peer in ["n1", "n2"] {
-            let told = ReplicateCancellations {
+            let message = ReplicateCancellations {
                 from: peer.into(),
                 cancellation_watermark: Version(cancellation_watermark),
                 cancelled: Vec::new(),
             };
-            self.step(Input::ReplicateCancellations(ReqId(900), told));
+            self.step(Input::ReplicateCancellations(ReqId(900), message));
         }
     }
 }
@@ -157,60 +157,68 @@
     })
 }
 
-fn is_check(call: &StoreCall) -> bool {
+/// Whether a call is a commit without changes, which only checks versions.
+fn is_check_commit(call: &StoreCall) -> bool {
     matches!(call, StoreCall::Commit(t) if t.changes.is_empty())
 }
 
-fn is_read(call: &StoreCall) -> bool {
+/// Whether a call reads the record of a job.
+fn is_job_read(call: &StoreCall) -> bool {
     matches!(call, StoreCall::Get(key) if key.starts_with("pub/job/"))
 }
 
-/// Told by the store that there was no such job, a node said so, although it had learned by then
-/// that it was accepted elsewhere.
+/// A node used to answer that a job is unknown because the store had found none, although the node had learned by then
+/// that the job was accepted by another node.
 #[test]
-fn no_job_is_unknown_that_was_accepted_meanwhile() {
+fn job_accepted_during_the_request_is_not_reported_as_unknown() {
     let mut node = SingleNode::new(3);
     node.ask(1, UserRequest::Status(id()));
-    let check = node.expect(is_check);
-    node.watched(&id(), 20, record("pending"));
+    let check = node.expect_call(is_check_commit);
+    node.watch_shows_job(&id(), 20, record("pending"));
     node.answer(check, StoreAnswer::Committed(Version(19)));
-    assert_eq!(node.told(1), None);
-    let read = node.expect(is_read);
+    assert_eq!(node.answer_to(1), None);
+    let read = node.expect_call(is_job_read);
     node.answer(read, item(20, "pending"));
-    assert_eq!(node.told(1).map(|(status, _)| status), Some(200));
-    // The same for a read that found nothing.
+    assert_eq!(node.answer_to(1).map(|(status, _)| status), Some(200));
+    // The same if a read finds no record.
     let mut node = SingleNode::new(3);
     node.ask(1, UserRequest::Cancel(id()));
-    let read = node.expect(is_read);
-    node.watched(&id(), 20, record("pending"));
+    let read = node.expect_call(is_job_read);
+    node.watch_shows_job(&id(), 20, record("pending"));
     node.answer(read, StoreAnswer::Missing);
-    assert_eq!(node.told(1), None);
+    assert_eq!(node.answer_to(1), None);
 }
 
-/// A record that was read before a cancellation was told as it was read, after another answer had said
-/// that the job is cancelled.
+/// A record that was read before a cancellation used to be answered as it was read, after another answer had already
+/// said that the job is cancelled.
 #[test]
-fn what_was_read_is_not_told_when_something_newer_is_known() {
+fn record_read_before_a_known_cancellation_is_not_reported() {
     let mut node = SingleNode::new(3);
-    node.watched(&id(), 20, record("pending"));
+    node.watch_shows_job(&id(), 20, record("pending"));
     node.ask(1, UserRequest::Status(id()));
-    let check = node.expect(is_check);
+    let check = node.expect_call(is_check_commit);
     node.answer(
         check,
         StoreAnswer::Conflict(vec![format!("pub/job/{}", id())]),
     );
-    let read = node.expect(is_read);
-    node.watched(&id(), 30, record("aborted"));
-    node.all_know(30);
+    let read = node.expect_call(is_job_read);
+    node.watch_shows_job(&id(), 30, record("aborted"));
+    node.peers_know_up_to(30);
     node.ask(2, UserRequest::Status(id()));
-    assert_eq!(node.told(2).expect("an answer").1["bearing"], "aborted");
+    assert_eq!(
+        node.answer_to(2).expect("an answer").1["bearing"],
+        "aborted"
+    );
     node.answer(read, item(21, "pending"));
-    assert_eq!(node.told(1).expect("an answer").1["bearing"], "aborted");
+    assert_eq!(
+        node.answer_to(1).expect("an answer").1["bearing"],
+        "aborted"
+    );
 }
 
-/// A job that another node cancelled before the answer to its creation came is not told as pending.
+/// A job that another node cancelled before the answer to its creation arrived must not be answered as pending.
 #[test]
-fn a_job_is_told_as_cancelled_by_the_node_that_created_it() {
+fn creating_node_reports_a_cancellation_that_precedes_the_commit_answer() {
     let mut node = SingleNode::new(3);
     let catalog = json!({"hulls": [{"label": "m4", "vcpus": 4.0, "gpus": 0.0, "memoryGb": 16.0,
         "cacheGb": 10.0, "fetchGbPerS": 1.0, "rate": 1.0, "marketPrice": 0.3, "startupS": 4.0,
@@ -222,29 +230,33 @@
     };
     node.watch_shows(11, event);
     node.ask(1, UserRequest::Submit(Box::new(replicas(1, 2))));
-    let create = node.expect(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
-    node.watched(&id(), 31, record("aborted"));
-    node.all_know(31);
+    let create = node.expect_call(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
+    node.watch_shows_job(&id(), 31, record("aborted"));
+    node.peers_know_up_to(31);
     node.answer(create, StoreAnswer::Committed(Version(30)));
-    assert_eq!(node.told(1).expect("an answer").1["bearing"], "aborted");
+    assert_eq!(
+        node.answer_to(1).expect("an answer").1["bearing"],
+        "aborted"
+    );
 }
 
-/// A user is told once a majority knows, and refused at once when that takes too long; what others have
-/// written through the store counts, too.
+/// A cancellation is confirmed to the user once a majority knows it, and the request is refused at once when that
+/// takes too long. Knowledge that other nodes have written to the store counts, too.
 #[test]
-fn a_cancellation_is_told_when_a_majority_knows() {
+fn cancellation_is_confirmed_only_when_a_majority_knows() {
     for nodes in [3, 5] {
         let mut node = SingleNode::new(nodes);
-        node.watched(&id(), 20, record("pending"));
+        node.watch_shows_job(&id(), 20, record("pending"));
         node.ask(1, UserRequest::Cancel(id()));
-        let commit = node.expect(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
+        let commit =
+            node.expect_call(|c| matches!(c, StoreCall::Commit(t) if !t.changes.is_empty()));
         node.answer(commit, StoreAnswer::Committed(Version(21)));
-        assert_eq!(node.told(1), None);
-        let told = |o: &Output| match o {
+        assert_eq!(node.answer_to(1), None);
+        let replicated = |o: &Output| match o {
             Output::ReplicateCancellations(peer, a) => Some((peer.clone(), a.cancelled.clone())),
             _ => None,
         };
-        let announced: Vec<_> = node.out.iter().filter_map(told).collect();
+        let announced: Vec<_> = node.out.iter().filter_map(replicated).collect();
         assert_eq!(announced.len(), nodes - 1, "to every other node");
         let job = CancelledJob {
             job: id().to_string(),
@@ -256,25 +268,32 @@
         assert!(announced.iter().all(|(_, jobs)| *jobs == [job.clone()]));
         for (n, (peer, _)) in announced.iter().enumerate() {
             let enough = n + 1 > nodes / 2;
-            assert_eq!(node.told(1).is_some(), enough, "{n} others of {nodes} know");
+            assert_eq!(
+                node.answer_to(1).is_some(),
+                enough,
+                "{n} others of {nodes} know"
+            );
             let cancellation_watermark = Version(20);
             let reply = Some(ReplicateCancellationsReply {
                 cancellation_watermark,
             });
             node.step(Input::ReplicateCancellationsReply(peer.clone(), reply));
         }
-        assert_eq!(node.told(1).expect("an answer").1["bearing"], "aborted");
+        assert_eq!(
+            node.answer_to(1).expect("an answer").1["bearing"],
+            "aborted"
+        );
     }
     let mut node = SingleNode::new(3);
-    node.watched(&id(), 20, record("aborted"));
+    node.watch_shows_job(&id(), 20, record("aborted"));
     node.ask(1, UserRequest::Status(id()));
     node.step(Input::ReplicateCancellationsReply("n1".into(), None));
     node.step(Input::ReplicateCancellationsReply("n2".into(), None));
     node.wait(400);
-    assert_eq!(node.told(1).expect("a refusal").0, 503);
-    // It asks the others to write what they know, and is asked again when one has.
+    assert_eq!(node.answer_to(1).expect("a refusal").0, 503);
+    // The node asks the others to write what they know. The user asks again when one of them has done so.
     let writes = |c: &StoreCall| matches!(c, StoreCall::Commit(t) if t.conditions.is_empty());
-    let written = node.expect(writes);
+    let written = node.expect_call(writes);
     node.answer(written, StoreAnswer::Committed(Version(22)));
     let event = Event::Put {
         key: "pub/known/n2".into(),
@@ -284,50 +303,57 @@
     node.watch_shows(23, event);
     node.wait(20);
     node.ask(2, UserRequest::Status(id()));
-    assert_eq!(node.told(2).expect("an answer").1["bearing"], "aborted");
+    assert_eq!(
+        node.answer_to(2).expect("an answer").1["bearing"],
+        "aborted"
+    );
 }
 
-/// A repeated submission is answered with the state of the job that was accepted, however much it differs
-/// from the first; so is one that could not be accepted by itself. A job that is over stays as it is, and one
-/// that nobody submitted is unknown.
+/// A repeated submission is answered with the state of the accepted job, however much it differs from the first one,
+/// and even if it could not be accepted by itself. A job that has ended keeps its state, and a job that was never
+/// submitted is unknown.
 #[test]
-fn odd_requests_get_the_documented_answers() {
-    for (state, odd) in [
+fn repeated_and_invalid_requests_get_the_documented_answers() {
+    for (state, invalid) in [
         ("pending", false),
         ("done", false),
         ("done", true),
         ("aborted", true),
     ] {
         let mut node = SingleNode::new(3);
-        node.watched(&id(), 20, record(state));
-        node.all_know(20);
+        node.watch_shows_job(&id(), 20, record(state));
+        node.peers_know_up_to(20);
         let mut other = replicas(1, 3);
-        if odd {
+        if invalid {
             other.team = "nobody".into();
         }
         node.ask(1, UserRequest::Submit(Box::new(other)));
         if state == "pending" {
-            let check = node.expect(is_check);
+            let check = node.expect_call(is_check_commit);
             node.answer(check, StoreAnswer::Committed(Version(20)));
         }
-        let (status, body) = node.told(1).expect("an answer");
-        assert_eq!((status, &body["bearing"]), (200, &json!(state)), "{odd}");
+        let (status, body) = node.answer_to(1).expect("an answer");
+        assert_eq!(
+            (status, &body["bearing"]),
+            (200, &json!(state)),
+            "{invalid}"
+        );
         if state != "pending" {
             node.ask(2, UserRequest::Cancel(id()));
-            let (status, body) = node.told(2).expect("an answer");
+            let (status, body) = node.answer_to(2).expect("an answer");
             assert_eq!((status, &body["bearing"]), (200, &json!(state)));
         }
     }
     let mut node = SingleNode::new(3);
     node.ask(1, UserRequest::Cancel(id()));
-    let read = node.expect(is_read);
+    let read = node.expect_call(is_job_read);
     node.answer(read, StoreAnswer::Missing);
-    assert_eq!(node.told(1).map(|(status, _)| status), Some(404));
-    // Without the machine types, and without the store, it is refused at once.
+    assert_eq!(node.answer_to(1).map(|(status, _)| status), Some(404));
+    // Without the machine types and without the store, a submission is refused at once.
     node.ask(2, UserRequest::Submit(Box::new(replicas(2, 1))));
-    assert_eq!(node.told(2).map(|(status, _)| status), Some(503));
+    assert_eq!(node.answer_to(2).map(|(status, _)| status), Some(503));
     let mut unknown = replicas(3, 1);
     unknown.team = "nobody".into();
     node.ask(3, UserRequest::Submit(Box::new(unknown)));
-    assert_eq!(node.told(3).map(|(status, _)| status), Some(503));
+    assert_eq!(node.answer_to(3).map(|(status, _)| status), Some(503));
 }
