--- a/crates/core/src/store/records/segments.rs
+++ b/crates/core/src/store/records/segments.rs
@@ -28,7 +28,7 @@
     /// Tasks that are done, by job: ranges of task indexes with both ends included.
     #[serde(rename = "d", skip_serializing_if = "Vec::is_empty", default)]
     pub done: Vec<(JobId, Vec<(u32, u32)>)>,
-    /// Jobs that are suspected of a mistake, with the number of attempts that failed.
+    /// Suspected jobs (see `jobs::failures`), each with the number of attempts that failed.
     #[serde(rename = "f", skip_serializing_if = "Vec::is_empty", default)]
     pub suspected: Vec<(JobId, u32)>,
 }
