--- a/crates/core/src/leadership/quorum.rs
+++ b/crates/core/src/leadership/quorum.rs
@@ -10,9 +10,9 @@
 }
 
 /// The latest agreement of each other node. This node counts an agreement for a limited time from the *sending* of the
-/// heartbeat that it answers. The node that agreed counts it from a later moment, that of handling the heartbeat, and
-/// for at least as long, clock drift included. So it still holds itself bound at every moment at which this node counts
-/// the agreement.
+/// heartbeat that it answers, which is not later than the moment at which the other node agreed. So this node never
+/// counts an agreement for longer after that moment than its validity. For a lease vote, the voter holds itself bound
+/// for at least that long, clock drift included.
 #[derive(Clone, Debug)]
 pub struct QuorumTracker {
     ttl: Span,
