--- a/crates/controller/src/clients/store.rs
+++ b/crates/controller/src/clients/store.rs
@@ -47,7 +47,9 @@
             let body = LeaseRequest { ttl_ms: *ttl_ms };
             post_json(client, &format!("http://{addr}/holds"), &body)
         }
-        StoreCall::Renew(id) => post(client, &format!("http://{addr}/holds/{id}/renew"), b"{}"),
+        StoreCall::RenewLease(id) => {
+            post(client, &format!("http://{addr}/holds/{id}/renew"), b"{}")
+        }
         StoreCall::EndLease(id) => delete(client, &format!("http://{addr}/holds/{id}")),
     };
     match reply {
@@ -82,7 +84,7 @@
         (200, StoreCall::AcquireLease(_)) => parse_json(body, StoreAnswer::Unknown, |l: Lease| {
             StoreAnswer::Lease(l.lease)
         }),
-        (200..=204, StoreCall::Renew(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
+        (200..=204, StoreCall::RenewLease(_) | StoreCall::EndLease(_)) => StoreAnswer::Done,
         (404, _) => StoreAnswer::Missing,
         (409, _) => parse_json(body, StoreAnswer::Unknown, |c: TransactionReply| {
             StoreAnswer::Conflict(c.failed)
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -76,7 +76,7 @@
     matches!(
         call,
         StoreCall::AcquireLease(_)
-            | StoreCall::Renew(_)
+            | StoreCall::RenewLease(_)
             | StoreCall::EndLease(_)
             | StoreCall::Changes(..)
     )
--- a/crates/controller/src/outgoing/tests.rs
+++ b/crates/controller/src/outgoing/tests.rs
@@ -108,7 +108,7 @@
     };
     let renew = Output::Store(
         CallId(8),
-        StoreCall::Renew(rudderreel_wire::ids::LeaseId(3)),
+        StoreCall::RenewLease(rudderreel_wire::ids::LeaseId(3)),
     );
     assert!(outgoing.send(renew, Time(1)).is_none());
     assert_eq!(renewals.len(), 1);
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -200,7 +200,7 @@
             (Method::Post, ["holds"]) => {
                 StoreCall::AcquireLease(parse_body::<LeaseRequest>(body).ttl_ms)
             }
-            (Method::Post, ["holds", id, "renew"]) => StoreCall::Renew(lease_id(id)),
+            (Method::Post, ["holds", id, "renew"]) => StoreCall::RenewLease(lease_id(id)),
             (Method::Delete, ["holds", id]) => StoreCall::EndLease(lease_id(id)),
             _ => panic!("unexpected request: {method} {}", url.path),
         };
--- a/crates/core/src/io/mod.rs
+++ b/crates/core/src/io/mod.rs
@@ -71,7 +71,7 @@
     /// Acquire a lease with a time to live in milliseconds.
     AcquireLease(u64),
     /// Renew a lease.
-    Renew(LeaseId),
+    RenewLease(LeaseId),
     /// End a lease.
     EndLease(LeaseId),
 }
--- a/crates/core/src/leadership/election.rs
+++ b/crates/core/src/leadership/election.rs
@@ -210,7 +210,8 @@
 
     fn renew_if_due(&mut self, now: Time, lease: LeaseId) -> Option<ElectionRequest> {
         let is_due = self.renewal.begin_if_due(now);
-        is_due.then(|| ElectionRequest::new(StoreCall::Renew(lease), ElectionCall::Renew(lease)))
+        is_due
+            .then(|| ElectionRequest::new(StoreCall::RenewLease(lease), ElectionCall::Renew(lease)))
     }
 
     fn poll_leader_key_if_due(
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -119,7 +119,7 @@
                 self.json(transaction);
             }
             StoreCall::AcquireLease(ttl_ms) => self.kind("new lease", *ttl_ms),
-            StoreCall::Renew(lease) => self.kind("renew", lease.0),
+            StoreCall::RenewLease(lease) => self.kind("renew", lease.0),
             StoreCall::EndLease(lease) => self.kind("end lease", lease.0),
         }
     }
--- a/crates/core/tests/sim/world/store.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -279,7 +279,7 @@
                 self.leases.insert(self.next_lease, (*ttl, now + ttl));
                 StoreAnswer::Lease(LeaseId(self.next_lease))
             }
-            StoreCall::Renew(id) => match self.leases.get_mut(&id.0) {
+            StoreCall::RenewLease(id) => match self.leases.get_mut(&id.0) {
                 Some((ttl, until)) => {
                     *until = now + *ttl;
                     StoreAnswer::Done
