--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -90,7 +90,7 @@
 /// The cancellations that a candidate must know before a lease vote counts for it.
 #[derive(Clone, Debug, Encode, Decode)]
 pub struct Catchup {
-    /// Revision up to which the candidate knows every cancellation once it has applied these.
+    /// Revision up to which the candidate knows every cancellation once it has applied those in `cancelled`.
     pub cancellation_watermark: Version,
     /// The cancellations that the candidate lacks.
     pub cancelled: Vec<CancelledJob>,
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -113,10 +113,10 @@
     /// The class of jobs that the objective applies to.
     #[serde(default)]
     pub class: Option<Class>,
-    /// Time within which this should happen, in seconds.
+    /// Time within which the tasks should start or the jobs be done, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Share of the cases that should keep to this time.
+    /// Fraction of the cases that should keep to this time.
     #[serde(default)]
     pub share: Option<f64>,
 }
@@ -192,7 +192,7 @@
     pub fd_limit: u32,
 }
 
-/// Maximum limits that are accepted for this process. A larger value is a mistake in the unit.
+/// Maximum values that are accepted for this process's limits. A larger value is a mistake in the unit.
 const MAX_CORES: f64 = 4_096.0;
 const MAX_MEMORY_MB: f64 = 16_777_216.0;
 
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -56,7 +56,7 @@
 /// The reply to a transaction, or to the read of a key that does not exist.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransactionReply {
-    /// The store's revision.
+    /// The state service's revision.
     #[serde(rename = "logline")]
     pub revision: Version,
     /// Keys whose conditions failed; empty if the transaction was committed.
@@ -89,7 +89,7 @@
     /// Whether there are more pages.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    /// The store's revision.
+    /// The state service's revision.
     #[serde(rename = "logline")]
     pub revision: Version,
 }
