--- a/crates/controller/src/admin.rs
+++ b/crates/controller/src/admin.rs
@@ -9,7 +9,7 @@
 /// Options of `rudderreel admin`.
 #[derive(Args)]
 pub struct AdminArgs {
-    /// Address for peers and administrators of any node.
+    /// Address of any node's listener for peers and administrators.
     #[arg(long, value_name = "IP:PORT")]
     node: SocketAddrV4,
     /// Print the response as unformatted JSON.
--- a/crates/controller/src/clients/cloud.rs
+++ b/crates/controller/src/clients/cloud.rs
@@ -10,7 +10,9 @@
 pub fn call_cloud(client: &Agent, addr: SocketAddrV4, call: &CloudCall) -> CloudAnswer {
     let reply = match call {
         CloudCall::Catalog => get(client, &format!("http://{addr}/catalog")),
-        CloudCall::ScaleOut(rent) => post_json(client, &format!("http://{addr}/rentals"), rent),
+        CloudCall::ScaleOut(request) => {
+            post_json(client, &format!("http://{addr}/rentals"), request)
+        }
         CloudCall::ScaleIn(names) => {
             post_json(client, &format!("http://{addr}/rentals/return"), names)
         }
--- a/crates/controller/src/clients/tests.rs
+++ b/crates/controller/src/clients/tests.rs
@@ -43,8 +43,8 @@
     assert!(matches!(large, StoreAnswer::Rejected));
     // The store no longer keeps the changes after the revision.
     let changes = calls.last().expect("a call");
-    let forgotten = store_answer(changes, 410, b"{}");
-    assert!(matches!(forgotten, StoreAnswer::Refused));
+    let too_old = store_answer(changes, 410, b"{}");
+    assert!(matches!(too_old, StoreAnswer::Refused));
     let conflict = store_answer(&calls[2], 409, b"<html>");
     assert!(matches!(conflict, StoreAnswer::Unknown));
     assert!(
--- a/crates/controller/src/input_queues/tests.rs
+++ b/crates/controller/src/input_queues/tests.rs
@@ -80,8 +80,8 @@
         assert_eq!(received(input, 60_000).expired_request(), None);
     }
     let id = "wk-000001".parse().expect("an id");
-    let withdrawal = Input::User(ReqId(1), UserRequest::Cancel(id));
-    assert_eq!(received(withdrawal, 60_000).expired_request(), None);
+    let cancellation = Input::User(ReqId(1), UserRequest::Cancel(id));
+    assert_eq!(received(cancellation, 60_000).expired_request(), None);
 }
 
 /// An input is returned with the time that it has waited.
--- a/crates/controller/src/outgoing/agents/tests.rs
+++ b/crates/controller/src/outgoing/agents/tests.rs
@@ -23,7 +23,7 @@
     };
     let client = http_client(CallLimits::new(CONNECT_TIMEOUT, CALL_TIMEOUT));
     let Input::Direct { outcome, .. } = call.execute(&client, NOW) else {
-        panic!("the end of a direct call is expected");
+        panic!("the outcome of a direct call is expected");
     };
     assert!(matches!(outcome, DirectOutcome::NotCalled));
     let error = listener.accept().expect_err("no connection");
--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -12,8 +12,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The number of threads is that of calls that the core usually has open. The core always has fewer calls open than
-/// the queue holds.
+/// One thread for each call that the core usually has open. The core always has fewer calls open than the queue holds.
 const CALL_POOL: PoolSize = PoolSize {
     threads: 12,
     queue: 256,
--- a/crates/controller/src/outgoing/watch.rs
+++ b/crates/controller/src/outgoing/watch.rs
@@ -20,7 +20,7 @@
 /// Fraction of the store's request limit that the watches of all nodes may use together: each watch is requested again
 /// after every change.
 const WATCH_REQUEST_FRACTION: f64 = 0.2;
-/// A watch is repeated at no lower rate than this many times a second, and after no longer pause than this.
+/// Lower bound of the calculated number of watches per second, and maximum pause between two watches.
 const MIN_WATCHES_PER_S: f64 = 0.1;
 const MAX_PAUSE: Duration = Duration::from_millis(400);
 /// Pause before a watch without a usable answer is repeated.
--- a/crates/controller/src/process_limits.rs
+++ b/crates/controller/src/process_limits.rs
@@ -8,8 +8,8 @@
 use rudderreel_wire::peer::MAX_MESSAGE_BYTES;
 use rudderreel_wire::settings::{PlatformLimits, Settings};
 
-/// Number of sockets that is assumed if neither the platform nor the system sets a limit, and the most that is used of
-/// the system's own limit.
+/// Number of sockets that is assumed if neither the platform nor the system sets a limit, and the maximum up to which
+/// the system's own limit is used.
 const DEFAULT_SOCKET_LIMIT: usize = 65_536;
 /// Minimum capacity of the core's queue of status reports; peers send status reports in batches.
 const MIN_QUEUED_REPORTS: usize = 1_024;
--- a/crates/controller/src/servers/mod.rs
+++ b/crates/controller/src/servers/mod.rs
@@ -112,9 +112,9 @@
     }
 
     /// Counts a request that could not be parsed and returns the response that refuses it.
-    fn refuse_unreadable(&self, why: &str) -> Option<Response> {
+    fn refuse_unreadable(&self, reason: &str) -> Option<Response> {
         self.refusals.unreadable.increment();
-        Some(Response::error(400, why))
+        Some(Response::error(400, reason))
     }
 }
 
