--- a/crates/controller/tests/loopback/agents.rs
+++ b/crates/controller/tests/loopback/agents.rs
@@ -21,7 +21,7 @@
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Duration of an agent's lease.
 pub const AGENT_LEASE: Duration = Duration::from_secs(6);
-/// How long an agent waits for the answer to a report.
+/// Time that an agent waits for the answer to a report.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause before an agent tries the next node, if no other node was named.
 const NEXT_NODE_PAUSE: Duration = Duration::from_millis(300);
@@ -60,7 +60,7 @@
 /// An agent, which runs on its own threads until its machine is terminated.
 pub struct LoopbackAgent {
     id: MachineId,
-    rent: ScaleOutRequest,
+    scale_out: ScaleOutRequest,
     addr: SocketAddr,
     shared: Arc<Shared>,
     state: Mutex<AgentState>,
@@ -69,7 +69,7 @@
 
 impl LoopbackAgent {
     /// Starts an agent on a machine that has booted.
-    pub fn start(id: MachineId, rent: ScaleOutRequest, shared: Arc<Shared>) -> Arc<Self> {
+    pub fn start(id: MachineId, scale_out: ScaleOutRequest, shared: Arc<Shared>) -> Arc<Self> {
         let server = Server::http("127.0.0.1:0").expect("the agent listens");
         let addr = server.server_addr().to_ip().expect("an address");
         let state = AgentState {
@@ -81,7 +81,7 @@
         };
         let agent = Arc::new(Self {
             id,
-            rent,
+            scale_out,
             addr,
             shared,
             state: Mutex::new(state),
@@ -97,15 +97,15 @@
     pub fn terminate(&self) {
         let mut state = self.lock_state();
         self.terminated.store(true, Ordering::SeqCst);
-        self.clear(&mut state, Instant::now());
+        self.end_all_tasks(&mut state, Instant::now());
     }
 
     fn is_terminated(&self) -> bool {
         self.terminated.load(Ordering::SeqCst)
     }
 
-    /// Locks the agent's state and ends the tasks that are over: those that have run for their time, and all of them if
-    /// the lease has expired. No task ends later than the lease, however late the state is locked.
+    /// Locks the agent's state and ends the tasks that must have ended: those that have run for their time, and all of
+    /// them if the lease has expired. No task ends later than the lease, however late the state is locked.
     fn lock_state(&self) -> MutexGuard<'_, AgentState> {
         let mut state = self.state.lock().expect("the agent's state");
         let now = Instant::now();
@@ -123,14 +123,14 @@
             self.record(Change::Ended, &id, end_limit);
         }
         if now > lease_end && !self.is_terminated() {
-            self.clear(&mut state, lease_end);
+            self.end_all_tasks(&mut state, lease_end);
             state.incarnation.0 += 1;
             state.lease_start = now;
         }
         state
     }
 
-    fn clear(&self, state: &mut AgentState, at: Instant) {
+    fn end_all_tasks(&self, state: &mut AgentState, at: Instant) {
         for ((id, _), task) in std::mem::take(&mut state.tasks) {
             if task.state != TaskState::Exited {
                 self.record(Change::Ended, &id, at);
@@ -163,9 +163,9 @@
         StatusReport {
             machine: self.id.clone(),
             addr: self.addr.to_string(),
-            machine_type: self.rent.machine_type.clone(),
-            zone: self.rent.zone.clone(),
-            spot: self.rent.spot,
+            machine_type: self.scale_out.machine_type.clone(),
+            zone: self.scale_out.zone.clone(),
+            spot: self.scale_out.spot,
             incarnation: state.incarnation,
             seq: Seq(state.seq),
             token: state.token,
@@ -214,7 +214,7 @@
         self.record(Change::Started, task, now);
     }
 
-    /// Follows and answers the commands that are sent to the agent's own address, until the machine is terminated.
+    /// Carries out and answers the commands that are sent to the agent's own address, until the machine is terminated.
     fn serve_commands(&self, server: &Server) {
         while !self.is_terminated() {
             let Ok(Some(mut request)) = server.recv_timeout(TASK_POLL_INTERVAL) else {
--- a/crates/controller/tests/loopback/controller.rs
+++ b/crates/controller/tests/loopback/controller.rs
@@ -10,14 +10,14 @@
 /// Number of the next settings file; keeps the names of the files of one test process distinct.
 static NEXT_FILE_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// A team and the most CPUs that its tasks may use.
+/// A team and the maximum number of CPUs that its tasks may use.
 pub type TeamLimit = (&'static str, f64);
 
 /// Settings that the controllers of a test are started with.
 pub struct Deployment {
     /// Number of controllers.
     pub controllers: usize,
-    /// Sockets that each controller may open.
+    /// Number of sockets that each controller may open.
     pub sockets: u64,
     pub teams: Vec<TeamLimit>,
 }
@@ -155,7 +155,7 @@
         assert!(status.success());
     }
 
-    /// Returns the ID of the process.
+    /// Returns the id of the process.
     pub fn process_id(&self) -> u32 {
         self.process.id()
     }
--- a/crates/controller/tests/loopback/costs.rs
+++ b/crates/controller/tests/loopback/costs.rs
@@ -14,10 +14,10 @@
 use ureq::Agent;
 
 const CONTROLLERS: usize = 5;
-/// Machines. Their agents report twice a second, so this is the load of five times as many agents that report every
-/// 2.5 s.
+/// Number of machines. Their agents report twice a second, so this is the load of five times as many agents that report
+/// every 2.5 s.
 const MACHINES: usize = 125;
-/// Jobs of one task each, which fill the machines, and whose states a user queries.
+/// Number of jobs. Each has one task; together they fill the machines, and a user queries their states.
 const JOBS: usize = 250;
 /// Pause between two queries, and before a job that was not accepted is submitted again.
 const QUERY_PAUSE: Duration = Duration::from_millis(20);
--- a/crates/controller/tests/loopback/fleet.rs
+++ b/crates/controller/tests/loopback/fleet.rs
@@ -12,11 +12,11 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::{Duration, Instant};
 
-/// Agents that connect at the same time.
+/// Number of agents that connect at the same time.
 const AGENTS: usize = 4_000;
-/// Threads that the agents are spread over.
+/// Number of threads over which the agents are spread.
 const CLIENT_THREADS: usize = 16;
-/// File descriptors that the test needs besides the agents' connections.
+/// Number of file descriptors that the test needs besides the agents' connections.
 const OTHER_DESCRIPTORS: u64 = 400;
 /// Time limit for a single answer, and for the controller to lead. No answer takes longer, however busy the machine is.
 const TIMEOUT: Duration = Duration::from_secs(60);
@@ -125,9 +125,9 @@
 /// Result of a burst of agents that connected at the same time.
 struct BurstResult {
     agents: usize,
-    /// Agents whose last report was answered with 200.
+    /// Number of agents whose last report was answered with 200.
     answered: usize,
-    /// Agents whose last report was answered with 421.
+    /// Number of agents whose last report was answered with 421.
     redirected: usize,
     /// Longest time that a health check took during the burst.
     slowest_health_check: Duration,
--- a/crates/controller/tests/loopback/history.rs
+++ b/crates/controller/tests/loopback/history.rs
@@ -19,7 +19,7 @@
     pub change: Change,
     pub machine: String,
     pub team: String,
-    /// The task's ID, without the attempt.
+    /// The task's id, without the attempt.
     pub task: String,
     pub cpus: f64,
 }
@@ -70,7 +70,7 @@
 }
 
 impl CheckedHistory {
-    /// Returns the most CPUs that a team's tasks used at any instant.
+    /// Returns the maximum number of CPUs that a team's tasks used at any instant.
     pub fn peak_cpus(&self, team: &str) -> f64 {
         self.by_team.get(team).map_or(0.0, |usage| usage.peak)
     }
--- a/crates/controller/tests/loopback/stand_ins.rs
+++ b/crates/controller/tests/loopback/stand_ins.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tiny_http::{Method, Request, Response, Server};
 
-/// Threads that serve each address. A watch occupies one of them while it waits.
+/// Number of threads that serve each address. A watch occupies one of them while it waits.
 const SERVER_THREADS: usize = 24;
 /// Interval at which a watch checks for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -25,7 +25,7 @@
 /// Shortest and longest boot time of machines, in ms.
 const BOOT_MS: (u64, u64) = (200, 500);
 
-/// Limits of the store that no test comes near.
+/// Limits of the store that no test reaches.
 const GENEROUS_LIMITS: Limits = Limits {
     rps: 10_000,
     write_rps: 5_000,
@@ -61,8 +61,8 @@
     /// Starts the stand-ins for a number of controllers. The cloud rents out at most `machines` machines at a time.
     pub fn start(controllers: usize, machines: usize, shared: Arc<Shared>) -> Self {
         let stand_ins = Arc::new(StandIns {
-            store: Mutex::new(Store::of(GENEROUS_LIMITS)),
-            cloud: Mutex::new(Cloud::of(machines, BOOT_MS, &["a", "b"])),
+            store: Mutex::new(Store::with_limits(GENEROUS_LIMITS)),
+            cloud: Mutex::new(Cloud::new(machines, BOOT_MS, &["a", "b"])),
             started: Instant::now(),
             agents: Mutex::default(),
             shared,
@@ -70,7 +70,7 @@
             finished: AtomicBool::new(false),
         });
         let store_addresses = (0..controllers)
-            .map(|n| serve(&stand_ins, move |s, m, u, b| s.state_request(n, m, u, b)))
+            .map(|n| serve(&stand_ins, move |s, m, u, b| s.store_request(n, m, u, b)))
             .collect();
         let cloud_address = serve(&stand_ins, StandIns::cloud_request);
         let booter = stand_ins.clone();
@@ -90,7 +90,7 @@
     /// Returns the name of the leader that the store records.
     pub fn leader(&self) -> Option<String> {
         let store = self.stand_ins.store();
-        store.text("pub/leader", "node")
+        store.text_field("pub/leader", "node")
     }
 }
 
@@ -184,7 +184,7 @@
         self.refused_controllers[controller].load(Ordering::SeqCst)
     }
 
-    fn state_request(&self, controller: usize, method: &Method, url: &Url, body: &str) -> Answer {
+    fn store_request(&self, controller: usize, method: &Method, url: &Url, body: &str) -> Answer {
         if self.is_refused(controller) {
             return (503, "{}".into());
         }
@@ -205,7 +205,7 @@
             _ => panic!("unexpected request: {method} {}", url.path),
         };
         let answer = self.store().call(&call, self.now());
-        state_answer(answer)
+        store_answer(answer)
     }
 
     /// Answers a watch as soon as there are changes, or without any once the time that it may wait has passed. A
@@ -274,8 +274,8 @@
         while !self.is_finished() {
             {
                 let mut cloud = self.cloud.lock().expect("the cloud");
-                for (id, rent) in cloud.take_booted(self.now()) {
-                    let agent = LoopbackAgent::start(id.clone(), rent, self.shared.clone());
+                for (id, scale_out) in cloud.take_booted(self.now()) {
+                    let agent = LoopbackAgent::start(id.clone(), scale_out, self.shared.clone());
                     let mut agents = self.agents.lock().expect("the agents");
                     agents.insert(id, agent);
                 }
@@ -289,7 +289,7 @@
     LeaseId(text.parse().expect("a lease"))
 }
 
-fn state_answer(answer: StoreAnswer) -> Answer {
+fn store_answer(answer: StoreAnswer) -> Answer {
     let no_such_lease = || (400, "{\"error\":\"no such lease\"}".to_string());
     match answer {
         StoreAnswer::Found(item) => json(200, &item),
--- a/crates/controller/tests/loopback/team_limits.rs
+++ b/crates/controller/tests/loopback/team_limits.rs
@@ -19,27 +19,27 @@
 use std::time::{Duration, Instant};
 use ureq::Agent;
 
-/// Controllers of a run.
+/// Number of controllers in a run.
 const CONTROLLERS: usize = 3;
-/// Machines of a run, with four CPUs each.
+/// Number of machines in a run, with four CPUs each.
 const MACHINES: usize = 10;
-/// Jobs that are submitted in a run.
+/// Number of jobs that are submitted in a run.
 const JOBS: u32 = 40;
-/// Teams and their limits of CPUs. The submissions ask for several times as many CPUs.
+/// Teams and their CPU limits. The submissions request several times as many CPUs.
 const TEAMS: [(&str, f64); 2] = [("red", 10.0), ("blue", 14.0)];
 /// Time that a task runs.
 const TASK_DURATION: Duration = Duration::from_millis(700);
-/// Faults of a run.
+/// Number of faults in a run.
 const FAULTS: usize = 3;
 /// Pause before each fault, in ms.
 const FAULT_PAUSE_MS: std::ops::Range<u64> = 300..1_500;
-/// How long a controller is paused, in ms: longer than the leader's lease or not.
+/// Duration of a controller's pause, in ms. Some pauses are longer than the leader's lease, others are not.
 const CONTROLLER_PAUSE_MS: std::ops::Range<u64> = 500..6_000;
-/// How long the store refuses a controller, in ms.
+/// Duration for which the store refuses a controller, in ms.
 const STORE_REFUSAL_MS: std::ops::Range<u64> = 500..5_000;
 /// Pause between two requests of a user.
 const POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// Time after which a whole run ends at the latest, as users stop waiting for their jobs.
+/// Time after which a run ends at the latest: users stop waiting for their jobs then.
 const RUN_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A user, who submits a job and queries it until it is done.
@@ -150,11 +150,11 @@
 /// Result of a run.
 struct RunResult {
     checked: CheckedHistory,
-    /// Jobs that were not done by the deadline.
+    /// Number of jobs that were not done by the deadline.
     unfinished: usize,
     /// Time from the first submission of a job until it is done, in ms.
     done_ms: Histogram<u64>,
-    /// Controllers that were seen as leaders.
+    /// Number of controllers that led at some moment at which the test read the leader.
     leaders: usize,
 }
 
--- a/crates/core/tests/sim/cancellations_in_outages.rs
+++ b/crates/core/tests/sim/cancellations_in_outages.rs
@@ -33,7 +33,7 @@
         lease_s: if nodes > 3 { 12 } else { 6 },
         ..Scenario::default()
     };
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.run_until(16_000);
     let specs: Vec<JobSpec> = (1..4).map(|n| replicas(n, 2)).collect();
     let ids: Vec<JobId> = specs.iter().map(|s| s.id.clone()).collect();
--- a/crates/core/tests/sim/decision_trace.rs
+++ b/crates/core/tests/sim/decision_trace.rs
@@ -58,7 +58,7 @@
         case("old_version_returns", 701, old_version_returns(5)),
         case("crowd", 300, crowd()),
         case("rush", 301, rush()),
-        case("state_outages", 302, state_outages()),
+        case("state_outages", 302, store_outages()),
         case("slow_nodes", 303, slow_nodes::scenario()),
         case("large_fleet", 600, large_fleet()),
     ]
@@ -95,7 +95,7 @@
     }
 }
 
-fn state_outages() -> Scenario {
+fn store_outages() -> Scenario {
     Scenario {
         nodes: 5,
         fault_kinds: vec![
@@ -127,7 +127,7 @@
         records_decisions: true,
         ..case.scenario
     };
-    let mut world = World::of(case.seed, scenario);
+    let mut world = World::with_scenario(case.seed, scenario);
     world.collects_violations = true;
     if !case.starts_without_faults {
         world.random_faults = true;
--- a/crates/core/tests/sim/large_fleets.rs
+++ b/crates/core/tests/sim/large_fleets.rs
@@ -45,7 +45,7 @@
     let tasks = world.agents.values().flat_map(|w| w.tasks.values());
     let running = tasks.filter(|task| task.on_machine()).count();
     let open = unfinished(world).len();
-    let segments = world.store.count("book/");
+    let segments = world.store.count_keys("book/");
     println!(
         "== {name}: {ms} ms simulated in {:?}, {machines} machines, {running} tasks, {open} unfinished jobs, {segments} segments",
         begun.elapsed()
@@ -70,7 +70,7 @@
 /// third of the machines is partitioned, an eighth of the machines hangs, all agents report to one node, and the store
 /// is down.
 fn run_fleet_with_faults(seed: u64, machines: usize) {
-    let mut world = World::of(seed, scenario(machines));
+    let mut world = World::with_scenario(seed, scenario(machines));
     run_phase(&mut world, "start", 90_000);
     run_phase(&mut world, "steady", 30_000);
     let machine_count = world.agents.len();
@@ -123,7 +123,7 @@
         measures: false,
         ..scenario(4_000)
     };
-    let mut world = World::of(701, scenario);
+    let mut world = World::with_scenario(701, scenario);
     run_phase(&mut world, "start", 60_000);
     let machine_count = world.agents.len();
     assert!(machine_count >= 3_000, "{machine_count} machines");
--- a/crates/core/tests/sim/main.rs
+++ b/crates/core/tests/sim/main.rs
@@ -46,9 +46,9 @@
 /// lost answers, late transactions, late reports and late commands.
 #[test]
 fn rules_hold_under_random_faults() {
-    // The last four seeds found these faults, in this order: a lease was taken for expired in a new incarnation; a gang
-    // was no longer counted once the first of its tasks was done; and, with two seeds, a leader that had not read back
-    // when the store went down kept the tasks of a cancelled job alive.
+    // The last four seeds found these defects, in this order: a lease was taken for expired in a new incarnation; a
+    // gang was no longer counted once the first of its tasks was done; and, with two seeds, a leader that had not read
+    // back when the store went down kept the tasks of a cancelled job alive.
     for seed in (100..110).chain([1060, 1221, 4010, 4049]) {
         run_with_default_faults(seed, 3, false);
     }
@@ -81,7 +81,7 @@
         large: true,
         ..Scenario::default()
     };
-    let mut world = World::of(600, scenario);
+    let mut world = World::with_scenario(600, scenario);
     world.run_until(30_000);
     assert!(world.agents.len() >= 100, "{}", world.agents.len());
     world.random_faults = true;
@@ -106,7 +106,7 @@
         lease_s: 12,
         ..Scenario::default()
     };
-    let mut world = World::of(612, scenario);
+    let mut world = World::with_scenario(612, scenario);
     world.run_until(40_000);
     assert!(world.agents.len() >= 1_000, "{}", world.agents.len());
     world.random_faults = true;
@@ -132,7 +132,7 @@
 /// are judged at the end of a run.
 fn run_with_random_faults(seed: u64, scenario: Scenario) -> World {
     println!("seed {seed}, {scenario:?}");
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.random_faults = true;
     world.run_until(150_000);
     world.end_faults();
--- a/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
+++ b/crates/core/tests/sim/one_way_machines_and_cut_nodes.rs
@@ -72,7 +72,7 @@
         lease_s: 20,
         ..Scenario::default()
     };
-    let mut world = World::of(540, scenario);
+    let mut world = World::with_scenario(540, scenario);
     world.run_until(40_000);
     // Partition the zone that the leader is not in.
     let leader = world.leader().expect("a leader");
@@ -113,7 +113,7 @@
         lease_s: 12,
         ..Scenario::default()
     };
-    let mut world = World::of(541, scenario);
+    let mut world = World::with_scenario(541, scenario);
     world.run_until(40_000);
     let old = world.leader().expect("a leader");
     let until = world.now + 30_000;
@@ -137,7 +137,7 @@
 /// that they find its successor. A follower in the same state never answers with 200.
 #[test]
 fn leader_that_reaches_only_agents_steps_down_and_is_replaced() {
-    let mut world = World::of(530, Scenario::default());
+    let mut world = World::with_scenario(530, Scenario::default());
     world.run_until(60_000);
     let old = world.leader().expect("a leader");
     let until = world.now + 40_000;
@@ -175,7 +175,7 @@
             report_s: 4.0,
             ..Scenario::default()
         };
-        let mut world = World::of(540, scenario);
+        let mut world = World::with_scenario(540, scenario);
         while world.busy_machine().is_none() {
             world.run_until(world.now + 500);
         }
@@ -222,7 +222,7 @@
 /// with tasks that were never submitted.
 #[test]
 fn invalid_reports_are_answered_and_change_nothing() {
-    let mut world = World::of(550, Scenario::default());
+    let mut world = World::with_scenario(550, Scenario::default());
     world.run_until(40_000);
     let known = world.agents.keys().next().cloned().expect("a machine");
     let unrented = MachineId::from("vm-999999");
@@ -269,7 +269,7 @@
 /// and open a watch. A node used to try once only, and then missed every later change.
 #[test]
 fn lost_watch_is_reopened_once_the_store_answers() {
-    let mut world = World::of(560, Scenario::default());
+    let mut world = World::with_scenario(560, Scenario::default());
     let mut core = Node::new(world.settings_of(0));
     // Feeds inputs to the node and answers its calls; returns whether it opens a watch within 200 steps.
     let opens_watch =
@@ -328,7 +328,7 @@
             user_interval_ms: 64,
             ..Scenario::default()
         };
-        let mut world = World::of(seed, scenario);
+        let mut world = World::with_scenario(seed, scenario);
         for at in (30..420).step_by(30) {
             world.run_until(at * 1_000);
             if leader_restarts {
--- a/crates/core/tests/sim/overlapping_faults.rs
+++ b/crates/core/tests/sim/overlapping_faults.rs
@@ -121,7 +121,7 @@
                 LeaderCrashes,
                 StoreRefusesLeader,
                 StoreDown,
-                StoreBack,
+                StoreRecovers,
             ],
             overlap: (LeaderCrashes, StoreDown),
             scenario: unchanged,
@@ -139,8 +139,8 @@
         },
         OverlapCase {
             name: "all nodes are down for longer than a lease",
-            faults: &[AllNodesAway, JobsCancelled, NodeRestartsQuickly],
-            overlap: (AllNodesAway, JobsCancelled),
+            faults: &[AllNodesDownBeyondLease, JobsCancelled, NodeRestartsQuickly],
+            overlap: (AllNodesDownBeyondLease, JobsCancelled),
             scenario: uneven_run_times,
         },
     ]);
@@ -163,7 +163,7 @@
         },
         OverlapCase {
             name: "cancelled while the store refuses the leader, is down or is slow",
-            faults: &[JobsCancelled, StoreRefusesLeader, StoreDown, StoreBack, SlowStore, RapidStatusRequests],
+            faults: &[JobsCancelled, StoreRefusesLeader, StoreDown, StoreRecovers, SlowStore, RapidStatusRequests],
             overlap: (JobsCancelled, StoreRefusesLeader),
             scenario: uneven_run_times,
         },
@@ -251,7 +251,7 @@
                 InvalidRequests,
                 LeaderCrashes,
                 StoreDown,
-                StoreBack,
+                StoreRecovers,
                 StoreRefusesLeader,
             ],
             overlap: (InvalidRequests, StoreDown),
--- a/crates/core/tests/sim/paused_nodes.rs
+++ b/crates/core/tests/sim/paused_nodes.rs
@@ -26,8 +26,8 @@
     );
 }
 
-/// A leader's process was paused for 56 s while the store was down in spells of one or two seconds, so that the
-/// leader's lease never expired there and no other node could be elected. Meanwhile the other nodes confirmed
+/// A leader's process was paused for 56 s while the store was down intermittently, for one or two seconds at a time, so
+/// that the leader's lease never expired there and no other node could be elected. Meanwhile the other nodes confirmed
 /// cancellations, which a majority knew. After the pause the leader renewed its lease within milliseconds, but its
 /// watch, whose call had timed out, was opened again only 0.3 s later. In between the leader took the tasks of the
 /// cancelled jobs for lost, placed and started them again, and stopped them only when the watch had caught up. As
@@ -47,14 +47,14 @@
     let (mut world, ids, leader) = run_until_jobs_are_running(seed, nodes, false);
     let pause_ends = world.now + world.cancel_ms() + PAUSE_BEYOND_CANCEL_MS;
     world.pause(leader, pause_ends);
-    world.begin_outage_spells(pause_ends);
+    world.begin_intermittent_outage(pause_ends);
     let cancelling_node = (leader + 1) % nodes;
     // The leader's open watch holds the first change; the leader has received none of the later ones when it resumes.
     for id in &ids[..2] {
         cancel_until_confirmed(&mut world, cancelling_node, id, pause_ends);
     }
     world.run_until(pause_ends - OUTAGE_ENDS_BEFORE_RESUME_MS);
-    world.end_outage_spells();
+    world.end_intermittent_outage();
     world.run_until(pause_ends);
     assert_eq!(
         world.leader_by_store(),
@@ -146,10 +146,10 @@
 /// Sets of faults that are injected together, each with pauses.
 const FAULT_SETS: [&[Fault]; 6] = [
     &[LeaderPauses, NodePauses],
-    &[LeaderPauses, StoreDownInSpells, JobsCancelled],
+    &[LeaderPauses, StoreDownIntermittently, JobsCancelled],
     &[
         SeveralNodesPause,
-        StoreDownInSpells,
+        StoreDownIntermittently,
         JobsCancelled,
         RapidStatusRequests,
     ],
@@ -157,7 +157,7 @@
         LeaderPauses,
         StoreRefusesLeader,
         StoreDown,
-        StoreBack,
+        StoreRecovers,
         JobsCancelled,
     ],
     &[
--- a/crates/core/tests/sim/pipelines.rs
+++ b/crates/core/tests/sim/pipelines.rs
@@ -33,7 +33,7 @@
 /// that were cancelled only because of a dependency.
 pub fn run_with_faults(seed: u64, scenario: Scenario) -> usize {
     println!("seed {seed}, {scenario:?}");
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.random_faults = true;
     world.run_until(150_000);
     world.end_faults();
@@ -100,7 +100,7 @@
     };
     let mut rejected = 0;
     for seed in 960..964 {
-        let mut world = World::of(seed, scenario.clone());
+        let mut world = World::with_scenario(seed, scenario.clone());
         world.random_faults = true;
         world.run_until(150_000);
         world.end_faults();
@@ -121,7 +121,7 @@
         lower_limits: Some((0, LOW_LIMITS)),
         ..Scenario::default()
     };
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.run_until(16_000);
     world
 }
@@ -204,7 +204,7 @@
 /// has more jobs than a transaction may change and if the leader crashes at once.
 #[test]
 fn a_chain_longer_than_a_transaction_is_cancelled_with_its_first_job() {
-    for (seed, leader_ends) in [(1_010, false), (1_011, true), (1_012, true)] {
+    for (seed, leader_crashes) in [(1_010, false), (1_011, true), (1_012, true)] {
         let mut world = scripted_world(seed, 3);
         let ids: Vec<JobId> = (1..60)
             .map(|n| {
@@ -220,7 +220,7 @@
         let answering_node = (leader + 1) % 3;
         let state = cancel(&mut world, answering_node, &ids[first + 1]);
         assert_eq!(state, JobState::Cancelled);
-        if leader_ends {
+        if leader_crashes {
             world.stop_node_for(leader, 60_000);
         }
         let node = (leader + 2) % 3;
@@ -241,7 +241,7 @@
 /// the jobs.
 #[test]
 fn records_of_dependents_are_cancelled_without_a_status_request() {
-    for (seed, leader_ends) in [(1_015, false), (1_016, true)] {
+    for (seed, leader_crashes) in [(1_015, false), (1_016, true)] {
         let mut world = scripted_world(seed, 3);
         let first = submit(&mut world, 0, single_task_job(1, &[]));
         for n in 2..12 {
@@ -252,7 +252,7 @@
             cancel(&mut world, (leader + 1) % 3, &first),
             JobState::Cancelled
         );
-        if leader_ends {
+        if leader_crashes {
             world.stop_node_for(leader, 30_000);
         }
         world.run_until(world.now + 15_000);
--- a/crates/core/tests/sim/rolling_upgrades.rs
+++ b/crates/core/tests/sim/rolling_upgrades.rs
@@ -161,7 +161,7 @@
         ..Scenario::default()
     };
     println!("seed {seed}, {scenario:?}");
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.run_until(50_000);
     world.random_faults = true;
     world.run_until(200_000);
--- a/crates/core/tests/sim/slow_nodes.rs
+++ b/crates/core/tests/sim/slow_nodes.rs
@@ -32,7 +32,7 @@
 
 /// Returns a world that has run until [`FAULTS_FROM_MS`].
 fn running_world(seed: u64, scenario: Scenario) -> World {
-    let mut world = World::of(seed, scenario);
+    let mut world = World::with_scenario(seed, scenario);
     world.run_until(FAULTS_FROM_MS);
     assert!(world.agents.len() >= 25, "{}", world.agents.len());
     world
--- a/crates/core/tests/sim/steady_load.rs
+++ b/crates/core/tests/sim/steady_load.rs
@@ -28,7 +28,7 @@
         core_share,
         ..Scenario::default()
     };
-    let mut world = World::of(971, scenario);
+    let mut world = World::with_scenario(971, scenario);
     world.run_until(60_000);
     assert!(world.agents.len() >= 60, "{}", world.agents.len());
     world.costs = Default::default();
--- a/crates/core/tests/sim/user_answers.rs
+++ b/crates/core/tests/sim/user_answers.rs
@@ -12,7 +12,7 @@
 struct SingleNode {
     node: Node,
     world: World,
-    out: Vec<Output>,
+    outputs: Vec<Output>,
 }
 
 impl SingleNode {
@@ -23,12 +23,12 @@
             scripted: true,
             ..Scenario::default()
         };
-        let world = World::of(570, scenario);
+        let world = World::with_scenario(570, scenario);
         let node = Node::new(world.settings_of(0));
         let mut node = Self {
             node,
             world,
-            out: Vec::new(),
+            outputs: Vec::new(),
         };
         node.wait(1_000);
         while let Some((id, call)) = node.take_call(|_| true) {
@@ -55,7 +55,7 @@
     fn step(&mut self, input: Input) {
         self.world.now += 1;
         let now = self.world.clock_of(0);
-        self.out.extend(self.node.step(input, now));
+        self.outputs.extend(self.node.step(input, now));
     }
 
     /// Delivers a change through the watch.
@@ -76,9 +76,9 @@
 
     /// Takes the first pending call to the store that `wanted` selects.
     fn take_call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<(CallId, StoreCall)> {
-        let of = |o: &Output| matches!(o, Output::Store(_, call) if wanted(call));
-        let at = self.out.iter().position(of)?;
-        match self.out.remove(at) {
+        let is_wanted = |o: &Output| matches!(o, Output::Store(_, call) if wanted(call));
+        let at = self.outputs.iter().position(is_wanted)?;
+        match self.outputs.remove(at) {
             Output::Store(id, call) => Some((id, call)),
             _ => None,
         }
@@ -105,7 +105,7 @@
 
     /// Returns the status and the body of the answer to a request, if there was one.
     fn answer_to(&mut self, req: u64) -> Option<(u16, Value)> {
-        self.out.iter().find_map(|o| match o {
+        self.outputs.iter().find_map(|o| match o {
             Output::Answer {
                 req: r,
                 status,
@@ -256,7 +256,7 @@
             Output::ReplicateCancellations(peer, a) => Some((peer.clone(), a.cancelled.clone())),
             _ => None,
         };
-        let announced: Vec<_> = node.out.iter().filter_map(replicated).collect();
+        let announced: Vec<_> = node.outputs.iter().filter_map(replicated).collect();
         assert_eq!(announced.len(), nodes - 1, "to every other node");
         let job = CancelledJob {
             job: id().to_string(),
--- a/crates/core/tests/sim/world/agent.rs
+++ b/crates/core/tests/sim/world/agent.rs
@@ -12,11 +12,11 @@
     pub task: TaskId,
     pub attempt: Attempt,
     pub state: TaskState,
-    why: Option<Cause>,
+    cause: Option<Cause>,
     /// When the task entered its state; an exit does not change it.
     pub since: u64,
     service: bool,
-    /// Number of tasks of its gang, if it belongs to one.
+    /// Number of tasks of the task's gang, if it belongs to one.
     pub gang: Option<u32>,
     run_ms: u64,
     /// Time since which another task of its gang has been missing.
@@ -33,9 +33,9 @@
     }
 
     /// Ends the task with a cause.
-    pub fn exit(&mut self, why: Cause) {
+    pub fn exit(&mut self, cause: Cause) {
         self.state = TaskState::Exited;
-        self.why = Some(why);
+        self.cause = Some(cause);
     }
 }
 
@@ -43,24 +43,25 @@
 pub struct SimulatedAgent {
     gang_wait_ms: u64,
     id: MachineId,
-    rent: ScaleOutRequest,
+    scale_out: ScaleOutRequest,
     pub incarnation: Incarnation,
     seq: u64,
-    /// Highest epoch in an answer or a command that it has accepted.
+    /// Highest epoch in an answer or a command that the agent has accepted.
     pub token: Epoch,
-    /// Send time of the latest report that was answered. The lease is counted from it.
-    pub answered: u64,
+    /// Start of the lease: when the latest answered report was sent, or when the agent was created or its lease
+    /// expired if no report has been answered since.
+    pub lease_start: u64,
     pub tasks: BTreeMap<(TaskId, Attempt), Task>,
-    /// Node to which it reports.
+    /// Node to which the agent reports.
     pub node: usize,
     pub partitioned_until: u64,
-    /// End of the fault in which its reports arrive, but nothing reaches it.
+    /// End of the fault in which the agent's reports arrive, but nothing reaches the agent.
     pub unreachable_until: u64,
-    /// End of the fault in which its reports reach no node, but commands reach it.
+    /// End of the fault in which the agent's reports reach no node, but commands reach the agent.
     pub unable_to_report_until: u64,
-    /// End of the fault in which it does nothing, and after which it resumes.
+    /// End of the fault in which the agent does nothing, and after which it resumes.
     pub hangs_until: u64,
-    /// Number of tasks that it has started.
+    /// Number of tasks that the agent has started.
     pub starts: u32,
 }
 
@@ -71,15 +72,15 @@
 
 impl SimulatedAgent {
     /// Creates an agent whose tasks of gangs wait `gang_wait_ms` for the rest of their gang.
-    pub fn new(id: MachineId, rent: ScaleOutRequest, gang_wait_ms: u64, now: u64) -> Self {
+    pub fn new(id: MachineId, scale_out: ScaleOutRequest, gang_wait_ms: u64, now: u64) -> Self {
         Self {
             gang_wait_ms,
             id,
-            rent,
+            scale_out,
             incarnation: Incarnation(1),
             seq: 0,
             token: Epoch(0),
-            answered: now,
+            lease_start: now,
             tasks: BTreeMap::new(),
             node: 0,
             partitioned_until: 0,
@@ -91,11 +92,11 @@
     }
 
     pub fn zone(&self) -> &str {
-        self.rent.zone.as_str()
+        self.scale_out.zone.as_str()
     }
 
     pub fn is_spot(&self) -> bool {
-        self.rent.spot
+        self.scale_out.spot
     }
 
     /// Restarts the agent at once under the same machine id, in its next incarnation and without tasks.
@@ -107,9 +108,9 @@
     /// Ends all tasks and begins the next incarnation if the lease, counted from the last answered report, has
     /// expired.
     pub fn expire(&mut self, now: u64, lease: u64) {
-        if now > self.answered + lease {
+        if now > self.lease_start + lease {
             self.reboot();
-            self.answered = now;
+            self.lease_start = now;
         }
     }
 
@@ -119,9 +120,9 @@
         StatusReport {
             machine: self.id.clone(),
             addr: "10.2.0.1:1".into(),
-            machine_type: self.rent.machine_type.clone(),
-            zone: self.rent.zone.clone(),
-            spot: self.rent.spot,
+            machine_type: self.scale_out.machine_type.clone(),
+            zone: self.scale_out.zone.clone(),
+            spot: self.scale_out.spot,
             incarnation: self.incarnation,
             seq: Seq(self.seq),
             token: self.token,
@@ -131,7 +132,7 @@
                     task: t.task.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    cause: t.why,
+                    cause: t.cause,
                     saved: None,
                 })
                 .collect(),
@@ -187,21 +188,21 @@
                     return;
                 }
                 let job = &jobs[&task.job];
-                let need: f64 = (self.tasks.values())
+                let used_cpus: f64 = (self.tasks.values())
                     .filter(|t| t.state != TaskState::Exited)
                     .map(|t| jobs[&t.task.job].spec.cpus)
                     .sum();
-                let room = need + job.spec.cpus <= 4.0;
-                self.starts += u32::from(room);
+                let has_room = used_cpus + job.spec.cpus <= 4.0;
+                self.starts += u32::from(has_room);
                 let new = Task {
                     task: task.clone(),
                     attempt: *attempt,
-                    state: if room {
+                    state: if has_room {
                         TaskState::Fetching
                     } else {
                         TaskState::Exited
                     },
-                    why: (!room).then_some(Cause::NoRoom),
+                    cause: (!has_room).then_some(Cause::NoRoom),
                     since: now,
                     service: job.spec.kind == Kind::Service,
                     gang_broken_since: None,
--- a/crates/core/tests/sim/world/agents.rs
+++ b/crates/core/tests/sim/world/agents.rs
@@ -132,10 +132,10 @@
 
     /// Adds the agents of machines that have booted, and removes those of returned machines.
     pub(super) fn boot_machines(&mut self) {
-        for (id, offer) in self.cloud.take_booted(self.now) {
+        for (id, scale_out) in self.cloud.take_booted(self.now) {
             let agent = SimulatedAgent::new(
                 id.clone(),
-                offer,
+                scale_out,
                 self.scenario.gang_wait_s * 1_000,
                 self.now,
             );
@@ -266,7 +266,7 @@
                     return;
                 }
                 agent.token = reply.token;
-                agent.answered = agent.answered.max(sent);
+                agent.lease_start = agent.lease_start.max(sent);
                 for command in &reply.commands {
                     agent.execute(command, &self.jobs, now);
                 }
--- a/crates/core/tests/sim/world/cloud.rs
+++ b/crates/core/tests/sim/world/cloud.rs
@@ -7,8 +7,8 @@
 use rudderreel_wire::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest number of machines on a page of the cloud's list, by the protocol.
-const PAGE_MACHINES: usize = 500;
+/// Maximum number of machines on a page of the cloud's list, by the protocol.
+const MAX_PAGE_MACHINES: usize = 500;
 
 /// A simulated cloud with one machine type.
 #[derive(Default)]
@@ -22,7 +22,7 @@
     /// Machines that were returned since the last call of [`Cloud::take_returned`].
     returned: Vec<MachineId>,
     next_id: u32,
-    /// Largest number of machines that can be rented at the same time.
+    /// Maximum number of machines that can be rented at the same time.
     capacity: usize,
     /// Shortest and longest boot time of a machine, in milliseconds.
     boot_ms: (u64, u64),
@@ -33,7 +33,7 @@
 
 impl Cloud {
     /// Creates a cloud with a capacity, a range of boot times, and zones.
-    pub fn of(capacity: usize, boot_ms: (u64, u64), zones: &'static [&'static str]) -> Self {
+    pub fn new(capacity: usize, boot_ms: (u64, u64), zones: &'static [&'static str]) -> Self {
         Self {
             capacity,
             boot_ms,
@@ -58,8 +58,8 @@
         let new: Vec<MachineId> = self.booting.iter().filter(up).cloned().collect();
         let rented = |id: MachineId| {
             self.booting.remove(&id);
-            let rent = self.machines[&id].0.clone();
-            (id, rent)
+            let request = self.machines[&id].0.clone();
+            (id, request)
         };
         new.into_iter().map(rented).collect()
     }
@@ -88,21 +88,21 @@
                     zones: self.zones.iter().map(|zone| (*zone).into()).collect(),
                 }],
             }),
-            CloudCall::ScaleOut(rent) => {
-                if let Some(machines) = self.requested.get(&rent.request) {
+            CloudCall::ScaleOut(request) => {
+                if let Some(machines) = self.requested.get(&request.request) {
                     let machines = machines.clone();
                     return CloudAnswer::Rented(MachineNames { machines });
                 }
                 let room = self
                     .capacity
                     .saturating_sub(self.machines.len())
-                    .min(rent.count as usize);
+                    .min(request.count as usize);
                 if room == 0 {
                     return CloudAnswer::NoCapacity;
                 }
-                let machines: Vec<MachineId> = (0..room).map(|_| self.add(rent, now)).collect();
+                let machines: Vec<MachineId> = (0..room).map(|_| self.add(request, now)).collect();
                 self.requested
-                    .insert(rent.request.clone(), machines.clone());
+                    .insert(request.request.clone(), machines.clone());
                 CloudAnswer::Rented(MachineNames { machines })
             }
             CloudCall::ScaleIn(names) => {
@@ -118,28 +118,28 @@
                     .filter(|(id, (_, at))| {
                         now >= at + 3_000 && after.as_ref().is_none_or(|a| *id > a)
                     })
-                    .map(|(id, (rent, at))| ListedMachine {
+                    .map(|(id, (request, at))| ListedMachine {
                         id: id.clone(),
                         addr: None,
-                        machine_type: rent.machine_type.clone(),
-                        zone: rent.zone.clone(),
-                        spot: rent.spot,
+                        machine_type: request.machine_type.clone(),
+                        zone: request.zone.clone(),
+                        spot: request.spot,
                         state: ListedState::Running,
                         age_s: (now - at) as f64 / 1000.0,
                     })
-                    .take(PAGE_MACHINES + 1)
+                    .take(MAX_PAGE_MACHINES + 1)
                     .collect();
-                let more = machines.len() > PAGE_MACHINES;
-                machines.truncate(PAGE_MACHINES);
+                let more = machines.len() > MAX_PAGE_MACHINES;
+                machines.truncate(MAX_PAGE_MACHINES);
                 CloudAnswer::Page(MachinePage { machines, more })
             }
         }
     }
 
-    fn add(&mut self, rent: &ScaleOutRequest, now: u64) -> MachineId {
+    fn add(&mut self, request: &ScaleOutRequest, now: u64) -> MachineId {
         self.next_id += 1;
         let id = MachineId::from(format!("vm-{:06}", self.next_id).as_str());
-        self.machines.insert(id.clone(), (rent.clone(), now));
+        self.machines.insert(id.clone(), (request.clone(), now));
         self.booting.insert(id.clone());
         id
     }
--- a/crates/core/tests/sim/world/costs.rs
+++ b/crates/core/tests/sim/world/costs.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Costs measured since the test last took them.
+/// Costs measured since the test last reset them.
 #[derive(Debug, Default)]
 pub struct Costs {
     /// Steps by whether the node leads and by the kind of input.
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    /// Runs a step of the core, and measures it if the scenario says so.
+    /// Runs a step of the core, and measures its costs if the scenario says so.
     pub(super) fn measured_step(&mut self, node: usize, input: Input, now: Now) -> Vec<Output> {
         if !self.scenario.measures {
             return self.step_core(node, input, now);
@@ -56,7 +56,7 @@
         let took = begun.elapsed();
         self.costs.steps.entry(kind).or_default().add(took);
         for output in &outputs {
-            if let Some((kind, bytes)) = message(output) {
+            if let Some((kind, bytes)) = kind_and_size(output) {
                 self.costs.messages.entry(kind).or_default().add(bytes);
             }
         }
@@ -74,10 +74,10 @@
         Input::ForwardedReports(..) => "batch of reports",
         Input::ForwardedReportsReply(..) => "reply to a batch",
         Input::ReplicateCancellations(..) | Input::ReplicateCancellationsReply(..) => {
-            "announcement"
+            "cancellations"
         }
         Input::ForwardReply(..) => "reply to a user",
-        Input::Store { .. } => "state service",
+        Input::Store { .. } => "store",
         Input::Watched { .. } | Input::WatchLost => "watch",
         Input::Cloud(..) => "cloud",
         Input::Direct { .. } => "direct call",
@@ -85,7 +85,7 @@
 }
 
 /// Returns the kind and the size in bytes of an output that is sent to a peer, the store, the cloud or an agent.
-fn message(output: &Output) -> Option<(&'static str, usize)> {
+fn kind_and_size(output: &Output) -> Option<(&'static str, usize)> {
     Some(match output {
         Output::Heartbeat(heartbeat) => ("heartbeat", bitcode::encode(heartbeat).len()),
         Output::AnswerHeartbeat(_, reply) => ("heartbeat reply", bitcode::encode(reply).len()),
@@ -96,13 +96,13 @@
             ("reply to a batch", bitcode::encode(reply).len())
         }
         Output::ReplicateCancellations(_, cancellations) => {
-            ("announcement", bitcode::encode(cancellations).len())
+            ("cancellations", bitcode::encode(cancellations).len())
         }
         Output::Store(_, rudderreel_core::StoreCall::Commit(transaction)) => {
             let bytes = serde_json::to_vec(transaction).expect("JSON").len();
             ("commit", bytes)
         }
-        Output::Store(..) => ("other state call", 0),
+        Output::Store(..) => ("other store call", 0),
         Output::Cloud(..) => ("cloud call", 0),
         Output::Direct { body, .. } => {
             let bytes = serde_json::to_vec(body).expect("JSON").len();
--- a/crates/core/tests/sim/world/decision_digest.rs
+++ b/crates/core/tests/sim/world/decision_digest.rs
@@ -49,10 +49,10 @@
                 self.kind("announcement reply", req.0);
                 self.bytes(&bitcode::encode(reply));
             }
-            Output::ReplicateCancellations(peer, announcement) => {
+            Output::ReplicateCancellations(peer, cancellations) => {
                 self.kind("announcement", 0);
                 self.text(peer.as_str());
-                self.bytes(&bitcode::encode(announcement));
+                self.bytes(&bitcode::encode(cancellations));
             }
             Output::ForwardReports {
                 peer,
@@ -65,7 +65,7 @@
             }
             Output::Store(call, request) => {
                 self.kind("state", call.0);
-                self.state_call(request);
+                self.store_call(request);
             }
             Output::Watch(revision) => self.kind("watch", revision.0),
             Output::Cloud(call, request) => {
@@ -99,7 +99,7 @@
         }
     }
 
-    fn state_call(&mut self, call: &StoreCall) {
+    fn store_call(&mut self, call: &StoreCall) {
         match call {
             StoreCall::Get(key) => {
                 self.kind("get", 0);
@@ -127,9 +127,9 @@
     fn cloud_call(&mut self, call: &CloudCall) {
         match call {
             CloudCall::Catalog => self.kind("catalog", 0),
-            CloudCall::ScaleOut(rent) => {
+            CloudCall::ScaleOut(request) => {
                 self.kind("rent", 0);
-                self.json(rent);
+                self.json(request);
             }
             CloudCall::ScaleIn(names) => {
                 self.kind("return", 0);
--- a/crates/core/tests/sim/world/faults.rs
+++ b/crates/core/tests/sim/world/faults.rs
@@ -9,13 +9,13 @@
     LeaderCrashes,
     AllNodesCrash,
     /// All nodes are down for longer than an agent's lease.
-    AllNodesAway,
+    AllNodesDownBeyondLease,
     /// A node restarts so quickly that other nodes may not have noticed.
     NodeRestartsQuickly,
     AllNodesRestartQuickly,
     SlowNode,
     StoreDown,
-    StoreBack,
+    StoreRecovers,
     SlowStore,
     /// The store refuses the calls of one node.
     StoreRefusesNode,
@@ -58,7 +58,7 @@
     SeveralNodesPause,
     /// The store is down intermittently; the time between two outages is too short for the leader's lease to expire
     /// there.
-    StoreDownInSpells,
+    StoreDownIntermittently,
     /// Every team is at its limit, or within one task of it. This is observed, not injected.
     TeamsAtLimit,
 }
@@ -71,13 +71,13 @@
         NodeCrashes,
         LeaderCrashes,
         AllNodesCrash,
-        AllNodesAway,
+        AllNodesDownBeyondLease,
         NodeRestartsQuickly,
         AllNodesRestartQuickly,
         SlowNode,
         StoreDown,
-        StoreBack,
-        StoreBack,
+        StoreRecovers,
+        StoreRecovers,
         SlowStore,
         StoreRefusesNode,
         StoreRefusesLeader,
@@ -113,7 +113,7 @@
 
     /// Delivers the held copies of reports to every node once the epoch has changed.
     pub(super) fn deliver_held_reports(&mut self) {
-        let epoch = self.store.number("epoch", "epoch");
+        let epoch = self.store.number_field("epoch", "epoch");
         if epoch == self.epoch_seen {
             return;
         }
@@ -195,7 +195,7 @@
                 until = self.now + 4_000;
             }
             Fault::AllNodesCrash => (0..self.scenario.nodes).for_each(|n| self.crash(n)),
-            Fault::AllNodesAway => {
+            Fault::AllNodesDownBeyondLease => {
                 let down_ms = self.scenario.lease_s * 1_000 + 1_500;
                 (0..self.scenario.nodes).for_each(|n| self.stop_process(n, down_ms));
                 until = self.now + down_ms;
@@ -206,8 +206,8 @@
             }
             Fault::SlowNode => self.nodes[node].slow_until = default_until,
             Fault::StoreDown => self.store.set_down(true, self.now),
-            Fault::StoreBack => self.store.set_down(false, self.now),
-            Fault::SlowStore => self.state_slow_until = default_until,
+            Fault::StoreRecovers => self.store.set_down(false, self.now),
+            Fault::SlowStore => self.store_slow_until = default_until,
             Fault::StoreRefusesNode => self.nodes[node].cut_from_store_until = default_until,
             Fault::StoreRefusesLeader => self.nodes[leader].cut_from_store_until = default_until,
             Fault::LateWrites => self.late_writes_until = default_until,
@@ -249,9 +249,9 @@
             Fault::SeveralNodesPause => {
                 until = self.pause_for_a_while(&[leader, (leader + 1) % self.scenario.nodes])
             }
-            Fault::StoreDownInSpells => {
+            Fault::StoreDownIntermittently => {
                 until = self.now + 2 * self.scenario.cancel_ms();
-                self.begin_outage_spells(until);
+                self.begin_intermittent_outage(until);
             }
             Fault::TeamsAtLimit => {}
         }
@@ -273,36 +273,37 @@
     }
 
     /// Starts an intermittent outage of the store that ends at a given time.
-    pub fn begin_outage_spells(&mut self, until: u64) {
-        self.outage_spells_until = until;
-        self.next_outage_spell(until);
+    pub fn begin_intermittent_outage(&mut self, until: u64) {
+        self.intermittent_outage_until = until;
+        self.begin_next_outage_phase(until);
     }
 
     /// Ends an intermittent outage of the store.
-    pub fn end_outage_spells(&mut self) {
-        self.outage_spells_until = 0;
+    pub fn end_intermittent_outage(&mut self) {
+        self.intermittent_outage_until = 0;
         self.store.set_down(false, self.now);
     }
 
     /// Begins the next down or up phase of an intermittent outage, and schedules the one after it.
-    pub(super) fn next_outage_spell(&mut self, until: u64) {
-        if until != self.outage_spells_until {
+    pub(super) fn begin_next_outage_phase(&mut self, until: u64) {
+        if until != self.intermittent_outage_until {
             return;
         }
         if self.now >= until {
-            return self.end_outage_spells();
+            return self.end_intermittent_outage();
         }
         self.store.set_down(!self.store.down, self.now);
-        let spell = if self.store.down {
+        let phase_ms = if self.store.down {
             self.rng.random_range(700..1_300)
         } else {
             self.rng.random_range(300..1_500)
         };
-        self.schedule(spell, Event::OutageSpell(until));
+        self.schedule(phase_ms, Event::OutagePhase(until));
     }
 
-    /// Has users cancel up to `count` running jobs, and makes some of the machines that they run on hang until `hang`.
-    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang: u64) {
+    /// Has users cancel up to `count` running jobs, and makes some of the machines on which these run hang until
+    /// `hang_until`.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_until: u64) {
         let mut running: Vec<(JobId, MachineId)> = Vec::new();
         for (machine, agent) in &self.agents {
             let on = agent.tasks.values().filter(|t| t.on_machine());
@@ -326,7 +327,7 @@
             }
             if self.rng.random_bool(0.5) {
                 if let Some(agent) = self.agents.get_mut(&machine) {
-                    agent.hangs_until = hang;
+                    agent.hangs_until = hang_until;
                 }
             }
         }
@@ -344,9 +345,9 @@
     }
 
     /// Applies a fault to each agent with the probability `share`.
-    pub fn affect_some_agents(&mut self, share: f64, fault: impl Fn(&mut SimulatedAgent)) {
+    pub fn affect_some_agents(&mut self, probability: f64, fault: impl Fn(&mut SimulatedAgent)) {
         for agent in self.agents.values_mut() {
-            if self.rng.random_bool(share) {
+            if self.rng.random_bool(probability) {
                 fault(agent);
             }
         }
@@ -363,13 +364,13 @@
             node.slow_until = 0;
             node.watch_hangs_until = 0;
         }
-        self.end_outage_spells();
+        self.end_intermittent_outage();
         for node in 0..self.scenario.nodes {
             if self.is_paused(node) {
                 self.pause(node, self.now);
             }
         }
-        self.state_slow_until = 0;
+        self.store_slow_until = 0;
         self.late_writes_until = 0;
         self.lost_answers_until = 0;
         self.slow_links_until = 0;
--- a/crates/core/tests/sim/world/mod.rs
+++ b/crates/core/tests/sim/world/mod.rs
@@ -80,11 +80,11 @@
     /// A node whose steps take time is free for its next queued input.
     ProcessorFree(usize, u32),
     Input(usize, u32, Input),
-    State(usize, u32, CallId, Time, rudderreel_core::StoreCall),
+    StoreCall(usize, u32, CallId, Time, rudderreel_core::StoreCall),
     LateTransaction(rudderreel_core::StoreCall),
     /// A watch for changes after a revision, and its send time.
     Watch(usize, u32, Version, Time),
-    /// A watch that has timed out is opened again.
+    /// The reopening of a watch that has timed out.
     RetryWatch(usize, u32, Version),
     Cloud(usize, u32, CallId, rudderreel_core::CloudCall),
     Direct(usize, u32, MachineId, DirectCommands, bool),
@@ -104,8 +104,8 @@
     Restart(usize),
     /// A paused process resumes.
     Resume(usize, u32),
-    /// The next down or up phase of an intermittent outage, and the time at which the outage ends.
-    OutageSpell(u64),
+    /// The next down or up phase of an intermittent outage of the store, and the time at which the outage ends.
+    OutagePhase(u64),
     LowerLimits,
     Upgrade(usize),
 }
@@ -133,6 +133,7 @@
 pub struct ObservedJob {
     pub spec: JobSpec,
     pub accepted: bool,
+    /// State in the latest answer to its user.
     pub last: Option<JobState>,
     pub cancelled_at: Option<u64>,
     /// Whether its user has requested its cancellation.
@@ -144,11 +145,11 @@
     pub run_ms: (u64, u64),
     /// When its user was first answered that it is done or cancelled.
     pub final_at: u64,
-    /// When it was added, before its first submission.
-    pub asked_at: u64,
+    /// When it was added to the world, before its first submission.
+    pub added_at: u64,
     /// When its user was first answered that it is accepted.
     accepted_at: u64,
-    /// When all jobs that it depends on were done, but not before `asked_at`.
+    /// When all jobs that it depends on were done, but not before `added_at`.
     pub ready_at: Option<u64>,
     /// When it first ran: a gang with all of its tasks, other jobs with any task.
     pub begun_at: Option<u64>,
@@ -174,13 +175,13 @@
     next_job: u32,
     next_invalid: u32,
     pub random_faults: bool,
-    /// Starts that agents have carried out.
+    /// Number of tasks that agents have started.
     pub starts: u32,
-    /// Start commands that nodes have sent.
+    /// Number of start commands that nodes have sent.
     pub start_commands: u32,
     scenario: Scenario,
-    state_slow_until: u64,
-    outage_spells_until: u64,
+    store_slow_until: u64,
+    intermittent_outage_until: u64,
     late_writes_until: u64,
     lost_answers_until: u64,
     slow_links_until: u64,
@@ -193,7 +194,7 @@
     epoch_seen: u64,
     /// Jobs all of whose tasks have ended.
     ended: BTreeSet<JobId>,
-    /// Injected faults, each with its start and end.
+    /// Injected or observed faults, each with its start and end.
     pub faults_seen: Vec<(Fault, u64, u64)>,
     /// Start commands that a node sent after the job's user was answered that it is cancelled, each with the
     /// milliseconds since that answer.
@@ -240,11 +241,11 @@
 
 impl World {
     pub fn new(seed: u64) -> Self {
-        Self::of(seed, Scenario::default())
+        Self::with_scenario(seed, Scenario::default())
     }
 
     /// Creates a world from a scenario.
-    pub fn of(seed: u64, scenario: Scenario) -> Self {
+    pub fn with_scenario(seed: u64, scenario: Scenario) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let settings: Vec<Settings> = (0..scenario.nodes).map(|n| scenario.settings(n)).collect();
         let nodes = (0..scenario.nodes).map(|_| SimulatedNode {
@@ -269,8 +270,8 @@
             rejected: BTreeMap::new(),
             rng,
             settings,
-            store: Store::of(scenario.store),
-            cloud: Cloud::of(scenario.machines, scenario.boot_ms, scenario.zone_names),
+            store: Store::with_limits(scenario.store),
+            cloud: Cloud::new(scenario.machines, scenario.boot_ms, scenario.zone_names),
             agents: BTreeMap::new(),
             jobs: BTreeMap::new(),
             results: BTreeMap::new(),
@@ -281,8 +282,8 @@
             random_faults: false,
             starts: 0,
             start_commands: 0,
-            state_slow_until: 0,
-            outage_spells_until: 0,
+            store_slow_until: 0,
+            intermittent_outage_until: 0,
             late_writes_until: 0,
             lost_answers_until: 0,
             slow_links_until: 0,
@@ -380,13 +381,13 @@
                     self.step(node, input);
                 }
             }
-            Event::State(node, generation, id, sent, call)
+            Event::StoreCall(node, generation, id, sent, call)
                 if self.is_held_back(node, generation) =>
             {
                 let (delay, sent) = (self.remaining_pause(node), self.sending_time(node, sent));
-                self.schedule(delay, Event::State(node, generation, id, sent, call));
+                self.schedule(delay, Event::StoreCall(node, generation, id, sent, call));
             }
-            Event::State(node, generation, id, sent, call) => {
+            Event::StoreCall(node, generation, id, sent, call) => {
                 self.call_store(node, generation, id, sent, call)
             }
             Event::LateTransaction(call) => {
@@ -453,7 +454,7 @@
                 self.restart_as(node, NodeVersion::Current, down_ms);
             }
             Event::Resume(node, generation) => self.resume(node, generation),
-            Event::OutageSpell(until) => self.next_outage_spell(until),
+            Event::OutagePhase(until) => self.begin_next_outage_phase(until),
             Event::Restart(node) => {
                 if self.nodes[node].process.is_none() {
                     self.start(node);
--- a/crates/core/tests/sim/world/nodes.rs
+++ b/crates/core/tests/sim/world/nodes.rs
@@ -72,7 +72,7 @@
     /// Delivers an input to a node: at once, or into its queue if the process is paused or busy.
     pub(super) fn step(&mut self, node: usize, input: Input) {
         if self.is_paused(node) {
-            self.wait_for_resume(node, input);
+            self.queue_while_paused(node, input);
         } else if self.scenario.steps_take_time {
             self.enqueue(node, input);
         } else {
@@ -120,7 +120,7 @@
                 }
                 Output::Store(id, call) => self.schedule(
                     message_delay,
-                    Event::State(node, generation, id, now.time, call),
+                    Event::StoreCall(node, generation, id, now.time, call),
                 ),
                 Output::Watch(after) => self.schedule(
                     message_delay,
@@ -176,9 +176,9 @@
 
     /// Returns the node that leads according to the store.
     pub fn leader_by_store(&self) -> Option<usize> {
-        let moved = self.store.is_set("pub/leader", "superseded");
+        let moved = self.store.bool_field("pub/leader", "superseded");
         let key = if moved { "pub/seat" } else { "pub/leader" };
-        let name = self.store.text(key, "node")?;
+        let name = self.store.text_field(key, "node")?;
         (0..self.scenario.nodes).find(|n| self.settings[*n].node.as_str() == name)
     }
 
--- a/crates/core/tests/sim/world/old_version.rs
+++ b/crates/core/tests/sim/world/old_version.rs
@@ -1,8 +1,8 @@
 //! Nodes of the version in production, which doesn't support dependencies between jobs.
 //!
-//! The code of that version can't be linked here. It differs in what it can read, keep and do, so it is simulated
-//! by the present core behind a filter: dependencies are dropped from submissions and records, keys and
-//! fields that it doesn't know are hidden from it, and records that it can't read are unreadable.
+//! The code of that version can't be linked here. The version is simulated by the present core behind a filter of what
+//! that version can read, keep and do: dependencies are dropped from submissions and records, keys and fields that the
+//! version doesn't know are hidden from it, and records that it can't read are replaced by null.
 
 use super::*;
 use rudderreel_core::{CloudCall, StoreCall};
@@ -20,11 +20,11 @@
 /// States of a job that the version in production can read.
 const PRODUCTION_STATES: [&str; 4] = ["pending", "running", "done", "aborted"];
 /// Fields of a leader's record that the version in production knows.
-const PRODUCTION_LEADER: [&str; 3] = ["node", "epoch", "lease"];
+const PRODUCTION_LEADER_FIELDS: [&str; 3] = ["node", "epoch", "lease"];
 /// Fields of a job's record that the version in production doesn't know.
 const LATER_JOB_FIELDS: [&str; 3] = ["cancelled_by", "finished", "names_dependencies"];
 /// Prefixes of the keys that the version in production reads; it ignores all other keys that it watches.
-const PRODUCTION_KEYS: [&str; 7] = [
+const PRODUCTION_KEY_PREFIXES: [&str; 7] = [
     "pub/job/",
     "pub/leader",
     "pub/admin",
@@ -142,7 +142,9 @@
 }
 
 fn is_known(key: &str) -> bool {
-    PRODUCTION_KEYS.iter().any(|known| key.starts_with(known))
+    PRODUCTION_KEY_PREFIXES
+        .iter()
+        .any(|known| key.starts_with(known))
 }
 
 fn read_item(mut item: Item<Value>) -> Item<Value> {
@@ -164,7 +166,7 @@
                 version,
             })
         }
-        // The only deletion that the version in production reads is that of the leader's key.
+        // The only deletion that the version in production reads is that of the leader key.
         WatchEvent::Delete { ref key, .. } if key == "pub/leader" => Some(event),
         _ => None,
     }
@@ -186,7 +188,7 @@
         return;
     };
     if key == "pub/leader" {
-        fields.retain(|name, _| PRODUCTION_LEADER.contains(&name.as_str()));
+        fields.retain(|name, _| PRODUCTION_LEADER_FIELDS.contains(&name.as_str()));
     }
     if key.starts_with("pub/job/") {
         fields.retain(|name, _| !LATER_JOB_FIELDS.contains(&name.as_str()));
--- a/crates/core/tests/sim/world/pauses.rs
+++ b/crates/core/tests/sim/world/pauses.rs
@@ -1,9 +1,9 @@
 //! Process pauses: a process doesn't run while its clocks do, as on a machine that swaps or whose hypervisor is busy.
 //!
-//! Inputs that arrive during a pause wait in sockets and queues until the process resumes, and look fresh then. Their
-//! senders give up at their own timeouts. By the time the process resumes, answers to its own calls have arrived, or
-//! the calls have timed out; calls that it was about to make are sent late. Random numbers are drawn here only for a
-//! paused process, so that runs without pauses keep their random sequence.
+//! Inputs that arrive during a pause wait in sockets and queues until the process resumes, which then can't tell how
+//! long they have waited. Their senders give up at their own timeouts. By the time the process resumes, answers to its
+//! own calls have arrived, or the calls have timed out; calls that it was about to make are sent late. Random numbers
+//! are drawn here only for a paused process, so that runs without pauses keep their random sequence.
 
 use super::*;
 
@@ -60,7 +60,7 @@
     }
 
     /// Queues an input for a paused process.
-    pub(super) fn wait_for_resume(&mut self, node: usize, input: Input) {
+    pub(super) fn queue_while_paused(&mut self, node: usize, input: Input) {
         let since = self.now;
         (self.nodes[node].pause.waiting).push(WaitingInput { since, input });
     }
@@ -158,7 +158,7 @@
     }
 
     /// Draws whether the watch of a paused process times out; it is then opened again after a delay.
-    pub(super) fn watch_runs_out(&mut self, node: usize) -> bool {
+    pub(super) fn watch_times_out(&mut self, node: usize) -> bool {
         self.pause_outlasts(node, WATCH_TIMEOUT_MS) && self.rng.random_bool(0.5)
     }
 
--- a/crates/core/tests/sim/world/peer_messages.rs
+++ b/crates/core/tests/sim/world/peer_messages.rs
@@ -11,8 +11,11 @@
     let sender = SenderVersion::KnowsDependencies;
     let (request, sender) = match forward {
         Forward::Submit(text) => {
-            let passed = ForwardedSubmission::parse(&text).expect("a submission");
-            (UserRequest::Submit(Box::new(passed.spec)), passed.sender)
+            let submission = ForwardedSubmission::parse(&text).expect("a submission");
+            (
+                UserRequest::Submit(Box::new(submission.spec)),
+                submission.sender,
+            )
         }
         Forward::Admin(path) => {
             return Input::Admin {
@@ -177,7 +180,7 @@
             let generation = self.nodes[from].generation;
             let message_delay = self.message_delay();
             // The send time is taken a little late here, when the heartbeat arrives. That is the worse case only
-            // for the leader's own doubt about its leadership; the real shell takes the time before sending.
+            // for the leader's own doubt about its leadership; the controller program takes the time before sending.
             self.schedule(
                 message_delay,
                 Event::Input(from, generation, Input::HeartbeatReply(sent, reply)),
--- a/crates/core/tests/sim/world/pipelines.rs
+++ b/crates/core/tests/sim/world/pipelines.rs
@@ -28,11 +28,11 @@
     /// Returns all jobs on which a job depends, directly or indirectly.
     pub fn ancestors(&self, id: &JobId) -> BTreeSet<JobId> {
         let mut found = BTreeSet::new();
-        let mut open = vec![id.clone()];
-        while let Some(id) = open.pop() {
+        let mut unvisited = vec![id.clone()];
+        while let Some(id) = unvisited.pop() {
             for needed in &self.jobs[&id].spec.dependencies {
                 if found.insert(needed.clone()) {
-                    open.push(needed.clone());
+                    unvisited.push(needed.clone());
                 }
             }
         }
@@ -55,7 +55,7 @@
         for id in ready {
             let now = self.now;
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.ready_at = Some(now.max(job.asked_at));
+                job.ready_at = Some(now.max(job.added_at));
             }
         }
         let early = |task: &&Task| self.jobs[&task.task.job].ready_at.is_none();
@@ -108,12 +108,12 @@
     pub fn check_cancelled_together(&self) -> usize {
         let cancelled = |id: &JobId| {
             let key = format!("pub/job/{id}");
-            self.store.text(&key, "state").as_deref() == Some("aborted")
+            self.store.text_field(&key, "state").as_deref() == Some("aborted")
         };
         let mut with_others = 0;
         for (id, job) in self.jobs.iter().filter(|(_, t)| t.accepted) {
-            let by_another = self.ancestors(id).iter().any(cancelled);
-            if by_another {
+            let depends_on_cancelled = self.ancestors(id).iter().any(cancelled);
+            if depends_on_cancelled {
                 assert!(
                     cancelled(id),
                     "{id} is not cancelled, but a job on which it depends is"
--- a/crates/core/tests/sim/world/processor_time.rs
+++ b/crates/core/tests/sim/world/processor_time.rs
@@ -1,9 +1,9 @@
 //! Nodes whose steps take simulated time, and that may be slow.
 //!
-//! In other scenarios a step takes no simulated time, and no node is ever behind. Here a node processes one input
-//! after the other, and inputs that arrive meanwhile are queued as in the real shell: ticks come first, then inputs
-//! that are needed to keep the rules, then reports and users' requests in order of arrival. Reports whose senders have
-//! given up are rejected without being processed.
+//! In other scenarios a step takes no simulated time, and no node ever falls behind. Here a node processes one input
+//! after the other, and inputs that arrive meanwhile are queued as in the controller program: ticks come first, then
+//! inputs that are needed to keep the rules, then reports and users' requests in order of arrival. Reports whose
+//! senders have given up are rejected without being processed.
 
 use super::*;
 use rudderreel_core::units::Span;
@@ -47,7 +47,7 @@
 }
 
 impl Processor {
-    /// Drops the queue when the process starts anew.
+    /// Drops the queue when the process restarts.
     pub fn clear(&mut self) {
         self.waiting.clear();
         (self.busy_until, self.remainder_us) = (0, 0);
@@ -90,12 +90,12 @@
 
 /// Returns the microseconds that a reconciliation or a scheduling cycle takes, in proportion to the machines.
 fn long_step_us(step: Option<LongStep>, machines: usize) -> u64 {
-    let by_machine = match step {
+    let us_per_machine = match step {
         Some(LongStep::Reconcile) => 50,
         Some(LongStep::Cycle) => 300,
         None => 0,
     };
-    by_machine * machines as u64
+    us_per_machine * machines as u64
 }
 
 impl World {
--- a/crates/core/tests/sim/world/rule_checks.rs
+++ b/crates/core/tests/sim/world/rule_checks.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl World {
-    /// Returns the tasks that commands start although their jobs are cancelled and their tasks must be gone by now.
+    /// Returns a text for each task that the commands start although its job is cancelled and the job's tasks must be
+    /// gone by now.
     pub(super) fn late_starts(&self, commands: &[Command]) -> Vec<String> {
         let is_late = |id: &JobId| {
             let cancelled = self.cancelled_since(id);
@@ -19,7 +20,7 @@
             .collect()
     }
 
-    /// Counts start commands, and records those for jobs whose users were answered that they are cancelled.
+    /// Counts start commands, and records those for jobs whose users were answered that the job is cancelled.
     pub(super) fn record_starts(&mut self, commands: &[Command]) {
         for command in commands {
             if let Command::Start { task, .. } = command {
@@ -84,13 +85,14 @@
             } else {
                 blue
             });
-            let under = used.get(spec.team.as_str()).copied().unwrap_or(0.0) + spec.cpus <= limit;
+            let below_limit =
+                used.get(spec.team.as_str()).copied().unwrap_or(0.0) + spec.cpus <= limit;
             let fits = room.iter().any(|(zone, spot, free)| {
                 *free >= spec.cpus
                     && (spec.spot || !spot)
                     && spec.zone.as_ref().is_none_or(|z| z.as_str() == zone)
             });
-            if !(waits && under && fits) {
+            if !(waits && below_limit && fits) {
                 job.startable_since = None;
                 continue;
             }
@@ -127,7 +129,7 @@
         let mut groups: BTreeMap<String, Vec<bool>> = BTreeMap::new();
         for job in &jobs {
             let (class, team) = (&job.spec.class, &job.spec.team);
-            let most = (jobs.iter())
+            let max_tasks = (jobs.iter())
                 .filter(|t| t.spec.class == *class)
                 .map(|t| t.spec.tasks)
                 .max();
@@ -140,10 +142,14 @@
                 .entry(format!("team {team}"))
                 .or_default()
                 .push(begun);
-            if Some(job.spec.tasks) == most {
-                let ready_at = job.ready_at.unwrap_or(job.asked_at);
+            if Some(job.spec.tasks) == max_tasks {
+                let ready_at = job.ready_at.unwrap_or(job.added_at);
                 let in_time = (job.begun_at).is_some_and(|at| at <= ready_at + MAX_START_DELAY_MS);
-                assert!(in_time, "late: {} of {class}, {most:?} tasks", job.spec.id);
+                assert!(
+                    in_time,
+                    "late: {} of {class}, {max_tasks:?} tasks",
+                    job.spec.id
+                );
             }
         }
         for (group, begun) in groups {
@@ -205,10 +211,10 @@
         for (team, limit) in limits {
             assert!(used.get(team).is_none_or(|u| *u <= limit), "quota: {team}");
         }
-        let full = limits
+        let at_limit = limits
             .iter()
             .all(|(team, limit)| used.get(team).is_some_and(|u| *u + 1.0 >= *limit));
-        if full && !self.scenario.crowd && !self.scenario.large {
+        if at_limit && !self.scenario.crowd && !self.scenario.large {
             match self.faults_seen.last_mut() {
                 Some((Fault::TeamsAtLimit, _, until)) => *until = self.now,
                 _ => self
@@ -231,9 +237,9 @@
             self.report_violation("ran_cancelled", &task);
         }
         for (id, job) in self.jobs.iter_mut().filter(|(_, t)| t.begun_at.is_none()) {
-            let mut here = task_counts.range((id.clone(), 0)..=(id.clone(), u32::MAX));
+            let mut placed = task_counts.range((id.clone(), 0)..=(id.clone(), u32::MAX));
             // `update_gangs` records the start of gangs.
-            if job.spec.kind != Kind::Gang && here.next().is_some() {
+            if job.spec.kind != Kind::Gang && placed.next().is_some() {
                 job.begun_at = Some(self.now);
             }
         }
--- a/crates/core/tests/sim/world/scenario.rs
+++ b/crates/core/tests/sim/world/scenario.rs
@@ -1,6 +1,6 @@
 //! The parameters of a simulated run, and the settings that its nodes are started with.
 
-use super::store::{Limits, LIMITS};
+use super::store::{Limits, DEFAULT_LIMITS};
 use super::Fault;
 use rudderreel_wire::settings::Settings;
 
@@ -104,7 +104,7 @@
             restarts_old_version: false,
             cancel_s: 20,
             gang_wait_s: 10,
-            store: LIMITS,
+            store: DEFAULT_LIMITS,
             cloud_rps: 5.0,
             zone_names: &["a", "b"],
             run_ms: None,
--- a/crates/core/tests/sim/world/store.rs
+++ b/crates/core/tests/sim/world/store.rs
@@ -9,20 +9,20 @@
 /// Limits of the store. Bursts of one second's worth of requests are allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Requests per second.
+    /// Maximum number of requests per second.
     pub rps: u64,
-    /// Changes per second.
+    /// Maximum number of changes per second.
     pub write_rps: u64,
-    /// Largest size of a value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: usize,
-    /// Largest number of changes in a transaction; it may have four times as many conditions.
+    /// Maximum number of changes in a transaction; it may have four times as many conditions.
     pub operations: usize,
-    /// Largest number of items on a page.
+    /// Maximum number of items on a page.
     pub page: usize,
 }
 
-/// Limits of the store unless a scenario sets others.
-pub const LIMITS: Limits = Limits {
+/// Limits that the store enforces unless a scenario sets others.
+pub const DEFAULT_LIMITS: Limits = Limits {
     rps: 200,
     write_rps: 50,
     value_kb: 16,
@@ -31,8 +31,8 @@
     page: 10,
 };
 
-/// Largest total size of the items on a page in bytes, by the protocol.
-const PAGE_BYTES: usize = 512 * 1024;
+/// Maximum total size of the items on a page in bytes, by the protocol.
+const MAX_PAGE_BYTES: usize = 512 * 1024;
 
 /// A simulated store.
 pub struct Store {
@@ -57,7 +57,7 @@
 impl Default for Store {
     fn default() -> Self {
         Self {
-            limits: LIMITS,
+            limits: DEFAULT_LIMITS,
             rejected: 0,
             requests: RateLimit::default(),
             writes: RateLimit::default(),
@@ -73,20 +73,20 @@
 }
 
 impl Store {
-    /// Creates a store with limits.
-    pub fn of(limits: Limits) -> Self {
+    /// Creates an empty store with these limits.
+    pub fn with_limits(limits: Limits) -> Self {
         Self {
             limits,
             ..Self::default()
         }
     }
 
-    /// Returns how many of the items fit on a page by their number and their size, but at least one if there are any.
-    fn page_of(&self, items: &[Item<Value>]) -> usize {
+    /// Returns how many of the items fit on a page by their number and their size: at least one if there are any.
+    fn count_fitting_on_page(&self, items: &[Item<Value>]) -> usize {
         let mut bytes = 0;
         let fits = |item: &&Item<Value>| {
             bytes += serde_json::to_vec(&item.value).expect("JSON").len();
-            bytes <= PAGE_BYTES
+            bytes <= MAX_PAGE_BYTES
         };
         let first = items.iter().take(self.limits.page);
         first.take_while(fits).count().max(1).min(items.len())
@@ -117,7 +117,7 @@
     }
 
     /// Returns the number of keys that begin with a prefix.
-    pub fn count(&self, prefix: &str) -> usize {
+    pub fn count_keys(&self, prefix: &str) -> usize {
         self.keys
             .keys()
             .filter(|key| key.starts_with(prefix))
@@ -125,29 +125,29 @@
     }
 
     /// Returns a numeric field of a key's value; 0 if it is missing.
-    pub fn number(&self, key: &str, field: &str) -> u64 {
+    pub fn number_field(&self, key: &str, field: &str) -> u64 {
         let value = self.keys.get(key).map(|item| &item.value[field]);
         value.and_then(Value::as_u64).unwrap_or(0)
     }
 
     /// Returns whether a field of a key's value is true.
-    pub fn is_set(&self, key: &str, field: &str) -> bool {
+    pub fn bool_field(&self, key: &str, field: &str) -> bool {
         let value = self.keys.get(key).map(|item| &item.value[field]);
         value.and_then(Value::as_bool).unwrap_or(false)
     }
 
-    /// Returns a text field of a key's value.
-    pub fn text(&self, key: &str, field: &str) -> Option<String> {
+    /// Returns a text field of a key's value, if there is one.
+    pub fn text_field(&self, key: &str, field: &str) -> Option<String> {
         let item = self.keys.get(key)?;
         item.value[field].as_str().map(str::to_string)
     }
 
     fn expire_leases(&mut self, now: u64) {
-        let over: Vec<u64> = (self.leases.iter())
+        let expired: Vec<u64> = (self.leases.iter())
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in over {
+        for id in expired {
             self.end_lease(id);
         }
     }
@@ -231,7 +231,7 @@
                     .take(self.limits.page + 1)
                     .cloned()
                     .collect();
-                let page = self.page_of(&items);
+                let page = self.count_fitting_on_page(&items);
                 let more = items.len() > page;
                 items.truncate(page);
                 let revision = Version(self.revision);
--- a/crates/core/tests/sim/world/store_calls.rs
+++ b/crates/core/tests/sim/world/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of nodes to the store: they may be lost, be carried out late, or be carried out without the answer arriving.
+//! Calls of nodes to the store: a call may be lost, be carried out late, or be carried out while its answer is lost.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         call: rudderreel_core::StoreCall,
     ) {
         let mut message_delay = self.message_delay();
-        if self.now < self.state_slow_until {
+        if self.now < self.store_slow_until {
             message_delay += self.rng.random_range(60..400);
         }
         let cut = self.now < self.nodes[node].cut_from_store_until;
@@ -128,7 +128,7 @@
             return self.schedule(1, Event::Input(node, generation, Input::WatchLost));
         }
         match (!cut).then(|| self.store.changes_since(after)).flatten() {
-            Some(_) if self.watch_runs_out(node) => {
+            Some(_) if self.watch_times_out(node) => {
                 let delay = self.watch_retry_delay(node);
                 self.schedule(delay, Event::RetryWatch(node, generation, after))
             }
@@ -157,8 +157,8 @@
 fn is_crash_point(call: &rudderreel_core::StoreCall) -> bool {
     match call {
         rudderreel_core::StoreCall::Commit(t) => {
-            let leads = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
-            t.conditions.iter().any(|c| leads(&c.key)) && !t.changes.is_empty()
+            let is_leadership_key = |k: &str| ["pub/leader", "pub/seat", "epoch"].contains(&k);
+            t.conditions.iter().any(|c| is_leadership_key(&c.key)) && !t.changes.is_empty()
         }
         rudderreel_core::StoreCall::AcquireLease(_) => true,
         _ => false,
--- a/crates/core/tests/sim/world/users.rs
+++ b/crates/core/tests/sim/world/users.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl World {
-    /// Records jobs whose last task has ended; during the fault, users cancel some of them at that moment.
+    /// Records jobs whose last task has ended. During the fault [`Fault::JobsCancelledAtCompletion`], users cancel some
+    /// of them at that moment.
     pub(super) fn jobs_ended(&mut self) {
         let done = |(id, tasks): &(&JobId, &BTreeSet<u32>)| {
             tasks.len() as u32 == self.jobs[*id].spec.tasks && !self.ended.contains(*id)
@@ -37,8 +38,8 @@
             .rng
             .random_range(self.scenario.user_interval_ms / 4..self.scenario.user_interval_ms);
         self.schedule(next, Event::UserTurn);
-        let share = if self.scenario.rush { 1.0 } else { 0.15 };
-        if self.next_job < self.scenario.jobs && self.rng.random_bool(share) {
+        let probability = if self.scenario.rush { 1.0 } else { 0.15 };
+        if self.next_job < self.scenario.jobs && self.rng.random_bool(probability) {
             self.next_job += 1;
             let spec = if self.scenario.rush {
                 self.small_job()
@@ -82,7 +83,7 @@
                 None => (4_000, 0),
             },
             final_at: 0,
-            asked_at: self.now,
+            added_at: self.now,
             accepted_at: 0,
             ready_at: None,
             begun_at: None,
@@ -124,8 +125,8 @@
         let berth = (self.scenario.zone_bound_jobs && rng.random_bool(0.5))
             .then(|| ["a", "b"][rng.random_range(0..2)]);
         let needs = self.draw_dependencies();
-        let expected_s =
-            (self.scenario.run_ms).map_or(4.0, |(least, more)| (least + more / 2) as f64 / 1e3);
+        let expected_s = (self.scenario.run_ms)
+            .map_or(4.0, |(first, increase)| (first + increase / 2) as f64 / 1e3);
         let rng = &mut self.rng;
         let value = serde_json::json!({
             "id": format!("wk-{:06}", self.next_job), "reel": kind, "crew": team, "rig": kind,
@@ -187,12 +188,13 @@
         }
         let req = self.new_request(node, Requester::InvalidSubmission(spec.id.clone()));
         self.step(node, Input::User(req, UserRequest::Submit(Box::new(spec))));
-        let over = |t: &&ObservedJob| matches!(t.last, Some(JobState::Done | JobState::Cancelled));
-        let over: Vec<JobId> = (self.jobs.values().filter(over))
+        let has_ended =
+            |t: &&ObservedJob| matches!(t.last, Some(JobState::Done | JobState::Cancelled));
+        let ended: Vec<JobId> = (self.jobs.values().filter(has_ended))
             .map(|t| t.spec.id.clone())
             .collect();
-        if !over.is_empty() {
-            let id = over[self.rng.random_range(0..over.len())].clone();
+        if !ended.is_empty() {
+            let id = ended[self.rng.random_range(0..ended.len())].clone();
             self.user_asks(node, &id, UserAction::Cancel);
             self.query_all_nodes(&id);
         }
@@ -304,9 +306,9 @@
             self.check_not_orphaned(id);
         }
         let job = self.jobs.get_mut(id).expect("a known job");
-        let news = job.last.is_none() || job.last != Some(state);
+        let is_new_state = job.last.is_none() || job.last != Some(state);
         job.last = Some(state);
-        if news && now < self.rapid_status_until {
+        if is_new_state && now < self.rapid_status_until {
             self.query_all_nodes(id);
             if state == JobState::Queued && self.rng.random_bool(0.2) {
                 let node = self.rng.random_range(0..self.scenario.nodes);
