--- a/crates/controller/src/outgoing/store.rs
+++ b/crates/controller/src/outgoing/store.rs
@@ -12,8 +12,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The number of threads is that of calls that the core usually has open. The core always has fewer calls open than
-/// the queue holds.
+/// One thread for each call that the core usually has open. The core always has fewer calls open than the queue holds.
 const CALL_POOL: PoolSize = PoolSize {
     threads: 12,
     queue: 256,
@@ -76,7 +75,7 @@
     matches!(
         call,
         StoreCall::AcquireLease(_)
-            | StoreCall::Renew(_)
+            | StoreCall::RenewLease(_)
             | StoreCall::EndLease(_)
             | StoreCall::Changes(..)
     )
