--- a/crates/controller/src/http/server/exchange.rs
+++ b/crates/controller/src/http/server/exchange.rs
@@ -118,7 +118,7 @@
             Parsed::Malformed => {
                 connection.close = true;
                 self.refusals.unreadable.increment();
-                self.begin_response(slot, &Response::error(400, "the request is not valid HTTP"));
+                self.begin_response(slot, &Response::error(400, "not HTTP"));
                 bytes.len()
             }
             Parsed::Complete(request) => {
--- a/crates/controller/src/outgoing/mod.rs
+++ b/crates/controller/src/outgoing/mod.rs
@@ -104,7 +104,7 @@
 
     /// Refuses a request that has waited too long in its queue.
     pub fn refuse_expired(&self, request: ReqId) {
-        let refusal = Response::error(503, "the request has waited too long");
+        let refusal = Response::error(503, "it has waited too long");
         self.open_requests.respond(request, refusal);
     }
 }
